--- a/benchmarks/pick_bench.cpp
+++ b/benchmarks/pick_bench.cpp
@@ -22,8 +22,8 @@
 Settings SettingsFor() {
   Settings s;
   ClassSettings lookup;
-  lookup.effect = Effect::kSafe;
-  lookup.aim = Duration(500);
+  lookup.idempotency = Idempotency::kIdempotent;
+  lookup.latency_objective = Duration(500);
   lookup.deadline = Duration(2500);
   s.classes = {lookup};
   s.max_attempts = 3;
@@ -35,11 +35,11 @@
  public:
   explicit Steady(int backends)
       : balancer_(SettingsFor(), 1), out_at_once_(static_cast<std::size_t>(backends) / 2) {
-    ListUpdate list{ListKind::kFull, {}};
+    EndpointUpdate list{EndpointUpdateKind::kSnapshot, {}};
     for (int i = 0; i < backends; ++i) {
-      ServerEntry entry;
-      entry.server = static_cast<ServerId>(i);
-      list.entries.push_back(entry);
+      Endpoint entry;
+      entry.backend = static_cast<BackendId>(i);
+      list.endpoints.push_back(entry);
     }
     Handle(list);
     gap_ = kAnswer / static_cast<double>(out_at_once_);
@@ -55,22 +55,22 @@
   }
 
   void Ask() {
-    Submit submit;
+    RequestReceived submit;
     submit.request = ++last_;
-    submit.due = now_ + Duration(2500);
-    submit.has_hint = true;
-    submit.work_ms = 10;
+    submit.deadline = now_ + Duration(2500);
+    submit.has_work_estimate = true;
+    submit.estimated_work_ms = 10;
     Handle(submit);
   }
 
   void AnswerOldest() {
     if (out_.empty()) return;
-    AttemptEnded end;
+    AttemptCompleted end;
     end.request = out_.front().request;
-    end.server = out_.front().server;
-    end.settled = true;
-    end.outcome = Outcome::kOk;
-    end.took = kAnswer;
+    end.backend = out_.front().server;
+    end.request_completed = true;
+    end.outcome = AttemptOutcome::kSuccess;
+    end.duration = kAnswer;
     out_.pop_front();
     Handle(end);
   }
@@ -82,14 +82,14 @@
   struct Out {
     TimePoint due;
     RequestId request;
-    ServerId server;
+    BackendId server;
   };
   void Handle(const Event& event) {
     actions_.clear();
     balancer_.Handle(now_, event, &actions_);
     for (const Action& action : actions_) {
-      if (const auto* dispatch = std::get_if<Dispatch>(&action))
-        out_.push_back({now_ + kAnswer, dispatch->request, dispatch->server});
+      if (const auto* dispatch = std::get_if<StartAttempt>(&action))
+        out_.push_back({now_ + kAnswer, dispatch->request, dispatch->backend});
     }
   }
 
--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -13,8 +13,8 @@
 
   Settings settings;
   ClassSettings reads;
-  reads.effect = Effect::kSafe;
-  reads.aim = milliseconds(100);
+  reads.idempotency = Idempotency::kIdempotent;
+  reads.latency_objective = milliseconds(100);
   reads.deadline = milliseconds(400);
   settings.classes = {reads};
   settings.max_attempts = 3;
@@ -23,32 +23,32 @@
   // The caller owns the clock and the network: events in, actions out.
   TimePoint now{milliseconds(1000)};
   std::vector<Action> actions;
-  ListUpdate list{ListKind::kFull, {}};
-  for (ServerId id : {7u, 9u}) {
-    ServerEntry entry;
-    entry.server = id;
-    list.entries.push_back(entry);
+  EndpointUpdate list{EndpointUpdateKind::kSnapshot, {}};
+  for (BackendId id : {7u, 9u}) {
+    Endpoint entry;
+    entry.backend = id;
+    list.endpoints.push_back(entry);
   }
   balancer.Handle(now, list, &actions);
 
   actions.clear();
-  Submit submit;
+  RequestReceived submit;
   submit.request = 1;
-  submit.due = now + milliseconds(400);
+  submit.deadline = now + milliseconds(400);
   balancer.Handle(now, submit, &actions);
 
   for (const Action& action : actions) {
-    if (const auto* dispatch = std::get_if<Dispatch>(&action)) {
+    if (const auto* dispatch = std::get_if<StartAttempt>(&action)) {
       std::printf("request %llu goes to server %u\n", static_cast<unsigned long long>(dispatch->request),
-                  dispatch->server);
-      AttemptEnded end;
+                  dispatch->backend);
+      AttemptCompleted end;
       end.request = dispatch->request;
-      end.server = dispatch->server;
-      end.outcome = Outcome::kOk;
-      end.settled = true;
-      end.took = milliseconds(12);
+      end.backend = dispatch->backend;
+      end.outcome = AttemptOutcome::kSuccess;
+      end.request_completed = true;
+      end.duration = milliseconds(12);
       std::vector<Action> none;
-      balancer.Handle(now + end.took, end, &none);
+      balancer.Handle(now + end.duration, end, &none);
       return 0;
     }
   }
--- a/include/copperpoint/balancer.h
+++ b/include/copperpoint/balancer.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The whole interface of copperpoint: settings, events, actions and the Balancer that maps one to the other.
+// The interface of the decision module: settings, events, actions, and the Balancer that maps events to
+// actions.
 //
 // A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
-// event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
-// lists of the settings, so names cannot decide anything.
+// event and randomness derives from the seed alone. Classes, tenants, zones and machine kinds are indices
+// into the lists of the settings, so that no decision can depend on a name.
 #ifndef COPPERPOINT_BALANCER_H_
 #define COPPERPOINT_BALANCER_H_
 
@@ -17,7 +18,7 @@
 
 namespace copperpoint {
 
-// The clock is the caller's; its origin is arbitrary and it only advances.
+// The caller's clock, in milliseconds. Its origin is arbitrary and it only advances.
 struct Clock {
   using duration = std::chrono::duration<double, std::milli>;
   using rep = duration::rep;
@@ -28,162 +29,245 @@
 using Duration = Clock::duration;
 using TimePoint = Clock::time_point;
 
+// A logical request over all of its attempts; chosen by the caller and unique while the request is open.
 using RequestId = std::uint64_t;
-using ServerId = std::uint32_t;
+// A backend; chosen by the caller and stable while the backend is listed.
+using BackendId = std::uint32_t;
 
-enum class Effect { kSafe, kKeyed, kUnsafe };
-enum class Group { kAll, kZone, kCell };
+// ---- settings -----------------------------------------------------------------------------------------
+
+// Whether a request may be executed more than once.
+enum class Idempotency {
+  kIdempotent,      // any number of executions has the effect of one
+  kIdempotencyKey,  // backends drop a duplicate that carries the same key, within a scope and a time
+  kNonIdempotent,   // an attempt that may have been executed must not be repeated
+};
+
+// The backends that recognise each other's duplicates of a request with an idempotency key.
+enum class DeduplicationScope { kAll, kZone, kCell };
 
 struct ClassSettings {
-  Effect effect = Effect::kUnsafe;
-  Group group = Group::kAll;  // keyed classes: the servers that drop each other's repeats
-  Duration window{0};         // keyed classes: how long they remember
-  Duration aim{0};
-  Duration deadline{0};
-  double worth = 1;
-  double late_worth = 0;  // share of the worth that an answer after the aim still earns
+  Idempotency idempotency = Idempotency::kNonIdempotent;
+  DeduplicationScope deduplication_scope = DeduplicationScope::kAll;  // for kIdempotencyKey
+  Duration deduplication_window{0};  // for kIdempotencyKey: how long a key is remembered
+  Duration latency_objective{0};     // an answer within this earns the full weight
+  Duration deadline{0};              // clients usually give up after this
+  double priority_weight = 1;        // what one answer within the objective is worth
+  double late_weight_fraction =
+      0;  // part of the weight that an answer after the objective still earns, 0 to 1
 };
 
 struct TenantSettings {
-  double quota_per_s = 0;  // requests a second within its share, over all proxies
+  double quota_per_s = 0;  // requests a second that count in full, over all proxies
 };
 
-// What service is judged by: weights of the worth served of all that was asked, of that of the worst-served
-// class, and of that of the worst-served tenant within its share.
-struct Goal {
-  double whole = 1, worst_class = 0, worst_tenant = 0;
+// What service is measured by: weights of the fraction of priority weight served overall, in the worst-served
+// class, and for the worst-served tenant within its quota.
+struct ServiceObjective {
+  double overall = 1, worst_class = 0, worst_tenant = 0;
 };
 
 // Defaults are the documented meaning of an absent optional setting; none of them steers a decision.
 struct Settings {
-  int balancers = 1;
-  int me = 0;  // the number of this one among them
-  int zone = 0;
+  int proxy_count = 1;
+  int proxy_index = 0;  // of this proxy, from 0
+  int zone = 0;         // of this proxy
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  Goal goal;
-  double over_share_worth = 1;
-  double price_cross_zone = 0;
-  bool warm_keys = false;  // a server that served a key lately serves it again with less work
-  bool must_ask_for_list = false;
-  int max_attempts = 1;
-  Duration max_retry_after{0};  // the longest that refused clients stay away when told; 0: they are not told
-  Duration tick{1};
-  Duration must_ask_within{0};  // where the list must be asked for
-  double cold_from = 1;         // a starting server has at least this share of its capacity
-  Duration warm_up{0};          // and all of it no later than this
-  double fall_multiple = 1;     // it falls over when sent more than this multiple of its capacity
-  Duration overload_for{0};     // for this long
-};
-
-enum class ServerState { kGone, kReady, kDraining };
-enum class ListKind { kDelta, kFull, kCached, kFailed };
-
-struct ServerEntry {
-  ServerId server = 0;
+  ServiceObjective service_objective;
+  double over_quota_weight = 1;  // factor on the priority weight of a request over its tenant's quota
+  double cross_zone_cost = 0;  // of an attempt to a backend of another zone, as a part of a request's weight
+  bool key_affinity = false;   // a backend that served a key lately serves it again with less work
+  bool polls_endpoints = false;        // the endpoint list is polled for; otherwise discovery pushes changes
+  Duration max_poll_interval{0};       // for polls_endpoints: the rules want a poll at least this often
+  int max_attempts = 1;                // of one request, the first included
+  Duration max_retry_after{0};         // longest Retry-After that clients follow; 0: they follow none
+  Duration tick{1};                    // granularity of the caller's timers
+  double slow_start_min_capacity = 1;  // fraction of its capacity that a starting backend has at once
+  Duration slow_start_window{0};       // after this it has all of it
+  double overload_factor = 1;   // a starting backend fails when sent more than this multiple of its capacity
+  Duration overload_window{0};  // within this time
+};
+
+// ---- endpoints ----------------------------------------------------------------------------------------
+
+// What discovery says of a backend. The order is that of the simulator's wire.
+enum class EndpointState { kRemoved, kReady, kDraining };
+
+// How an endpoint list was obtained. The order is that of the simulator's wire.
+enum class EndpointUpdateKind {
+  kIncremental,  // only the endpoints that changed
+  kSnapshot,     // all endpoints; those not named are removed
+  kCached,       // all endpoints, as known before this process started; may be old
+  kFailed,       // the poll or watch failed; no endpoints
+};
+
+struct Endpoint {
+  BackendId backend = 0;
   int zone = 0;
-  int kind = 0;
+  int kind = 0;  // of machine
   int cell = 0;
-  ServerState state = ServerState::kReady;
+  EndpointState state = EndpointState::kReady;
   double weight = 1;
-  TimePoint up_since{};  // zero: long ago
+  TimePoint up_since{};  // start of its process; zero: long ago
+};
+
+// How an attempt ended. Of a rejection, a connect failure and an attempt that was not sent it is certain that
+// the backend did not execute the request.
+enum class AttemptOutcome {
+  kSuccess,
+  kServerError,
+  kBackendRejected,
+  kTimeout,
+  kConnectFailure,
+  kConnectionReset,
+  kCancelled,
+  kNotSent,
+  kUnknown,
 };
 
-// How an attempt ended. Full, connect failed and moot prove that it never ran.
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot, kUnknown };
+// Why a request was rejected or failed.
+enum class RejectReason {
+  kNone,
+  kUnknownClass,          // no settings for its class
+  kDeadlineUnreachable,   // its work takes longer than it is useful for
+  kLoadShed,              // shed early, by its fingerprint, under overload
+  kNoCapacity,            // queued, and no capacity came free in time
+  kNotRetriable,          // its last attempt failed and another is not permitted
+  kRetryBudgetExhausted,  // another attempt is permitted, but retries are over their budget
+  kProcessLimit,          // the proxy's own limit of connections or memory
+  kRequestBodyConsumed,   // part of its body has been forwarded and is no longer here
+};
 
 // ---- events -------------------------------------------------------------------------------------------
-struct ListUpdate {
-  ListKind kind = ListKind::kDelta;
-  std::vector<ServerEntry> entries;
+
+// The endpoint list, or a failure to get it.
+struct EndpointUpdate {
+  EndpointUpdateKind kind = EndpointUpdateKind::kIncremental;
+  std::vector<Endpoint> endpoints;
 };
-struct Submit {
+
+// A client's request. It gets exactly one final answer: a successful attempt, RejectRequest or FailRequest.
+struct RequestReceived {
   RequestId request = 0;
-  TimePoint due{};  // the client gives this try up then
+  TimePoint deadline{};  // the client gives up then
   int request_class = 0;
   int tenant = 0;
-  std::uint64_t key = 0;  // 0: none
-  bool has_hint = false;
-  bool client_retry = false;
-  double work_ms = 0;  // hinted work on a standard core
+  std::uint64_t key = 0;           // for affinity; 0: none
+  bool has_work_estimate = false;  // the client gave estimated_work_ms
+  bool client_retry = false;       // the client marks it as a retry
+  double estimated_work_ms = 0;    // on a standard core
 };
-struct StreamStarted {
+
+// The response to an attempt has begun: the request has its answer.
+struct ResponseStarted {
   RequestId request = 0;
-  int attempt = 0;
+  int attempt = 0;  // counted from 0 over the request's attempts
 };
-struct AttemptEnded {
+
+// An attempt ended. Each StartAttempt is followed by exactly one of these.
+struct AttemptCompleted {
   RequestId request = 0;
   int attempt = 0;
-  ServerId server = 0;
-  bool settled = false;  // the request has its final answer
-  Outcome outcome = Outcome::kUnknown;
-  Duration took{0};
+  BackendId backend = 0;
+  bool request_completed = false;  // the request has its final answer
+  AttemptOutcome outcome = AttemptOutcome::kUnknown;
+  Duration duration{0};
 };
-struct ClientGone {
+
+// The client has closed its connection: nothing more is owed to it.
+struct ClientDisconnected {
   RequestId request = 0;
 };
+
+// A timer set by SetTimer is due.
 struct TimerFired {
   std::uint64_t token = 0;
 };
-// What one process has learnt of a server, for the next one of the same proxy.
-struct Learnt {
-  ServerId server = 0;
-  int multiplier = 0;
-  Duration ejected_for{0};  // from now on; 0: in service
-  double cold_work = 0;     // sent to it within the rule's window, where it is cold
+
+// What one process has observed of a backend, for its successor.
+struct BackendSnapshot {
+  BackendId backend = 0;
+  int ejection_multiplier = 0;
+  Duration ejection_remaining{0};  // 0: not ejected
+  double slow_start_work = 0;      // ms of work sent to it within the overload window, while it warms up
 };
-struct Inherited {
-  std::vector<Learnt> servers;
+
+// The state that the predecessor of this process exported.
+struct StateRestored {
+  std::vector<BackendSnapshot> backends;
 };
-// Where this proxy stands among those that share the servers, where they tell each other (docs/view.md): the
-// place on the ring of servers at which its subset begins. Untold, it goes by Settings::me.
-struct Position {
-  double turn = 0;  // from 0 to below 1
+
+// Where this proxy's subset begins on the ring of backends, as the proxies agree among themselves. Without
+// this event the offset follows from Settings::proxy_index.
+struct SubsetPosition {
+  double ring_offset = 0;  // 0 to below 1
 };
-using Event = std::variant<ListUpdate, Submit, StreamStarted, AttemptEnded, ClientGone, TimerFired, Inherited,
-                           Position>;
+
+using Event = std::variant<EndpointUpdate, RequestReceived, ResponseStarted, AttemptCompleted,
+                           ClientDisconnected, TimerFired, StateRestored, SubsetPosition>;
 
 // ---- actions ------------------------------------------------------------------------------------------
-struct Dispatch {
+
+// Forward the request to a backend.
+struct StartAttempt {
   RequestId request = 0;
-  ServerId server = 0;
-  Duration timeout{0};  // 0: until the client gives up
+  BackendId backend = 0;
+  Duration timeout{0};  // 0: until the client's deadline
 };
-struct Refuse {  // final; tells the client that another try is harmless
+
+// Final answer: the request had no effect, and a client retry is harmless.
+struct RejectRequest {
   RequestId request = 0;
   Duration retry_after{0};  // 0: no advice
-  const char* why = "";     // for who counts refusals: one of a few words that the module has
+  RejectReason reason = RejectReason::kNone;
 };
-struct Fail {  // final; promises nothing
+
+// Final answer: the request may have been executed.
+struct FailRequest {
   RequestId request = 0;
-  const char* why = "";
+  RejectReason reason = RejectReason::kNone;
 };
+
 struct SetTimer {
   TimePoint at{};
   std::uint64_t token = 0;
 };
-struct Subscribe {};  // ask discovery for the changes from here on
-struct CloseIdle {    // close this proxy's idle connections to a server
-  ServerId server = 0;
+
+// Poll discovery for the endpoint list, and watch for changes from then on.
+struct PollEndpoints {};
+
+// Close this proxy's idle connections to a backend.
+struct CloseIdleConnections {
+  BackendId backend = 0;
 };
+
+// A line for the log.
 struct Log {
   std::string text;
 };
-using Action = std::variant<Dispatch, Refuse, Fail, SetTimer, Subscribe, CloseIdle, Log>;
 
+using Action = std::variant<StartAttempt, RejectRequest, FailRequest, SetTimer, PollEndpoints,
+                            CloseIdleConnections, Log>;
+
+// ---- the module ---------------------------------------------------------------------------------------
+
+// Makes every decision of one proxy. Owns all state that decisions rest on; not thread-safe.
 class Balancer {
  public:
+  // `seed`: of all random draws.
   Balancer(Settings settings, std::uint64_t seed);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Appends what is to be done at `now` because of `event`. Ignores what it does not know; never throws on
-  // the content of an event.
+  // Appends to `actions` what is to be done at `now` because of `event`. `now` must not go back. Events about
+  // requests, attempts or backends that are not known are ignored; nothing is thrown for the content of an
+  // event.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  // What a next process should know: its Inherited.
-  std::vector<Learnt> Learned(TimePoint now);
+  // What a successor should know at its start, as its StateRestored event.
+  std::vector<BackendSnapshot> ExportState(TimePoint now);
 
  private:
   class Impl;
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -64,76 +64,76 @@
 Duration Millis(double ms) { return Duration(ms); }
 TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-Outcome OutcomeOf(std::uint16_t status) {
+AttemptOutcome OutcomeOf(std::uint16_t status) {
   switch (status) {
     case 200:
-      return Outcome::kOk;
+      return AttemptOutcome::kSuccess;
     case 500:
-      return Outcome::kError;
+      return AttemptOutcome::kServerError;
     case 503:
-      return Outcome::kFull;
+      return AttemptOutcome::kBackendRejected;
     case 504:
-      return Outcome::kTimeout;
+      return AttemptOutcome::kTimeout;
     case 502:
-      return Outcome::kConnectFailed;
+      return AttemptOutcome::kConnectFailure;
     case 598:
-      return Outcome::kReset;
+      return AttemptOutcome::kConnectionReset;
     case 499:
-      return Outcome::kCancelled;
+      return AttemptOutcome::kCancelled;
     case 410:
-      return Outcome::kMoot;
+      return AttemptOutcome::kNotSent;
     default:
-      return Outcome::kUnknown;
+      return AttemptOutcome::kUnknown;
   }
 }
 
-ListUpdate ReadDiscovery(Reader& in) {
-  ListUpdate update;
+EndpointUpdate ReadDiscovery(Reader& in) {
+  EndpointUpdate update;
   const auto how = in.Get<std::uint8_t>();
   if (how > 3) throw MalformedInput("a list of an unknown kind");
-  update.kind = static_cast<ListKind>(how);
+  update.kind = static_cast<EndpointUpdateKind>(how);
   in.Get<std::uint32_t>();  // version: lists come in order and without gaps
   const auto count = in.Get<std::uint32_t>();
   if (count > in.left() / kEntryBytes) throw MalformedInput("a list overruns its record");
   Reader entries(in.Bytes(std::size_t{count} * kEntryBytes));
   for (std::uint32_t i = 0; i < count; ++i) {
-    ServerEntry entry;
-    entry.server = entries.Get<std::uint32_t>();
+    Endpoint entry;
+    entry.backend = entries.Get<std::uint32_t>();
     entry.zone = entries.Get<std::uint16_t>();
     entry.kind = entries.Get<std::uint16_t>();
     entry.cell = entries.Get<std::uint16_t>();
     const auto state = entries.Get<std::uint8_t>();
     if (state > 2) throw MalformedInput("a list entry of an unknown state");
-    entry.state = static_cast<ServerState>(state);
+    entry.state = static_cast<EndpointState>(state);
     entry.weight = entries.Get<float>();
     entry.up_since = At(entries.Get<double>());
-    update.entries.push_back(entry);
+    update.endpoints.push_back(entry);
   }
   return update;
 }
 
-Submit ReadSubmit(Reader& in) {
-  Submit submit;
+RequestReceived ReadSubmit(Reader& in) {
+  RequestReceived submit;
   submit.request = in.Get<std::uint64_t>();
-  submit.due = At(in.Get<double>());
+  submit.deadline = At(in.Get<double>());
   submit.tenant = in.Get<std::uint16_t>();
   const auto flags = in.Get<std::uint16_t>();
-  submit.has_hint = (flags & kFlagHint) != 0;
+  submit.has_work_estimate = (flags & kFlagHint) != 0;
   submit.client_retry = (flags & kFlagRepeat) != 0;
   submit.key = in.Get<std::uint64_t>();
   submit.request_class = in.Get<std::uint16_t>();
-  submit.work_ms = in.Get<double>();
+  submit.estimated_work_ms = in.Get<double>();
   return submit;
 }
 
-AttemptEnded ReadAttemptEnd(Reader& in) {
-  AttemptEnded end;
+AttemptCompleted ReadAttemptEnd(Reader& in) {
+  AttemptCompleted end;
   end.request = in.Get<std::uint64_t>();
-  end.settled = in.Get<std::uint8_t>() != 0;
-  end.server = in.Get<std::uint32_t>();
+  end.request_completed = in.Get<std::uint8_t>() != 0;
+  end.backend = in.Get<std::uint32_t>();
   end.attempt = in.Get<std::uint8_t>();
   end.outcome = OutcomeOf(in.Get<std::uint16_t>());
-  end.took = Millis(in.Get<double>());
+  end.duration = Millis(in.Get<double>());
   in.Bytes(sizeof(float) * in.Get<std::uint8_t>());  // load reports decide nothing
   return end;
 }
@@ -151,7 +151,7 @@
     case kSubmit:
       return Event(ReadSubmit(in));
     case kOpened: {
-      StreamStarted started;
+      ResponseStarted started;
       started.request = in.Get<std::uint64_t>();
       started.attempt = in.Get<std::uint8_t>();
       return Event(started);
@@ -159,7 +159,7 @@
     case kAttemptEnd:
       return Event(ReadAttemptEnd(in));
     case kAborted:
-      return Event(ClientGone{in.Get<std::uint64_t>()});
+      return Event(ClientDisconnected{in.Get<std::uint64_t>()});
     case kElapsed:
       return Event(TimerFired{in.Get<std::uint64_t>()});
     case kCrashNow:
@@ -190,18 +190,18 @@
 struct Encoder {
   std::string& out;
 
-  std::uint8_t operator()(const Dispatch& a) const {
+  std::uint8_t operator()(const StartAttempt& a) const {
     Put(out, a.request);
     Put(out, a.timeout.count());
-    Put(out, a.server);
+    Put(out, a.backend);
     return kDispatch;
   }
-  std::uint8_t operator()(const Refuse& a) const {
+  std::uint8_t operator()(const RejectRequest& a) const {
     Put(out, a.request);
     Put(out, a.retry_after.count());
     return kSayNo;
   }
-  std::uint8_t operator()(const Fail& a) const {
+  std::uint8_t operator()(const FailRequest& a) const {
     Put(out, a.request);
     return kAbort;
   }
@@ -210,12 +210,12 @@
     Put(out, a.token);
     return kWakeMe;
   }
-  std::uint8_t operator()(const Subscribe&) const {
+  std::uint8_t operator()(const PollEndpoints&) const {
     Put(out, std::uint8_t{1});
     return kStreamChanges;
   }
-  std::uint8_t operator()(const CloseIdle& a) const {
-    Put(out, a.server);
+  std::uint8_t operator()(const CloseIdleConnections& a) const {
+    Put(out, a.backend);
     return kShutIdle;
   }
   std::uint8_t operator()(const Log& a) const {
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -64,19 +64,19 @@
   std::map<std::string_view, std::string_view, std::less<>> values_;
 };
 
-Effect EffectOf(const Pairs& pairs, const std::string& key) {
+Idempotency EffectOf(const Pairs& pairs, const std::string& key) {
   const std::string_view word = pairs.Word(key);
-  if (word == "read_like") return Effect::kSafe;
-  if (word == "idempotency_key") return Effect::kKeyed;
-  if (word == "non_idempotent") return Effect::kUnsafe;
+  if (word == "read_like") return Idempotency::kIdempotent;
+  if (word == "idempotency_key") return Idempotency::kIdempotencyKey;
+  if (word == "non_idempotent") return Idempotency::kNonIdempotent;
   throw BadSettings("setting of unknown meaning: " + key);
 }
 
-Group GroupOf(const Pairs& pairs, const std::string& key) {
+DeduplicationScope GroupOf(const Pairs& pairs, const std::string& key) {
   const std::string_view word = pairs.Word(key);
-  if (word == "all") return Group::kAll;
-  if (word == "zone") return Group::kZone;
-  if (word == "cell") return Group::kCell;
+  if (word == "all") return DeduplicationScope::kAll;
+  if (word == "zone") return DeduplicationScope::kZone;
+  if (word == "cell") return DeduplicationScope::kCell;
   throw BadSettings("setting of unknown meaning: " + key);
 }
 
@@ -85,23 +85,23 @@
 Settings ParseSettings(std::string_view text) {
   const Pairs pairs(text);
   Settings settings;
-  settings.balancers = pairs.Whole("balancers", 1, kMostListItems);
-  settings.me = static_cast<int>(pairs.NumberOr("me", 0, 0, kMostListItems));
+  settings.proxy_count = pairs.Whole("balancers", 1, kMostListItems);
+  settings.proxy_index = static_cast<int>(pairs.NumberOr("me", 0, 0, kMostListItems));
   settings.zone = pairs.Whole("zone", 0, kMostListItems);
 
   const int classes = pairs.Whole("classes.count", 1, kMostListItems);
   for (int i = 0; i < classes; ++i) {
     const std::string at = "classes." + std::to_string(i) + ".";
     ClassSettings c;
-    c.effect = EffectOf(pairs, at + "effect");
-    if (c.effect == Effect::kKeyed) {
-      c.group = GroupOf(pairs, at + "group");
-      c.window = pairs.Time(at + "windowMs");
+    c.idempotency = EffectOf(pairs, at + "effect");
+    if (c.idempotency == Idempotency::kIdempotencyKey) {
+      c.deduplication_scope = GroupOf(pairs, at + "group");
+      c.deduplication_window = pairs.Time(at + "windowMs");
     }
-    c.aim = pairs.Time(at + "goalTimeMs");
+    c.latency_objective = pairs.Time(at + "goalTimeMs");
     c.deadline = pairs.Time(at + "deadlineMs");
-    c.worth = pairs.NumberOr(at + "worth", 1);
-    c.late_worth = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
+    c.priority_weight = pairs.NumberOr(at + "worth", 1);
+    c.late_weight_fraction = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
     settings.classes.push_back(c);
   }
 
@@ -113,26 +113,26 @@
     settings.tenants.push_back(tenant);
   }
 
-  settings.goal.whole = pairs.NumberOr("goal.whole", 1, 0, 1);
-  settings.goal.worst_class = pairs.NumberOr("goal.worstClass", 0, 0, 1);
-  settings.goal.worst_tenant = pairs.NumberOr("goal.worstTenant", 0, 0, 1);
-  settings.over_share_worth = pairs.NumberOr("overShareWorth", 1, 0, 1);
-  settings.price_cross_zone = pairs.NumberOr("deductions.crossZone", 0);
-  settings.warm_keys = pairs.Word("specifics.warmKeys", "false") == "true";
+  settings.service_objective.overall = pairs.NumberOr("goal.whole", 1, 0, 1);
+  settings.service_objective.worst_class = pairs.NumberOr("goal.worstClass", 0, 0, 1);
+  settings.service_objective.worst_tenant = pairs.NumberOr("goal.worstTenant", 0, 0, 1);
+  settings.over_quota_weight = pairs.NumberOr("overShareWorth", 1, 0, 1);
+  settings.cross_zone_cost = pairs.NumberOr("deductions.crossZone", 0);
+  settings.key_affinity = pairs.Word("specifics.warmKeys", "false") == "true";
 
   const std::string_view mode = pairs.Word("registryMode", "push");
   if (mode != "push" && mode != "ask") throw BadSettings("setting of unknown meaning: registryMode");
-  settings.must_ask_for_list = mode == "ask";
-  if (settings.must_ask_for_list) settings.must_ask_within = pairs.Time("rules.mustAskInMs");
+  settings.polls_endpoints = mode == "ask";
+  if (settings.polls_endpoints) settings.max_poll_interval = pairs.Time("rules.mustAskInMs");
   settings.max_attempts = pairs.Whole("permissions.maxAttempts", 1, 255);
   if (pairs.Word("permissions.retryAfter", "false") == "true")
     settings.max_retry_after = Duration(pairs.NumberOr("permissions.maxRetryAfterMs", 0));
   settings.tick = Duration(pairs.NumberOr("periodMs", 1));
 
-  settings.cold_from = pairs.Number("rules.coldFrom", 0, 1);
-  settings.warm_up = pairs.Time("rules.warmUpMs");
-  settings.fall_multiple = pairs.Number("rules.fallMultiple");
-  settings.overload_for = pairs.Time("rules.overloadForMs");
+  settings.slow_start_min_capacity = pairs.Number("rules.coldFrom", 0, 1);
+  settings.slow_start_window = pairs.Time("rules.warmUpMs");
+  settings.overload_factor = pairs.Number("rules.fallMultiple");
+  settings.overload_window = pairs.Time("rules.overloadForMs");
   return settings;
 }
 
--- a/src/decision/asking.h
+++ b/src/decision/asking.h
@@ -21,10 +21,10 @@
   explicit Asking(Duration within) : within_(within) {}
 
   // What came of the last call, or of a watch; kCached is the list that a new life starts with.
-  void Heard(ListKind kind, TimePoint now, Random& random) {
-    if (kind == ListKind::kCached) {
+  void Heard(EndpointUpdateKind kind, TimePoint now, Random& random) {
+    if (kind == EndpointUpdateKind::kCached) {
       at_ = now;
-    } else if (kind == ListKind::kFailed) {
+    } else if (kind == EndpointUpdateKind::kFailed) {
       // From a twentieth to a quarter of the time within which the rules want a call, and never so long that
       // a change which discovery has when it can be reached again comes too late.
       backoff_ = std::min({within_ / 4, kMostBackoff, std::max(within_ / 20, backoff_ * 2)});
--- a/src/decision/balance.cpp
+++ b/src/decision/balance.cpp
@@ -167,7 +167,7 @@
 // ---- 4. Cold-start budget (its state; the pick below asks it) -----------------------------------------
 struct Server {
   // What a pick reads comes first, and lies together: with thousands of servers a pick waits for memory.
-  ServerEntry entry;
+  Endpoint entry;
   double own_work = 0;  // hinted, of this proxy, in flight
   double slowness = 1;  // time of its answers over what the fleet takes for the like
   TimePoint slowness_at{};
@@ -204,7 +204,7 @@
       : settings_(std::move(settings)),
         random_(seed),
         priority_(settings_),
-        asking_(settings_.must_ask_within) {
+        asking_(settings_.max_poll_interval) {
     classes_.resize(settings_.classes.size());
     tenant_tokens_.resize(settings_.tenants.size(), 1);
   }
@@ -219,14 +219,14 @@
     out_ = nullptr;
   }
 
-  std::vector<Learnt> Learned(TimePoint now) {
-    std::vector<Learnt> all;
+  std::vector<BackendSnapshot> ExportState(TimePoint now) {
+    std::vector<BackendSnapshot> all;
     for (Server& s : servers_) {
-      if (s.entry.state == ServerState::kGone) continue;
-      Learnt learnt{s.entry.server, s.health.multiplier, Duration(0),
-                    s.sent.Within(now, settings_.overload_for * kWindowSlack)};
-      if (s.health.ejected) learnt.ejected_for = std::max(Duration(0), s.health.return_at - now);
-      if (learnt.multiplier > 0 || learnt.cold_work > 0) all.push_back(learnt);
+      if (s.entry.state == EndpointState::kRemoved) continue;
+      BackendSnapshot learnt{s.entry.backend, s.health.multiplier, Duration(0),
+                             s.sent.Within(now, settings_.overload_window * kWindowSlack)};
+      if (s.health.ejected) learnt.ejection_remaining = std::max(Duration(0), s.health.return_at - now);
+      if (learnt.ejection_multiplier > 0 || learnt.slow_start_work > 0) all.push_back(learnt);
     }
     return all;
   }
@@ -235,7 +235,7 @@
   // ---- 3. Pick ----------------------------------------------------------------------------------------
   using Requests = boost::unordered_flat_map<RequestId, Request>;
 
-  bool Usable(const Server& s) const { return s.entry.state == ServerState::kReady; }
+  bool Usable(const Server& s) const { return s.entry.state == EndpointState::kReady; }
 
   ServerIndex IndexOf(const Server& s) const { return static_cast<ServerIndex>(&s - servers_.data()); }
 
@@ -245,12 +245,12 @@
   }
 
   bool InGroup(const Request& r, const Server& anchor, const Server& s) const {
-    switch (settings_.classes[r.cls].group) {
-      case Group::kAll:
+    switch (settings_.classes[r.cls].deduplication_scope) {
+      case DeduplicationScope::kAll:
         return true;
-      case Group::kZone:
+      case DeduplicationScope::kZone:
         return s.entry.zone == anchor.entry.zone;
-      case Group::kCell:
+      case DeduplicationScope::kCell:
         return s.entry.cell == anchor.entry.cell && s.entry.zone == anchor.entry.zone;
     }
     return false;
@@ -290,9 +290,9 @@
                    bool* in_service) {
     Choice choice;
     choice.in_service = *in_service;
-    if (settings_.price_cross_zone > 0 && random_.Unit() < home_first_)
-      choice.crossing = kCrossingWeight * settings_.price_cross_zone * request_work_.mean;
-    if (settings_.warm_keys && r.key != 0 && settings_.balancers >= kMany && from.size() <= kMostRanked)
+    if (settings_.cross_zone_cost > 0 && random_.Unit() < home_first_)
+      choice.crossing = kCrossingWeight * settings_.cross_zone_cost * request_work_.mean;
+    if (settings_.key_affinity && r.key != 0 && settings_.proxy_count >= kMany && from.size() <= kMostRanked)
       FindHomes(from, r.key, &choice);
     if (from.size() > kMostRanked) {
       const auto look = [&](ServerIndex i) {
@@ -324,7 +324,7 @@
       const Server& s = servers_[i];
       if (!Usable(s) || Out(s)) continue;
       std::pair<std::uint32_t, ServerIndex> home(
-          MixBits(static_cast<std::uint32_t>(key) ^ MixBits(s.entry.server)), i);
+          MixBits(static_cast<std::uint32_t>(key) ^ MixBits(s.entry.backend)), i);
       for (auto& better : choice->homes) {
         if (home.first > better.first) std::swap(home, better);
       }
@@ -344,7 +344,7 @@
     choice->in_service |= !Out(s);
     if (!FitsColdBudget(s, r.work)) {
       if (MayLog(kCold))
-        LogLine("server " + std::to_string(s.entry.server) + " held back: cold, at " +
+        LogLine("server " + std::to_string(s.entry.backend) + " held back: cold, at " +
                 std::to_string(static_cast<int>(100 * WarmShare(s))) + "% or more of its capacity");
       return;
     }
@@ -371,13 +371,12 @@
   void BuildSubset() {
     ring_.LeaveIf([this](ServerIndex i) { return !Usable(servers_[i]); });
     const std::vector<ServerIndex> before = std::exchange(subset_, {});
-    const double shared = kMostSharers * static_cast<double>(ring_.size()) / settings_.balancers;
+    const double shared = kMostSharers * static_cast<double>(ring_.size()) / settings_.proxy_count;
     const std::size_t size =
         std::max(judged_, static_cast<std::size_t>(std::clamp<double>(shared, kFewest, kLeastSubset)));
     std::vector<ServerIndex> home, away;
     for (const ServerIndex i : ring_.order()) {
-      const bool near =
-          settings_.price_cross_zone > kWorthStaying && servers_[i].entry.zone == settings_.zone;
+      const bool near = settings_.cross_zone_cost > kWorthStaying && servers_[i].entry.zone == settings_.zone;
       (near ? home : away).push_back(i);
     }
     AddArc(home, size);
@@ -386,7 +385,7 @@
     for (const ServerIndex i : subset_) servers_[i].in_subset = built_;
     for (const ServerIndex i : before) {
       if (Usable(servers_[i]) && servers_[i].in_subset != built_)
-        out_->push_back(CloseIdle{servers_[i].entry.server});
+        out_->push_back(CloseIdleConnections{servers_[i].entry.backend});
     }
   }
 
@@ -443,12 +442,12 @@
   // crossing kept every request there while other zones stood idle (incident ib02092). The price counts in
   // the share of picks that this finding leaves.
   void LearnZone(const Request& r, const Server& s, bool in_time, bool ok) {
-    const double lost = in_time ? 0 : ok ? 1 - settings_.classes[r.cls].late_worth : 1;
+    const double lost = in_time ? 0 : ok ? 1 - settings_.classes[r.cls].late_weight_fraction : 1;
     const bool home = s.entry.zone == settings_.zone;
     double& seen = home ? lost_home_ : lost_away_;
     seen += kZoneGain * (lost - seen);
     if (home) lost_away_ *= 1 - kZoneGain / 4;  // what is not looked at any more may have recovered
-    const bool leave = lost_home_ - lost_away_ > settings_.price_cross_zone;
+    const bool leave = lost_home_ - lost_away_ > settings_.cross_zone_cost;
     home_first_ = std::clamp(home_first_ + (leave ? -kZoneGain : kZoneGain), 0.0, 1.0);
   }
 
@@ -457,9 +456,10 @@
   double WarmShare(const Server& s) const {
     if (s.entry.up_since.time_since_epoch().count() <= 0) return 1;
     const double age = (now_ - s.entry.up_since).count();
-    const double warm_up = settings_.warm_up.count();
-    if (warm_up <= 0 || age >= warm_up) return 1;
-    return settings_.cold_from + (1 - settings_.cold_from) * std::max(0.0, age) / warm_up;
+    const double slow_start_window = settings_.slow_start_window.count();
+    if (slow_start_window <= 0 || age >= slow_start_window) return 1;
+    return settings_.slow_start_min_capacity +
+           (1 - settings_.slow_start_min_capacity) * std::max(0.0, age) / slow_start_window;
   }
 
   // A cold server gets, over the rule's window, its share of what a warm one serves for this proxy. All
@@ -470,7 +470,7 @@
   bool FitsColdBudget(Server& s, double work) {
     const double share = WarmShare(s);
     if (share >= 1) return true;
-    const Duration window = settings_.overload_for * kWindowSlack;
+    const Duration window = settings_.overload_window * kWindowSlack;
     const double sent = s.sent.Within(now_, window);
     // The pooled rate is that of a mean server. One of a slow kind can do less; a fast one gets no more.
     // Where proxies keep to subsets, only some of them send to it, and each has so much the more to give:
@@ -479,12 +479,12 @@
     // nothing.
     if (s.in_subset != built_) return false;
     const double of_subset = static_cast<double>(ring_.size()) / static_cast<double>(subset_.size());
-    const double multiple = kColdCaution * settings_.fall_multiple;
+    const double multiple = kColdCaution * settings_.overload_factor;
     const double rate = (of_subset > 1 ? std::min(kColdOfShare, multiple) * of_subset : multiple) * share *
                         warm_rate_ * std::min(1.0, kinds_.Of(s.entry.kind, kYoung * request_work_.mean));
-    if (sent + work <= rate * settings_.overload_for.count()) return true;
-    const double least =
-        settings_.fall_multiple * settings_.cold_from * kColdLeast * of_subset / settings_.balancers;
+    if (sent + work <= rate * settings_.overload_window.count()) return true;
+    const double least = settings_.overload_factor * settings_.slow_start_min_capacity * kColdLeast *
+                         of_subset / settings_.proxy_count;
     const double paid = std::max(rate, least);
     return paid > 0 && now_ - s.turn_since >= s.turn_phase * std::max(window, Duration(work / paid));
   }
@@ -518,29 +518,31 @@
     may.dispatch =
         now_ < r.due && static_cast<int>(r.attempts.size()) < settings_.max_attempts && outstanding == 0;
     may.refuse = true;
-    if (!first_run || c.effect == Effect::kSafe) return may;
-    may.refuse = c.effect == Effect::kKeyed && c.group == Group::kAll;
-    if (c.effect == Effect::kUnsafe || now_ - first_run->sent_at > c.window * kWindowMargin)
+    if (!first_run || c.idempotency == Idempotency::kIdempotent) return may;
+    may.refuse =
+        c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope == DeduplicationScope::kAll;
+    if (c.idempotency == Idempotency::kNonIdempotent ||
+        now_ - first_run->sent_at > c.deduplication_window * kWindowMargin)
       may.dispatch = false;
     if (may.dispatch) may.group_of = &servers_[first_run->server];
     return may;
   }
 
-  void Finish(Request& r, const char* why, Duration retry_after = Duration(0)) {
+  void Finish(Request& r, RejectReason reason, Duration retry_after = Duration(0)) {
     const Permission may = Permitted(r);
     if (MayLog(kEnding))
       LogLine((may.refuse ? "refusing: " : "failing: ") +
               (r.attempts.empty()
                    ? "not in time"
-                   : "last at server " + std::to_string(servers_[r.attempts.back().server].entry.server)) +
+                   : "last at server " + std::to_string(servers_[r.attempts.back().server].entry.backend)) +
               "; " + std::to_string(in_flight_) + " in flight, " + std::to_string(held_.size()) + " held");
     if (may.refuse) {
-      out_->push_back(Refuse{r.id, retry_after, why});
+      out_->push_back(RejectRequest{r.id, retry_after, reason});
     } else {
-      out_->push_back(Fail{r.id, why});
+      out_->push_back(FailRequest{r.id, reason});
     }
     ++counts_.refused;
-    Settle(r, may.refuse || settings_.classes[r.cls].effect == Effect::kSafe);
+    Settle(r, may.refuse || settings_.classes[r.cls].idempotency == Idempotency::kIdempotent);
   }
 
   // Unless nobody has been answered since it came: that is no crowd but a silence, and may end at any time.
@@ -552,7 +554,7 @@
 
   void NoPlace(Request& r) {
     if (heard_ > r.arrived) of_aim_ += kAimGain * (kNoPlace - of_aim_);
-    Finish(r, "no_place", StayAway(r));
+    Finish(r, RejectReason::kNoCapacity, StayAway(r));
   }
 
   // Its end, whoever brought it about. Clients repeat what was refused, and what is safe after any failure.
@@ -572,7 +574,8 @@
   Duration TimeoutFor(const Request& r, const Server& s) const {
     const ClassSettings& c = settings_.classes[r.cls];
     const Spread& seen = classes_[r.cls].latency;
-    if (c.effect == Effect::kUnsafe || seen.samples < 10 || s.own_count == 0 || retry_tokens_ < 1)
+    if (c.idempotency == Idempotency::kNonIdempotent || seen.samples < 10 || s.own_count == 0 ||
+        retry_tokens_ < 1)
       return Duration(0);
     if (static_cast<int>(r.attempts.size()) + 1 >= settings_.max_attempts) return Duration(0);
     const double scale = WorkScale(r);
@@ -602,15 +605,15 @@
     ++s.own_count;
     if (WarmShare(s) < 1) s.sent.Add(now_, r.work);
     s.turn_since = now_, s.turn_phase = 1;
-    if (settings_.warm_keys && r.key != 0) key_memory_.Met(r.key, IndexOf(s), now_);
+    if (settings_.key_affinity && r.key != 0) key_memory_.Met(r.key, IndexOf(s), now_);
     Attempt attempt;
     attempt.server = IndexOf(s);
     attempt.sent_at = now_;
     r.attempts.push_back(attempt);
-    out_->push_back(Dispatch{r.id, s.entry.server, timeout});
+    out_->push_back(StartAttempt{r.id, s.entry.backend, timeout});
   }
 
-  void On(const AttemptEnded& e) {
+  void On(const AttemptCompleted& e) {
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     Request& r = found->second;
@@ -619,44 +622,46 @@
     if (!a.outstanding) return;
     a.outstanding = false;
     overdue_ -= a.overdue;
-    a.may_have_run =
-        !(e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kMoot);
+    a.may_have_run = !(e.outcome == AttemptOutcome::kBackendRejected ||
+                       e.outcome == AttemptOutcome::kConnectFailure || e.outcome == AttemptOutcome::kNotSent);
     Learn(r, e, servers_[a.server]);
     room_ = true;
-    if (e.settled && !r.finished) Settle(r, /*may_return=*/e.outcome != Outcome::kOk);
+    if (e.request_completed && !r.finished) Settle(r, /*may_return=*/e.outcome != AttemptOutcome::kSuccess);
     if (!r.finished && r.outstanding() == 0 && !r.held)
-      Again(r, a.may_have_run || e.outcome == Outcome::kFull);
+      Again(r, a.may_have_run || e.outcome == AttemptOutcome::kBackendRejected);
     Forget(found);
   }
 
   // After a failed attempt: another one where permitted, within the budget of repeats if it adds load.
   void Again(Request& r, bool adds_load) {
-    if (!Permitted(r).dispatch) return Finish(r, "no_repeat");
-    if (adds_load && retry_tokens_ < 1) return Finish(r, "retry_budget");
+    if (!Permitted(r).dispatch) return Finish(r, RejectReason::kNotRetriable);
+    if (adds_load && retry_tokens_ < 1) return Finish(r, RejectReason::kRetryBudgetExhausted);
     r.refuse_at = std::max(r.refuse_at, std::min(r.due - settings_.tick * 2, now_ + settings_.tick * 4));
     Place(r);
   }
 
-  void Learn(const Request& r, const AttemptEnded& e, Server& s) {
+  void Learn(const Request& r, const AttemptCompleted& e, Server& s) {
     --in_flight_;
     s.own_work -= r.work;
-    if (e.outcome != Outcome::kTimeout) s.quiet_since = now_;
+    if (e.outcome != AttemptOutcome::kTimeout) s.quiet_since = now_;
     if (--s.own_count == 0) s.own_work = 0;
-    const bool ok = e.outcome == Outcome::kOk;
-    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMoot || e.outcome == Outcome::kUnknown)
+    const bool ok = e.outcome == AttemptOutcome::kSuccess;
+    if (e.outcome == AttemptOutcome::kCancelled || e.outcome == AttemptOutcome::kNotSent ||
+        e.outcome == AttemptOutcome::kUnknown)
       return;
     outcomes_ = std::min(kYoung, outcomes_ + 1);
     last_answer_ = now_;
     counts_.answered += ok;
-    if (ok || e.outcome == Outcome::kError || e.outcome == Outcome::kFull) HeardOf(s);
-    if (e.outcome == Outcome::kConnectFailed) SilenceOf(s);
+    if (ok || e.outcome == AttemptOutcome::kServerError || e.outcome == AttemptOutcome::kBackendRejected)
+      HeardOf(s);
+    if (e.outcome == AttemptOutcome::kConnectFailure) SilenceOf(s);
     if (ok) served_work_ += r.work, ++answered_;
     if (ok && WarmShare(s) >= 1) kinds_.Served(s.entry.kind, r.work);
-    if (ok && now_ <= r.wish.since + settings_.classes[r.cls].aim)
+    if (ok && now_ <= r.wish.since + settings_.classes[r.cls].latency_objective)
       priority_.InTime(r.cls, r.tenant, r.work, r.wish.within_share);
-    const double took = e.took.count();
-    LearnZone(r, s, ok && now_ <= r.arrived + settings_.classes[r.cls].aim, ok);
-    const bool timed = ok || e.outcome == Outcome::kTimeout;
+    const double took = e.duration.count();
+    LearnZone(r, s, ok && now_ <= r.arrived + settings_.classes[r.cls].latency_objective, ok);
+    const bool timed = ok || e.outcome == AttemptOutcome::kTimeout;
     if (timed && std::isfinite(took) && took >= 0) {
       Spread& seen = classes_[r.cls].latency;
       seen.Add(took / WorkScale(r));
@@ -667,13 +672,15 @@
     }
     // A time-out where a whole zone has answered nothing since tells of no queue: counted as one, those of a
     // cut had the proxies behind it refuse all that came, for seconds after they knew where to send it.
-    const bool silent =
-        e.outcome == Outcome::kTimeout && zones_[s.entry.zone].last_answer < r.attempts[e.attempt].sent_at;
+    const bool silent = e.outcome == AttemptOutcome::kTimeout &&
+                        zones_[s.entry.zone].last_answer < r.attempts[e.attempt].sent_at;
     if (timed && !silent && stretch_ > 0 && took > 0) {
       const double usual = std::min(stretch_ * std::max(r.work, request_work_.mean / 2),
-                                    0.5 * settings_.classes[r.cls].aim.count());
+                                    0.5 * settings_.classes[r.cls].latency_objective.count());
       crowding_ += kCrowdingGain * (std::min(took / usual, kMostCrowding) - crowding_);
-      of_aim_ += kAimGain * (std::min(took / settings_.classes[r.cls].aim.count(), kMostCrowding) - of_aim_);
+      of_aim_ +=
+          kAimGain *
+          (std::min(took / settings_.classes[r.cls].latency_objective.count(), kMostCrowding) - of_aim_);
     }
     if (ok && r.work >= request_work_.mean && took > 0) {
       const double x = took / r.work;
@@ -684,9 +691,9 @@
     fleet_.ejected -= !Usable(s);  // a draining server's late answers may fail too
     next_return_ = std::min(next_return_, s.health.return_at);
     FleetChanged();
-    if (fleet_.thin) out_->push_back(CloseIdle{s.entry.server});  // others may need the place
+    if (fleet_.thin) out_->push_back(CloseIdleConnections{s.entry.backend});  // others may need the place
     if (MayLog(kHealth)) {
-      LogLine("server " + std::to_string(s.entry.server) + " ejected: " + std::to_string(s.health.failures) +
+      LogLine("server " + std::to_string(s.entry.backend) + " ejected: " + std::to_string(s.health.failures) +
               " of " + std::to_string(s.health.attempts()) + " attempts failed");
     }
   }
@@ -710,7 +717,7 @@
   // is held here, what adds most to the goal first, and refused while a try later can still be of use.
   // Counted, not weighed: one huge request must neither be shut out nor shut out all others.
   bool FitsProxy() const {
-    const double least = std::max(Floor(), kLeastPerServer * listed_ / settings_.balancers);
+    const double least = std::max(Floor(), kLeastPerServer * listed_ / settings_.proxy_count);
     const double uncrowded = stretch_ > 0 ? stretch_ * request_work_.mean : mean_aim_.mean;
     const double useful = std::min(kQueueShare * mean_aim_.mean, kCrowding * uncrowded);
     const double mean = served_rate_ * useful;
@@ -748,8 +755,8 @@
   // took all of it. Those over their tenant share go first.
   bool Throttled(const Request& r) {
     const double pressure = Pressure();
-    if (!(fleet_.thin || settings_.balancers >= kMany) || pressure <= 1) return false;
-    const bool over_share = r.value < settings_.classes[r.cls].worth;
+    if (!(fleet_.thin || settings_.proxy_count >= kMany) || pressure <= 1) return false;
+    const bool over_share = r.value < settings_.classes[r.cls].priority_weight;
     // Without a hint of its work a wish looks like the one before it of the same key: that key would always
     // go.
     const double place =
@@ -770,26 +777,26 @@
   // Exception: what has passed of a client's deadline has passed of its aim. A client's last try has what is
   // left of its deadline, all others have one of a few usual times, found by vote: some clients are more
   // patient than others.
-  Duration Elapsed(const Submit& e) {
+  Duration Elapsed(const RequestReceived& e) {
     const ClassSettings& c = settings_.classes[e.request_class];
     UsualTimes& usual = classes_[e.request_class].usual_times;
-    const Duration left = e.due - now_;
+    const Duration left = e.deadline - now_;
     const bool as_usual = usual.Vote(left, kSameTime) >= kFirmVotes;
     if (usual.most() < kFirmVotes) return Duration(0);
     const Duration at_most = std::max(Duration(0), c.deadline - left);
     return !as_usual ? at_most : e.client_retry ? at_most * 0.5 : Duration(0);
   }
 
-  void On(const Submit& e) {
+  void On(const RequestReceived& e) {
     if (requests_.count(e.request)) return;
     Request r;
     r.id = e.request;
-    r.due = e.due;
+    r.due = e.deadline;
     r.arrived = now_;
     r.key = e.key;
     if (e.request_class < 0 || e.request_class >= static_cast<int>(settings_.classes.size())) {
       // Nothing is known of what it may do twice, and it never ran: the client may try again.
-      out_->push_back(Refuse{r.id, Duration(0), "unknown_class"});
+      out_->push_back(RejectRequest{r.id, Duration(0), RejectReason::kUnknownClass});
       return;
     }
     r.cls = e.request_class;
@@ -798,33 +805,35 @@
     r.wish = repeats_.Arrived(r.fingerprint, now_);
     ++counts_.arrived;
     counts_.repeats += r.wish.tries > 1 || e.client_retry;
-    const Duration aim = c.aim - std::max(Elapsed(e), now_ - r.wish.since);
-    r.hinted = e.has_hint && std::isfinite(e.work_ms) && e.work_ms > 0;
-    r.work = r.hinted ? std::min(e.work_ms, kMostWork) : request_work_.samples > 0 ? request_work_.mean : 1;
+    const Duration aim = c.latency_objective - std::max(Elapsed(e), now_ - r.wish.since);
+    r.hinted = e.has_work_estimate && std::isfinite(e.estimated_work_ms) && e.estimated_work_ms > 0;
+    r.work = r.hinted                    ? std::min(e.estimated_work_ms, kMostWork)
+             : request_work_.samples > 0 ? request_work_.mean
+                                         : 1;
     if (r.hinted || request_work_.samples == 0) {
       request_work_.Add(r.work);
       classes_[r.cls].work.Add(r.work);
     }
-    mean_aim_.Add(c.aim.count());
+    mean_aim_.Add(c.latency_objective.count());
     asked_work_ += r.work;
     r.tenant = e.tenant;
     if (r.wish.tries == 1) {
       r.wish.within_share = WithinShare(e.tenant);
       priority_.Asked(r.cls, r.tenant, r.work, r.wish.within_share);
     }
-    r.value = c.worth * (r.wish.within_share ? 1 : settings_.over_share_worth);
+    r.value = c.priority_weight * (r.wish.within_share ? 1 : settings_.over_quota_weight);
     // What is too large to be in time is worth little, or nothing: it must not take the place of others. Each
     // such finding weakens the next: a slow spell must not shut a class out for good.
     const bool at_ease = fleet_.thin && Pressure() < kAtEase;  // it takes nobody's place, and may be lucky
     const Duration alone(at_ease || stretch_votes_ < kLeastVotes ? 0 : r.work * stretch_);
-    if (alone > aim) r.value *= now_ + alone > r.due ? 0 : c.late_worth;
-    if (alone > c.aim) stretch_ *= 1 - 5 * kStretchGain;
-    if (r.value <= 0) return Finish(r, "too_large", StayAway(r));
-    if (Throttled(r)) return Finish(r, "throttled", StayAway(r));
+    if (alone > aim) r.value *= now_ + alone > r.due ? 0 : c.late_weight_fraction;
+    if (alone > c.latency_objective) stretch_ *= 1 - 5 * kStretchGain;
+    if (r.value <= 0) return Finish(r, RejectReason::kDeadlineUnreachable, StayAway(r));
+    if (Throttled(r)) return Finish(r, RejectReason::kLoadShed, StayAway(r));
     const Duration useful = aim - Duration(classes_[r.cls].latency.mean + classes_[r.cls].latency.deviation);
     // In a crowd a place is free soon or never: who waits for long comes back, refused, when it is too late.
-    r.patient_until = std::min(r.due - settings_.tick * 2, now_ + std::max(useful, c.aim / 4));
-    const Duration crowded = std::clamp(useful, Duration(0), c.aim * kWaitShare);
+    r.patient_until = std::min(r.due - settings_.tick * 2, now_ + std::max(useful, c.latency_objective / 4));
+    const Duration crowded = std::clamp(useful, Duration(0), c.latency_objective * kWaitShare);
     r.refuse_at = FitsProxy() ? r.patient_until : std::min(r.patient_until, now_ + crowded);
     Request& kept = requests_.emplace(r.id, std::move(r)).first->second;
     Place(kept);
@@ -850,11 +859,11 @@
       return true;
     }
     if (!may.dispatch || now_ >= r.refuse_at) {
-      may.dispatch ? NoPlace(r) : Finish(r, "no_repeat", StayAway(r));
+      may.dispatch ? NoPlace(r) : Finish(r, RejectReason::kNotRetriable, StayAway(r));
     } else if (!r.held) {
       r.held = true;
-      r.rank =
-          r.value / settings_.classes[r.cls].worth * priority_.Of(r.cls, r.wish.within_share ? r.tenant : -1);
+      r.rank = r.value / settings_.classes[r.cls].priority_weight *
+               priority_.Of(r.cls, r.wish.within_share ? r.tenant : -1);
       held_.emplace(-r.rank, r.arrived.time_since_epoch(), r.id);
       wakeups_.emplace(r.refuse_at, r.id);
     }
@@ -878,14 +887,14 @@
     }
   }
 
-  void On(const ClientGone& e) {
+  void On(const ClientDisconnected& e) {
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     if (!found->second.finished) Settle(found->second, /*may_return=*/true);
     Forget(found);
   }
 
-  void On(const StreamStarted& e) {
+  void On(const ResponseStarted& e) {
     const auto found = requests_.find(e.request);
     if (found != requests_.end()) found->second.streaming = true;
   }
@@ -893,24 +902,24 @@
   void On(const TimerFired&) {}
 
   // ---- 7. Discovery -----------------------------------------------------------------------------------
-  void On(const ListUpdate& e) {
-    if (settings_.must_ask_for_list) asking_.Heard(e.kind, now_, random_);
-    if (e.kind == ListKind::kFailed) return;
-    if (e.kind != ListKind::kDelta) {
+  void On(const EndpointUpdate& e) {
+    if (settings_.polls_endpoints) asking_.Heard(e.kind, now_, random_);
+    if (e.kind == EndpointUpdateKind::kFailed) return;
+    if (e.kind != EndpointUpdateKind::kIncremental) {
       ++list_;
-      for (const ServerEntry& entry : e.entries) {
-        if (const auto found = index_.find(entry.server); found != index_.end())
+      for (const Endpoint& entry : e.endpoints) {
+        if (const auto found = index_.find(entry.backend); found != index_.end())
           servers_[found->second].in_list = list_;
       }
       for (Server& s : servers_) {
-        if (s.in_list != list_) SetState(s, ServerState::kGone);
+        if (s.in_list != list_) SetState(s, EndpointState::kRemoved);
       }
     }
-    for (const ServerEntry& entry : e.entries) {
-      const bool added = index_.count(entry.server) == 0;
-      if (added) index_[entry.server] = NewServer();
-      Server& s = servers_[index_[entry.server]];
-      const ServerState before = s.entry.state;
+    for (const Endpoint& entry : e.endpoints) {
+      const bool added = index_.count(entry.backend) == 0;
+      if (added) index_[entry.backend] = NewServer();
+      Server& s = servers_[index_[entry.backend]];
+      const EndpointState before = s.entry.state;
       const bool started = added || entry.up_since != s.entry.up_since;
       s.entry = entry;
       s.cut_off = zones_[entry.zone].out_until > now_;
@@ -920,9 +929,9 @@
       s.sent.Clear();
       s.turn_since = now_, s.turn_phase = random_.Unit();
     }
-    const auto id_of = [this](ServerIndex i) { return servers_[i].entry.server; };
-    if (e.kind == ListKind::kDelta && e.entries.size() <= kMostRanked) {
-      for (const ServerEntry& entry : e.entries) ring_.Join(index_[entry.server], id_of);
+    const auto id_of = [this](ServerIndex i) { return servers_[i].entry.backend; };
+    if (e.kind == EndpointUpdateKind::kIncremental && e.endpoints.size() <= kMostRanked) {
+      for (const Endpoint& entry : e.endpoints) ring_.Join(index_[entry.backend], id_of);
     } else {
       ring_.Build(servers_.size(), id_of);
     }
@@ -934,7 +943,7 @@
   ServerIndex NewServer() {
     const auto stale = [this](const auto& gone) {
       const Server& s = servers_[gone.second];
-      return s.entry.state != ServerState::kGone || s.gone_since != gone.first;
+      return s.entry.state != EndpointState::kRemoved || s.gone_since != gone.first;
     };
     while (!gone_.empty() && stale(gone_.front())) gone_.pop_front();
     ServerIndex place = servers_.size();
@@ -942,24 +951,24 @@
         servers_[gone_.front().second].own_count == 0) {
       place = gone_.front().second;
       gone_.pop_front();
-      index_.erase(servers_[place].entry.server);
+      index_.erase(servers_[place].entry.backend);
       ring_.Leave(place);
       servers_[place] = Server();
     } else {
       servers_.emplace_back();
     }
-    servers_[place].entry.state = ServerState::kGone;
+    servers_[place].entry.state = EndpointState::kRemoved;
     servers_[place].gone_since = now_;
     gone_.emplace_back(now_, place);
     return place;
   }
 
-  void SetState(Server& s, ServerState state) {
-    if (state == ServerState::kGone && s.entry.state != state) {
+  void SetState(Server& s, EndpointState state) {
+    if (state == EndpointState::kRemoved && s.entry.state != state) {
       s.gone_since = now_;
       gone_.emplace_back(now_, IndexOf(s));
     }
-    const int ready = (state == ServerState::kReady) - Usable(s);
+    const int ready = (state == EndpointState::kReady) - Usable(s);
     fleet_.hosts += ready;
     fleet_.ejected += s.health.ejected ? ready : 0;
     s.entry.state = state;
@@ -994,7 +1003,7 @@
       for (Server& s : servers_) OutlierDetector::EndInterval(s.health);
     }
     if (now_ >= sample_at_) Sample();
-    if (asking_.Due(now_)) out_->push_back(Subscribe{});
+    if (asking_.Due(now_)) out_->push_back(PollEndpoints{});
     while (!wakeups_.empty() && wakeups_.begin()->first <= now_) {
       const auto found = requests_.find(wakeups_.begin()->second);
       wakeups_.erase(wakeups_.begin());
@@ -1006,16 +1015,17 @@
   }
 
   // A server that the process before has ejected stays so, until the time that was set.
-  void On(const Inherited& e) {
-    for (const Learnt& learnt : e.servers) {
-      const auto found = index_.find(learnt.server);
+  void On(const StateRestored& e) {
+    for (const BackendSnapshot& learnt : e.backends) {
+      const auto found = index_.find(learnt.backend);
       if (found == index_.end()) continue;
       Server& s = servers_[found->second];
-      s.health.multiplier = std::max(s.health.multiplier, learnt.multiplier);
-      if (learnt.cold_work > 0) s.sent.Add(now_, learnt.cold_work);
-      if (s.health.ejected || !(learnt.ejected_for.count() > 0)) continue;
+      s.health.multiplier = std::max(s.health.multiplier, learnt.ejection_multiplier);
+      if (learnt.slow_start_work > 0) s.sent.Add(now_, learnt.slow_start_work);
+      if (s.health.ejected || !(learnt.ejection_remaining.count() > 0)) continue;
       s.health.ejected = true;
-      s.health.return_at = now_ + std::min(learnt.ejected_for, std::max(kBaseEjectionTime, kMaxEjectionTime));
+      s.health.return_at =
+          now_ + std::min(learnt.ejection_remaining, std::max(kBaseEjectionTime, kMaxEjectionTime));
       fleet_.ejected += Usable(s);
       fleet_.failures -= s.health.failures;
       fleet_.attempts -= s.health.attempts();
@@ -1024,8 +1034,8 @@
     FleetChanged();
   }
 
-  void On(const Position& e) {
-    turn_ = e.turn;
+  void On(const SubsetPosition& e) {
+    turn_ = e.ring_offset;
     BuildSubset();
   }
 
@@ -1040,7 +1050,7 @@
         fleet_.ejected -= Usable(s);
         fleet_.failures += s.health.failures;
         fleet_.attempts += s.health.attempts();
-        if (MayLog(kHealth)) LogLine("server " + std::to_string(s.entry.server) + " returns to service");
+        if (MayLog(kHealth)) LogLine("server " + std::to_string(s.entry.backend) + " returns to service");
       } else if (s.health.ejected) {
         next_return_ = std::min(next_return_, s.health.return_at);
       }
@@ -1075,7 +1085,7 @@
       if (overload_.Judge(now_, Duration(elapsed), std::exchange(counts_, {}))) LogLine(overload_.Describe());
     }
     for (std::size_t t = 0; t < tenant_tokens_.size(); ++t) {
-      const double rate = settings_.tenants[t].quota_per_s / settings_.balancers / 1000;
+      const double rate = settings_.tenants[t].quota_per_s / settings_.proxy_count / 1000;
       tenant_tokens_[t] = std::min(std::max(1.0, rate * 2000), tenant_tokens_[t] + rate * elapsed);
     }
     sampled_at_ = now_;
@@ -1105,7 +1115,7 @@
   TimePoint now_{};
   std::vector<Action>* out_ = nullptr;
   std::vector<Server> servers_;
-  boost::unordered_flat_map<ServerId, ServerIndex> index_;
+  boost::unordered_flat_map<BackendId, ServerIndex> index_;
   OutlierDetector::Fleet fleet_;
   double warm_rate_ = 0;                // work a ms that a warm server serves for this proxy
   double served_by_ = 0;                // servers in service, averaged as the work served is
@@ -1117,10 +1127,10 @@
       gone_;                         // servers by when they went; stale entries are passed over
   std::vector<ServerIndex> chosen_;  // by the last picks on a large fleet
   std::size_t next_chosen_ = 0;
-  Ring ring_;                                                // servers ready
-  std::vector<ServerIndex> subset_;                          // those picked from
-  std::size_t judged_ = 0;                                   // servers that this proxy's traffic can judge
-  double turn_ = std::fmod(settings_.me * kGoldenRatio, 1);  // see Position
+  Ring ring_;                        // servers ready
+  std::vector<ServerIndex> subset_;  // those picked from
+  std::size_t judged_ = 0;           // servers that this proxy's traffic can judge
+  double turn_ = std::fmod(settings_.proxy_index * kGoldenRatio, 1);  // see Position
   KeyMemory key_memory_{kKeyMemory};
   Requests requests_;
   TimePoint last_answer_{}, heard_{};
@@ -1164,6 +1174,6 @@
   impl_->Handle(now, event, actions);
 }
 
-std::vector<Learnt> Balancer::Learned(TimePoint now) { return impl_->Learned(now); }
+std::vector<BackendSnapshot> Balancer::ExportState(TimePoint now) { return impl_->ExportState(now); }
 
 }  // namespace copperpoint
--- a/src/lab/policies/gates.cpp
+++ b/src/lab/policies/gates.cpp
@@ -29,7 +29,7 @@
 
 class Gradient : public Gate {
  public:
-  bool Admits(TimePoint, const Submit&, int in_flight) override { return in_flight < limit_; }
+  bool Admits(TimePoint, const RequestReceived&, int in_flight) override { return in_flight < limit_; }
   void Answered(TimePoint, double took_ms, double work_ms, int in_flight) override {
     const double time = took_ms / std::max(work_ms, 1.0);
     short_ += (short_ <= 0 ? 1 : kShort) * (time - short_);
@@ -49,7 +49,7 @@
 class Codel : public Gate {
  public:
   explicit Codel(double target_ms) : target_(target_ms) {}
-  bool Admits(TimePoint now, const Submit&, int) override {
+  bool Admits(TimePoint now, const RequestReceived&, int) override {
     if (!dropping_ || now < next_) return true;
     ++count_;
     next_ = now + kInterval / std::sqrt(count_);
@@ -80,7 +80,7 @@
 class Dagor : public Gate {
  public:
   Dagor(const Settings& settings, double target_ms) : settings_(settings), target_(target_ms) {}
-  bool Admits(TimePoint now, const Submit& submit, int) override {
+  bool Admits(TimePoint now, const RequestReceived& submit, int) override {
     const std::size_t level = LevelOf(submit);
     ++seen_[level];
     if (now >= ends_) Turn(now);
@@ -99,10 +99,10 @@
   static constexpr double kLess = 0.05, kMore = 0.01;
 
   // 0 goes first: classes by their worth, within them requests by a hash, as of users.
-  std::size_t LevelOf(const Submit& submit) const {
-    const double worth = settings_.classes[static_cast<std::size_t>(submit.request_class)].worth;
+  std::size_t LevelOf(const RequestReceived& submit) const {
+    const double worth = settings_.classes[static_cast<std::size_t>(submit.request_class)].priority_weight;
     std::size_t better = 0;
-    for (const ClassSettings& c : settings_.classes) better += c.worth > worth;
+    for (const ClassSettings& c : settings_.classes) better += c.priority_weight > worth;
     const std::uint64_t user[] = {static_cast<std::uint64_t>(submit.tenant), submit.key};
     const std::size_t of_user = XXH64(user, sizeof user, 0) % kOfClass;
     return std::min(kLevels - 1, std::min<std::size_t>(better, kLevels / kOfClass - 1) * kOfClass + of_user);
@@ -133,7 +133,7 @@
 class Breakwater : public Gate {
  public:
   explicit Breakwater(double target_ms) : target_(target_ms) {}
-  bool Admits(TimePoint, const Submit&, int in_flight) override { return in_flight < credits_; }
+  bool Admits(TimePoint, const RequestReceived&, int in_flight) override { return in_flight < credits_; }
   void Answered(TimePoint now, double took_ms, double work_ms, int) override {
     wait_ms_ += kGain * (wait_.Of(took_ms, work_ms) - wait_ms_);
     if (now < next_) return;
@@ -156,7 +156,7 @@
 double TargetOf(const Settings& settings) {
   constexpr double kOfAim = 0.16;  // as Breakwater has it: 80 us of an objective of 500
   double least = 1e9;
-  for (const ClassSettings& c : settings.classes) least = std::min(least, c.aim.count());
+  for (const ClassSettings& c : settings.classes) least = std::min(least, c.latency_objective.count());
   return kOfAim * least;
 }
 
--- a/src/lab/policies/gates.h
+++ b/src/lab/policies/gates.h
@@ -19,7 +19,7 @@
  public:
   virtual ~Gate() = default;
   // `in_flight`: attempts of this proxy that are out.
-  virtual bool Admits(TimePoint now, const Submit& submit, int in_flight) = 0;
+  virtual bool Admits(TimePoint now, const RequestReceived& submit, int in_flight) = 0;
   // An attempt was answered, or timed out, after `took_ms`; `work_ms`: its hint.
   virtual void Answered(TimePoint now, double took_ms, double work_ms, int in_flight) = 0;
 };
--- a/src/lab/policies/pickers.h
+++ b/src/lab/policies/pickers.h
@@ -16,7 +16,7 @@
 
 // A backend as a rival sees it.
 struct Candidate {
-  ServerId id = 0;
+  BackendId id = 0;
   bool listed = false;  // ready, as far as this proxy has heard
   int in_flight = 0;
 };
--- a/src/lab/policies/policies.cpp
+++ b/src/lab/policies/policies.cpp
@@ -39,34 +39,36 @@
 
  protected:
   struct Open {
-    Submit submit;
+    RequestReceived submit;
     std::vector<int> tried;  // indices
     bool may_have_run = false, out = false;
   };
 
   virtual int Pick(const Open& open) = 0;
   virtual bool MayRepeat() { return false; }
-  virtual bool Admits(const Submit&) { return true; }
+  virtual bool Admits(const RequestReceived&) { return true; }
   virtual void Answered(const Open&, double) {}
   virtual void First() {}
   virtual void Grown(std::size_t) {}
   virtual void Sent(int) {}
   virtual void Ended(int, bool, double) {}
 
-  void On(const ListUpdate& e) {
-    if (context_.settings.must_ask_for_list && (e.kind == ListKind::kCached || e.kind == ListKind::kFailed)) {
+  void On(const EndpointUpdate& e) {
+    if (context_.settings.polls_endpoints &&
+        (e.kind == EndpointUpdateKind::kCached || e.kind == EndpointUpdateKind::kFailed)) {
       // Jitter keeps proxies from calling in step.
-      const Duration wait(e.kind == ListKind::kCached ? 0 : 100 + static_cast<double>(context_.seed % 900));
+      const Duration wait(
+          e.kind == EndpointUpdateKind::kCached ? 0 : 100 + static_cast<double>(context_.seed % 900));
       out_->push_back(SetTimer{now_ + wait, kAsk});
     }
-    if (e.kind == ListKind::kFailed) return;
-    if (e.kind != ListKind::kDelta) {
+    if (e.kind == EndpointUpdateKind::kFailed) return;
+    if (e.kind != EndpointUpdateKind::kIncremental) {
       for (Candidate& c : all_) c.listed = false;
     }
-    for (const ServerEntry& entry : e.entries) {
-      const auto [found, added] = index_.try_emplace(entry.server, static_cast<int>(all_.size()));
-      if (added) all_.push_back({entry.server, false, 0});
-      all_[found->second].listed = entry.state == ServerState::kReady;
+    for (const Endpoint& entry : e.endpoints) {
+      const auto [found, added] = index_.try_emplace(entry.backend, static_cast<int>(all_.size()));
+      if (added) all_.push_back({entry.backend, false, 0});
+      all_[found->second].listed = entry.state == EndpointState::kReady;
     }
     Grown(all_.size());
     listed_.clear();
@@ -75,12 +77,12 @@
     }
   }
 
-  void On(const Submit& e) {
+  void On(const RequestReceived& e) {
     if (!Admits(e)) {
       // The advice of our own module: to stay away for as long as the client would come back.
       const Settings& s = context_.settings;
       const Duration deadline = s.classes[static_cast<std::size_t>(e.request_class)].deadline;
-      out_->push_back(Refuse{e.request, std::min(s.max_retry_after, deadline)});
+      out_->push_back(RejectRequest{e.request, std::min(s.max_retry_after, deadline)});
       return;
     }
     First();
@@ -89,42 +91,44 @@
     Send(open);
   }
 
-  void On(const AttemptEnded& e) {
+  void On(const AttemptCompleted& e) {
     const auto found = open_.find(e.request);
-    const auto at = index_.find(e.server);
+    const auto at = index_.find(e.backend);
     if (at != index_.end()) {
       --all_[at->second].in_flight;
       --out_now_;
-      if (e.outcome != Outcome::kMoot && e.outcome != Outcome::kCancelled)
-        Ended(at->second, e.outcome == Outcome::kOk, e.took.count());
+      if (e.outcome != AttemptOutcome::kNotSent && e.outcome != AttemptOutcome::kCancelled)
+        Ended(at->second, e.outcome == AttemptOutcome::kSuccess, e.duration.count());
     }
     if (found == open_.end()) return;
     Open& open = found->second;
     open.out = false;
-    if (e.outcome == Outcome::kOk || e.outcome == Outcome::kTimeout) Answered(open, e.took.count());
-    if (e.settled) {
+    if (e.outcome == AttemptOutcome::kSuccess || e.outcome == AttemptOutcome::kTimeout)
+      Answered(open, e.duration.count());
+    if (e.request_completed) {
       open_.erase(found);
       return;
     }
-    open.may_have_run |=
-        e.outcome != Outcome::kFull && e.outcome != Outcome::kConnectFailed && e.outcome != Outcome::kMoot;
+    open.may_have_run |= e.outcome != AttemptOutcome::kBackendRejected &&
+                         e.outcome != AttemptOutcome::kConnectFailure &&
+                         e.outcome != AttemptOutcome::kNotSent;
     const bool allowed = Safe(open) || !open.may_have_run;
-    if (allowed && now_ < open.submit.due &&
+    if (allowed && now_ < open.submit.deadline &&
         static_cast<int>(open.tried.size()) < context_.settings.max_attempts && MayRepeat())
       return Send(open);
     End(open);
   }
 
-  void On(const ClientGone& e) { open_.erase(e.request); }
+  void On(const ClientDisconnected& e) { open_.erase(e.request); }
   void On(const TimerFired& e) {
-    if (e.token == kAsk) out_->push_back(Subscribe{});
+    if (e.token == kAsk) out_->push_back(PollEndpoints{});
   }
-  void On(const StreamStarted&) {}
-  void On(const Inherited&) {}
-  void On(const Position&) {}
+  void On(const ResponseStarted&) {}
+  void On(const StateRestored&) {}
+  void On(const SubsetPosition&) {}
 
   bool Safe(const Open& open) const {
-    return context_.settings.classes[open.submit.request_class].effect == Effect::kSafe;
+    return context_.settings.classes[open.submit.request_class].idempotency == Idempotency::kIdempotent;
   }
   void Send(Open& open) {
     const int index = Pick(open);
@@ -134,14 +138,14 @@
     ++all_[index].in_flight;
     ++out_now_;
     Sent(index);
-    out_->push_back(Dispatch{open.submit.request, all_[index].id, Duration(0)});
+    out_->push_back(StartAttempt{open.submit.request, all_[index].id, Duration(0)});
   }
   void End(Open& open) {
     const RequestId id = open.submit.request;
     if (Safe(open) || !open.may_have_run) {
-      out_->push_back(Refuse{id, Duration(0)});
+      out_->push_back(RejectRequest{id, Duration(0)});
     } else {
-      out_->push_back(Fail{id});
+      out_->push_back(FailRequest{id});
     }
     open_.erase(id);
   }
@@ -153,7 +157,7 @@
   int out_now_ = 0;  // attempts
   std::vector<Candidate> all_;
   std::vector<int> listed_;
-  std::unordered_map<ServerId, int> index_;
+  std::unordered_map<BackendId, int> index_;
   std::unordered_map<RequestId, Open> open_;
 };
 
@@ -173,7 +177,7 @@
       if (context_.probe) context_.probe(all_[i].id);
     });
   }
-  void OnProbe(TimePoint now, ServerId server, int in_flight, double latency_ms) override {
+  void OnProbe(TimePoint now, BackendId server, int in_flight, double latency_ms) override {
     const auto found = index_.find(server);
     if (found != index_.end()) picker_->Probed(now, found->second, in_flight, latency_ms);
   }
@@ -191,9 +195,9 @@
     }
     return repeats_.most > 0 && repeated_ < repeats_.most;
   }
-  bool Admits(const Submit& e) override { return !gate_ || gate_->Admits(now_, e, out_now_); }
+  bool Admits(const RequestReceived& e) override { return !gate_ || gate_->Admits(now_, e, out_now_); }
   void Answered(const Open& open, double took) override {
-    if (gate_) gate_->Answered(now_, took, open.submit.work_ms, out_now_);
+    if (gate_) gate_->Answered(now_, took, open.submit.estimated_work_ms, out_now_);
   }
   void First() override { tokens_ = std::min(100.0, tokens_ + 0.2); }
   void Grown(std::size_t n) override { picker_->Resize(n); }
@@ -221,17 +225,18 @@
     const bool sample = listed_.size() > kMostLooked;
     const std::size_t looks = sample ? kMostLooked : listed_.size();
     const ClassSettings& c = context_.settings.classes[open.submit.request_class];
-    const auto me = static_cast<std::uint32_t>(context_.settings.me);
+    const auto me = static_cast<std::uint32_t>(context_.settings.proxy_index);
     int best = -1;
     double best_in = 0;
     for (std::size_t k = 0; k < looks; ++k) {
       const int i = sample ? listed_[random_.Below(listed_.size())] : listed_[k];
-      const double in = context_.truth->AnswerIn(me, all_[i].id, open.submit.work_ms, open.submit.key);
+      const double in =
+          context_.truth->AnswerIn(me, all_[i].id, open.submit.estimated_work_ms, open.submit.key);
       if (in < 0 || (best >= 0 && in >= best_in)) continue;
       best = i;
       best_in = in;
     }
-    return best >= 0 && best_in > c.aim.count() ? -1 : best;
+    return best >= 0 && best_in > c.latency_objective.count() ? -1 : best;
   }
   bool MayRepeat() override { return true; }
   Random random_;
--- a/src/lab/policies/policy.h
+++ b/src/lab/policies/policy.h
@@ -20,7 +20,7 @@
   virtual ~Policy() = default;
   virtual void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) = 0;
   // The answer to a probe: requests in work or waiting there, and what its last requests took.
-  virtual void OnProbe(TimePoint, ServerId, int /*in_flight*/, double /*latency_ms*/) {}
+  virtual void OnProbe(TimePoint, BackendId, int /*in_flight*/, double /*latency_ms*/) {}
 };
 
 // The true state of the backends, for the oracle.
@@ -29,14 +29,14 @@
   virtual ~Truth() = default;
   // When an answer to a request of `work` ms, sent now by this proxy, would be back, in ms from now; below 0:
   // never. `key` 0: none.
-  virtual double AnswerIn(std::uint32_t proxy, ServerId backend, double work, std::uint64_t key) const = 0;
+  virtual double AnswerIn(std::uint32_t proxy, BackendId backend, double work, std::uint64_t key) const = 0;
 };
 
 struct PolicyContext {
   Settings settings;
   std::uint64_t seed = 0;
   const Truth* truth = nullptr;
-  std::function<void(ServerId)> probe;  // asks a backend how it is, at a small cost to it
+  std::function<void(BackendId)> probe;  // asks a backend how it is, at a small cost to it
 };
 
 // A name is `ours`, `oracle`, or a rival and how it repeats: `p2c`, `p2c+3` (three repeats), `p2c+budget`.
--- a/src/lab/report/metrics.cpp
+++ b/src/lab/report/metrics.cpp
@@ -82,7 +82,7 @@
   return worst;
 }
 
-double Metrics::Goal() const {
+double Metrics::ObjectiveScore() const {
   const Goals& g = scenario_.goal;
   const double all = g.whole + g.worst_class + g.worst_account;
   if (all <= 0) return Goodput();
@@ -111,7 +111,7 @@
 nlohmann::ordered_json Metrics::Json() const {
   nlohmann::ordered_json json{
       {"goodput", Rounded(Goodput())},
-      {"goal", Rounded(Goal())},
+      {"goal", Rounded(ObjectiveScore())},
       {"mean_ms", Rounded(latency_.Mean())},
       {"p50_ms", Rounded(latency_.Quantile(0.5))},
       {"p99_ms", Rounded(latency_.Quantile(0.99))},
--- a/src/lab/report/metrics.h
+++ b/src/lab/report/metrics.h
@@ -59,7 +59,7 @@
   double Goodput() const { return whole_.Share(); }
   double WorstClass() const { return Worst(classes_); }
   // The mix that the scenario's goal asks for, of 1.
-  double Goal() const;
+  double ObjectiveScore() const;
   double WorstAccount() const { return Worst(accounts_); }
   double Wasted() const { return executed_ms > 0 ? 1 - useful_ms / executed_ms : 0; }
   double AttemptsPerRequest() const;
--- a/src/lab/run/run.cpp
+++ b/src/lab/run/run.cpp
@@ -67,7 +67,7 @@
     context.settings = SettingsOf(s_.scenario, s_.day, static_cast<int>(proxy));
     context.seed = seed;
     context.truth = &service_;
-    context.probe = [this, proxy](ServerId backend) { service_.Probe(proxy, backend); };
+    context.probe = [this, proxy](BackendId backend) { service_.Probe(proxy, backend); };
     return options_.make(options_.policy, std::move(context));
   }
 
--- a/src/lab/scenario/scenario.cpp
+++ b/src/lab/scenario/scenario.cpp
@@ -85,10 +85,10 @@
   v.Whole32("queue", queue, {.text = "requests that wait; beyond, they are turned away", .most = 1e8});
   v.Number("crowd_at", crowd_at, {.text = "held a slot, from which it slows down; 0: never", .most = 1e6});
   v.Number("crowding", crowding, {.text = "share of its speed lost with `crowd_at` more held", .most = 0.99});
-  v.Number("cold_from", cold_from,
+  v.Number("cold_from", slow_start_min_capacity,
            {.text = "share of the speed right after a start", .least = 0.001, .most = 1});
   v.Number("warm_up_s", warm_up_s, {.text = "until the whole of it", .unit = "s", .most = 3600});
-  v.Number("fall_multiple", fall_multiple,
+  v.Number("fall_multiple", overload_factor,
            {.text = "a cold one falls over when sent more than this times what it can do; 0: never",
             .most = 1000});
   v.Number("fall_ms", fall_ms, {.text = "for this long", .unit = "ms", .least = 1, .most = 1e6});
@@ -104,7 +104,7 @@
   v.Number("warm_key_gain", warm_key_gain,
            {.text = "share of the work saved for a key met lately", .most = 0.99});
   v.Number("warm_key_s", warm_key_s, {.text = "how lately", .unit = "s", .most = 3600});
-  v.Whole("warm_keys", warm_keys, {.text = "that it remembers, a core", .least = 1, .most = 1e7});
+  v.Whole("warm_keys", key_affinity, {.text = "that it remembers, a core", .least = 1, .most = 1e7});
 }
 
 void Fleet::Describe(config::Visitor& v) {
@@ -159,7 +159,7 @@
   v.Number("cross_zone_price", cross_zone_price,
            {.text = "of a send to another zone, as a share of a request's worth; a goal, not in the goodput",
             .most = 1});
-  v.Number("over_share_worth", over_share_worth,
+  v.Number("over_share_worth", over_quota_weight,
            {.text = "worth of requests beyond an account's quota", .most = 1});
   v.Number("must_ask_ms", must_ask_ms,
            {.text = "news count as told this long after the last call", .unit = "ms", .least = 100});
--- a/src/lab/scenario/scenario.h
+++ b/src/lab/scenario/scenario.h
@@ -75,12 +75,12 @@
   int cores = 1;
   double slots_per_core = 1;
   double speed = 1, speed_cv = 0;
-  int queue = 50;        // waiting room; beyond, requests are turned away unseen
-  double crowd_at = 0;   // requests held, a slot, from which it gets slower; 0: never
-  double crowding = 0;   // share of its speed lost with as many held again
-  double cold_from = 1;  // share of its capacity right after a start
+  int queue = 50;                      // waiting room; beyond, requests are turned away unseen
+  double crowd_at = 0;                 // requests held, a slot, from which it gets slower; 0: never
+  double crowding = 0;                 // share of its speed lost with as many held again
+  double slow_start_min_capacity = 1;  // share of its capacity right after a start
   double warm_up_s = 0;
-  double fall_multiple = 0;  // a cold one falls over when sent more than this; 0: never
+  double overload_factor = 0;  // a cold one falls over when sent more than this; 0: never
   double fall_ms = 1000;
   double fall_roots = 0;  // what chance may add to it; 0: three requests
   double error_rate = 0;
@@ -89,7 +89,7 @@
   double handshake_ms = 0;            // its work for a new connection
   double warm_key_gain = 0;           // share of the work saved for a key met lately
   double warm_key_s = 5;
-  std::int64_t warm_keys = 100;  // that it remembers
+  std::int64_t key_affinity = 100;  // that it remembers
 
   void Describe(config::Visitor& v);
 };
@@ -144,7 +144,7 @@
   double drain_grace_ms = 500;
   int max_attempts = 5;
   double cross_zone_price = 0;
-  double over_share_worth = 1;
+  double over_quota_weight = 1;
   double must_ask_ms = 10000;
 
   void Describe(config::Visitor& v);
--- a/src/lab/world/backend.cpp
+++ b/src/lab/world/backend.cpp
@@ -21,10 +21,11 @@
 }
 
 double Backend::Warmth(Micros now) const {
-  const Micros warm_up = FromMs(machine_->warm_up_s * 1000);
-  if (up_since_ == 0 || warm_up <= 0 || now - up_since_ >= warm_up) return 1;
-  return machine_->cold_from +
-         (1 - machine_->cold_from) * static_cast<double>(now - up_since_) / static_cast<double>(warm_up);
+  const Micros slow_start_window = FromMs(machine_->warm_up_s * 1000);
+  if (up_since_ == 0 || slow_start_window <= 0 || now - up_since_ >= slow_start_window) return 1;
+  return machine_->slow_start_min_capacity + (1 - machine_->slow_start_min_capacity) *
+                                                 static_cast<double>(now - up_since_) /
+                                                 static_cast<double>(slow_start_window);
 }
 
 double Backend::Capacity(Micros now) const { return machine_->cores * speed_ * Warmth(now) / grey_; }
@@ -39,7 +40,7 @@
   if (key == 0 || machine_->warm_key_gain <= 0) return;
   met_[key] = now;
   met_order_.emplace_back(now, key);
-  const auto most = static_cast<std::size_t>(machine_->warm_keys * machine_->cores);
+  const auto most = static_cast<std::size_t>(machine_->key_affinity * machine_->cores);
   while (!met_order_.empty() &&
          (met_.size() > most || now - met_order_.front().first >= FromMs(machine_->warm_key_s * 1000))) {
     const auto [at, old] = met_order_.front();
@@ -191,13 +192,13 @@
 }
 
 bool Backend::Press(Micros now, double work_ms, bool told, double* told_share) {
-  if (machine_->fall_multiple <= 0 || Warmth(now) >= 1) return false;
+  if (machine_->overload_factor <= 0 || Warmth(now) >= 1) return false;
   pressed_.push_back({now, static_cast<float>(work_ms), told ? static_cast<float>(work_ms) : 0});
   const Micros window = FromMs(machine_->fall_ms);
   while (now - pressed_.front().at > window) pressed_.pop_front();
   double sum = 0, known = 0;
   for (const Pressed& p : pressed_) sum += p.work, known += p.told;
-  const double budget = machine_->fall_multiple * Capacity(now) * machine_->fall_ms;
+  const double budget = machine_->overload_factor * Capacity(now) * machine_->fall_ms;
   const double mean = std::max(sum / static_cast<double>(pressed_.size()), 1e-9);
   const double slack = machine_->fall_roots > 0
                            ? (machine_->fall_roots * std::sqrt(budget / mean) + kRootSlack) * mean
--- a/src/lab/world/crowd.cpp
+++ b/src/lab/world/crowd.cpp
@@ -43,7 +43,7 @@
 
 double Crowd::WorthOf(const Wish& wish) const {
   return s_.scenario.classes[wish.cls].worth * wish.work_ms *
-         (wish.over_share ? s_.scenario.rules.over_share_worth : 1);
+         (wish.over_share ? s_.scenario.rules.over_quota_weight : 1);
 }
 
 // A client with repeats left gives a try up early; the last has what is left of its deadline.
--- a/src/lab/world/day.cpp
+++ b/src/lab/world/day.cpp
@@ -88,35 +88,37 @@
 
 Settings SettingsOf(const Scenario& scenario, const Day& day, int proxy) {
   Settings s;
-  s.balancers = scenario.fleet.proxies;
-  s.me = proxy;
+  s.proxy_count = scenario.fleet.proxies;
+  s.proxy_index = proxy;
   s.zone = day.proxy_zones[static_cast<std::size_t>(proxy)];
   for (const RequestClass& c : scenario.classes) {
     ClassSettings settings;
-    settings.effect = c.safe ? Effect::kSafe : Effect::kUnsafe;
-    settings.aim = Duration(c.aim_ms);
+    settings.idempotency = c.safe ? Idempotency::kIdempotent : Idempotency::kNonIdempotent;
+    settings.latency_objective = Duration(c.aim_ms);
     settings.deadline = Duration(c.deadline_ms);
-    settings.worth = c.worth;
+    settings.priority_weight = c.worth;
     s.classes.push_back(settings);
   }
   for (const Account& a : scenario.accounts) s.tenants.push_back({a.quota > 0 ? a.quota : 1e9});
-  s.goal = {scenario.goal.whole, scenario.goal.worst_class, scenario.goal.worst_account};
-  s.over_share_worth = scenario.rules.over_share_worth;
-  s.price_cross_zone = scenario.rules.cross_zone_price;
-  s.must_ask_for_list = scenario.discovery.ask;
+  s.service_objective = {scenario.goal.whole, scenario.goal.worst_class, scenario.goal.worst_account};
+  s.over_quota_weight = scenario.rules.over_quota_weight;
+  s.cross_zone_cost = scenario.rules.cross_zone_price;
+  s.polls_endpoints = scenario.discovery.ask;
   s.max_attempts = scenario.rules.max_attempts;
   s.max_retry_after = Duration(scenario.clients.retry_after_ms);
-  s.must_ask_within = Duration(scenario.rules.must_ask_ms);
-  s.fall_multiple = 0;
+  s.max_poll_interval = Duration(scenario.rules.must_ask_ms);
+  s.overload_factor = 0;
   for (const Machine& m : scenario.machines) {
-    s.warm_keys |= m.warm_key_gain > 0;
-    s.warm_up = std::max(s.warm_up, Duration(m.warm_up_s * 1000));
-    s.cold_from = std::min(s.cold_from, m.cold_from);
-    if (m.fall_multiple <= 0) continue;
-    s.fall_multiple = s.fall_multiple > 0 ? std::min(s.fall_multiple, m.fall_multiple) : m.fall_multiple;
-    s.overload_for = std::max(s.overload_for, Duration(m.fall_ms));
+    s.key_affinity |= m.warm_key_gain > 0;
+    s.slow_start_window = std::max(s.slow_start_window, Duration(m.warm_up_s * 1000));
+    s.slow_start_min_capacity = std::min(s.slow_start_min_capacity, m.slow_start_min_capacity);
+    if (m.overload_factor <= 0) continue;
+    s.overload_factor =
+        s.overload_factor > 0 ? std::min(s.overload_factor, m.overload_factor) : m.overload_factor;
+    s.overload_window = std::max(s.overload_window, Duration(m.fall_ms));
   }
-  if (s.fall_multiple <= 0) s.warm_up = Duration(0);  // nothing falls over: nothing to be careful of
+  if (s.overload_factor <= 0)
+    s.slow_start_window = Duration(0);  // nothing falls over: nothing to be careful of
   return s;
 }
 
--- a/src/lab/world/fates.cpp
+++ b/src/lab/world/fates.cpp
@@ -78,7 +78,7 @@
       for (const std::uint32_t b : targets) {
         if (begins) {
           OnStopBackend(b);
-          news_.Changed(b, ServerState::kGone, 0, s_.scenario.discovery.notice_ms);
+          news_.Changed(b, EndpointState::kRemoved, 0, s_.scenario.discovery.notice_ms);
         } else {
           OnStartBackend(b);
         }
@@ -113,7 +113,7 @@
 void Fates::Silence(std::uint32_t backend) {
   if (s_.backends[backend].health() != Backend::Health::kUp) return;
   service_.StopBackend(backend, /*silent=*/true);
-  news_.Changed(backend, ServerState::kGone, 0, s_.scenario.discovery.silent_notice_ms);
+  news_.Changed(backend, EndpointState::kRemoved, 0, s_.scenario.discovery.silent_notice_ms);
 }
 
 void Fates::Return(std::uint32_t backend) {
@@ -123,7 +123,7 @@
 void Fates::Crash(std::uint32_t backend) {
   if (s_.backends[backend].health() != Backend::Health::kUp) return;
   service_.StopBackend(backend, /*silent=*/false);
-  news_.Changed(backend, ServerState::kGone, 0, s_.scenario.discovery.notice_ms);
+  news_.Changed(backend, EndpointState::kRemoved, 0, s_.scenario.discovery.notice_ms);
   s_.queue.Push(s_.now() + FromMs(kRestartMs), Rank::kNews, kStartBackend, backend, 0);
 }
 
@@ -141,7 +141,7 @@
 void Fates::OnDrainBackend(std::uint32_t backend) {
   if (s_.backends[backend].health() != Backend::Health::kUp) return;
   const Registry& r = s_.scenario.discovery;
-  news_.Changed(backend, ServerState::kDraining, s_.backends[backend].up_since(), r.notice_ms);
+  news_.Changed(backend, EndpointState::kDraining, s_.backends[backend].up_since(), r.notice_ms);
   s_.queue.Push(s_.now() + FromMs(r.notice_ms + r.spread_ms + kDrainMs), Rank::kNews, kStopBackend, backend,
                 0);
 }
@@ -159,7 +159,7 @@
 void Fates::OnStartBackend(std::uint32_t backend) {
   if (s_.backends[backend].health() == Backend::Health::kUp) return;
   service_.StartBackend(backend);
-  news_.Changed(backend, ServerState::kReady, s_.backends[backend].up_since(),
+  news_.Changed(backend, EndpointState::kReady, s_.backends[backend].up_since(),
                 s_.scenario.discovery.notice_ms);
 }
 
--- a/src/lab/world/news.cpp
+++ b/src/lab/world/news.cpp
@@ -9,9 +9,9 @@
 News::News(State& state, std::uint64_t seed, std::function<void(std::uint32_t, Event)> feed)
     : s_(state), random_(seed, "news"), feed_(std::move(feed)), known_(state.backends.size()) {}
 
-ServerEntry News::Entry(std::uint32_t backend) const {
-  ServerEntry entry;
-  entry.server = backend;
+Endpoint News::Entry(std::uint32_t backend) const {
+  Endpoint entry;
+  entry.backend = backend;
   entry.zone = s_.backends[backend].zone();
   entry.kind = s_.day.backends[backend].machine;
   entry.cell = s_.backends[backend].cell();
@@ -20,7 +20,7 @@
   return entry;
 }
 
-void News::Changed(std::uint32_t backend, ServerState state, Micros up_since, double notice_ms) {
+void News::Changed(std::uint32_t backend, EndpointState state, Micros up_since, double notice_ms) {
   pending_.push_back({backend, {state, up_since, pending_.size() + 1}});
   s_.queue.Push(s_.now() + FromMs(notice_ms), Rank::kNews, kNotice, 0, pending_.size() - 1);
 }
@@ -36,7 +36,7 @@
     if (!s_.scenario.discovery.ask || (proxy.subscribed && !down_)) {
       Announce(p);
     } else if (proxy.overdue) {
-      s_.observer.Told(p, change.backend, known_[change.backend].state == ServerState::kReady, s_.now());
+      s_.observer.Told(p, change.backend, known_[change.backend].state == EndpointState::kReady, s_.now());
     }
   }
 }
@@ -73,11 +73,11 @@
   if (!proxy.alive || proxy.life != life || proxy.subscribed || called) return;
   proxy.overdue = true;
   for (std::size_t i = proxy.revision; i < log_.size(); ++i)
-    s_.observer.Told(p, log_[i], known_[log_[i]].state == ServerState::kReady, s_.now());
+    s_.observer.Told(p, log_[i], known_[log_[i]].state == EndpointState::kReady, s_.now());
 }
 
 void News::Tell(std::uint32_t p, std::uint32_t backend) {
-  const bool usable = known_[backend].state == ServerState::kReady;
+  const bool usable = known_[backend].state == EndpointState::kReady;
   s_.observer.Told(p, backend, usable, s_.now());
   if (usable) s_.proxies[p].known_start[backend] = known_[backend].up_since;
 }
@@ -85,36 +85,36 @@
 // All that has changed since this proxy was last told, each backend once.
 void News::Deliver(std::uint32_t p) {
   ProxyHost& proxy = s_.proxies[p];
-  ListUpdate update;
+  EndpointUpdate update;
   std::set<std::uint32_t> changed(log_.begin() + static_cast<std::ptrdiff_t>(proxy.revision), log_.end());
   proxy.revision = log_.size();
   for (const std::uint32_t backend : changed) {
     Tell(p, backend);
-    update.entries.push_back(Entry(backend));
+    update.endpoints.push_back(Entry(backend));
   }
-  LogList(p, "delta", update.entries);
+  LogList(p, "delta", update.endpoints);
   feed_(p, std::move(update));
 }
 
-void News::LogList(std::uint32_t p, const char* kind, const std::vector<ServerEntry>& entries) {
+void News::LogList(std::uint32_t p, const char* kind, const std::vector<Endpoint>& entries) {
   if (!s_.logs) return;
   s_.LogOf(p, "list_taken", {{"kind", kind}, {"members", static_cast<std::int64_t>(entries.size())}});
-  for (const ServerEntry& entry : entries) {
-    const Micros up_since = known_[entry.server].up_since;
+  for (const Endpoint& entry : entries) {
+    const Micros up_since = known_[entry.backend].up_since;
     s_.LogOf(p, "server_listed",
-             {{"server", entry.server},
+             {{"server", entry.backend},
               {"zone", entry.zone},
               {"up_since_ms", up_since > 0 ? ProxyLogs::kOriginMs + ToMs(up_since) : 0}});
   }
 }
 
-std::vector<ServerEntry> News::List(std::uint32_t p) {
-  std::vector<ServerEntry> list;
+std::vector<Endpoint> News::List(std::uint32_t p) {
+  std::vector<Endpoint> list;
   s_.proxies[p].revision = log_.size();
   s_.proxies[p].known_start.clear();
   for (std::uint32_t b = 0; b < known_.size(); ++b) {
     if (known_[b].up_since > 0) Tell(p, b);
-    if (known_[b].state != ServerState::kGone) list.push_back(Entry(b));
+    if (known_[b].state != EndpointState::kRemoved) list.push_back(Entry(b));
   }
   LogList(p, "cached", list);
   return list;
@@ -149,7 +149,7 @@
   ProxyHost& proxy = s_.proxies[p];
   if (!proxy.alive || proxy.life != life) return;
   s_.LogOf(p, "discovery_failed", {{"reason", "no answer"}});
-  feed_(p, ListUpdate{ListKind::kFailed, {}});
+  feed_(p, EndpointUpdate{EndpointUpdateKind::kFailed, {}});
 }
 
 // Those that watch are cut off when it goes down.
@@ -160,7 +160,7 @@
     if (!s_.proxies[p].alive || !s_.proxies[p].subscribed) continue;
     s_.proxies[p].subscribed = false;
     Wait(p);
-    feed_(p, ListUpdate{ListKind::kFailed, {}});
+    feed_(p, EndpointUpdate{EndpointUpdateKind::kFailed, {}});
   }
 }
 
--- a/src/lab/world/news.h
+++ b/src/lab/world/news.h
@@ -17,7 +17,7 @@
   News(State& state, std::uint64_t seed, std::function<void(std::uint32_t, Event)> feed);
 
   // What is true from now on; discovery gets to know of it after its notice.
-  void Changed(std::uint32_t backend, ServerState state, Micros up_since, double notice_ms);
+  void Changed(std::uint32_t backend, EndpointState state, Micros up_since, double notice_ms);
   void OnNotice(std::uint64_t index);
   void OnNews(std::uint32_t proxy, std::uint64_t life);
 
@@ -30,12 +30,12 @@
   void SetOverbooked(double share) { share_ = share; }
 
   // The list as discovery has it now. A proxy that starts with it knows it.
-  std::vector<ServerEntry> List(std::uint32_t proxy);
+  std::vector<Endpoint> List(std::uint32_t proxy);
 
  private:
-  void LogList(std::uint32_t p, const char* kind, const std::vector<ServerEntry>& entries);
+  void LogList(std::uint32_t p, const char* kind, const std::vector<Endpoint>& entries);
   struct Known {
-    ServerState state = ServerState::kReady;
+    EndpointState state = EndpointState::kReady;
     Micros up_since = 0;
     std::uint64_t change = 0;  // the latest that discovery knows: older news that come later are dropped
   };
@@ -43,7 +43,7 @@
     std::uint32_t backend = 0;
     Known known;
   };
-  ServerEntry Entry(std::uint32_t backend) const;
+  Endpoint Entry(std::uint32_t backend) const;
   void Deliver(std::uint32_t proxy);
   void Tell(std::uint32_t proxy, std::uint32_t backend);
   void Wait(std::uint32_t proxy);
--- a/src/lab/world/recognition.h
+++ b/src/lab/world/recognition.h
@@ -22,7 +22,8 @@
  public:
   // A try reaches the proxy; `repeat`: it is not its wish's first, `was_here`: an earlier one came to this
   // proxy.
-  Recognised Arrived(TimePoint now, const Submit& submit, bool repeat, bool was_here, Metrics* metrics) {
+  Recognised Arrived(TimePoint now, const RequestReceived& submit, bool repeat, bool was_here,
+                     Metrics* metrics) {
     Recognised r{overload::FingerprintOf(submit), {}};
     r.wish = repeats_.Arrived(r.fingerprint, now);
     metrics->repeats_here += was_here;
--- a/src/lab/world/service.cpp
+++ b/src/lab/world/service.cpp
@@ -14,29 +14,30 @@
 constexpr double kProbeWorkMs = 0.03;  // on a core of speed 1, beside the queue
 constexpr double kCrashAfter = 0.5;    // of a poisonous request's work
 
-const char* NameOf(Outcome outcome) {
+const char* NameOf(AttemptOutcome outcome) {
   switch (outcome) {
-    case Outcome::kOk:
+    case AttemptOutcome::kSuccess:
       return "an answer";
-    case Outcome::kError:
+    case AttemptOutcome::kServerError:
       return "an error";
-    case Outcome::kFull:
+    case AttemptOutcome::kBackendRejected:
       return "turned away";
-    case Outcome::kTimeout:
+    case AttemptOutcome::kTimeout:
       return "a time-out";
-    case Outcome::kConnectFailed:
+    case AttemptOutcome::kConnectFailure:
       return "no connection";
-    case Outcome::kReset:
+    case AttemptOutcome::kConnectionReset:
       return "a reset";
-    case Outcome::kMoot:
+    case AttemptOutcome::kNotSent:
       return "not sent";
     default:
       return "something else";
   }
 }
 
-bool ProvesItNeverRan(Outcome outcome) {
-  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kMoot;
+bool ProvesItNeverRan(AttemptOutcome outcome) {
+  return outcome == AttemptOutcome::kBackendRejected || outcome == AttemptOutcome::kConnectFailure ||
+         outcome == AttemptOutcome::kNotSent;
 }
 
 std::uint64_t WithLife(std::uint64_t low, std::uint32_t life) {
@@ -57,7 +58,7 @@
 
 // ---- proxies ------------------------------------------------------------------------------------------
 
-void Service::StartProxy(std::uint32_t proxy, std::vector<ServerEntry> known) {
+void Service::StartProxy(std::uint32_t proxy, std::vector<Endpoint> known) {
   ProxyHost& p = s_.proxies[proxy];
   ++p.life;
   p.alive = true;
@@ -69,7 +70,7 @@
   Random seeds(s_.day.seed, "proxy", ++lives_);
   p.policy = make_(proxy, seeds.Bits());
   s_.observer.ProxyStarted(proxy);
-  Feed(proxy, ListUpdate{ListKind::kCached, std::move(known)});
+  Feed(proxy, EndpointUpdate{EndpointUpdateKind::kCached, std::move(known)});
 }
 
 void Service::KillProxy(std::uint32_t proxy) {
@@ -123,13 +124,13 @@
   s_.queue.Push(at, Rank::kTimeout, kTimer, proxy, WithLife(Low(action.token), s_.proxies[proxy].life));
 }
 
-void Service::Do(std::uint32_t proxy, const Subscribe&) { subscribe_(proxy); }
+void Service::Do(std::uint32_t proxy, const PollEndpoints&) { subscribe_(proxy); }
 
-void Service::Do(std::uint32_t proxy, const CloseIdle& action) {
-  const auto found = s_.proxies[proxy].connections.find(action.server);
+void Service::Do(std::uint32_t proxy, const CloseIdleConnections& action) {
+  const auto found = s_.proxies[proxy].connections.find(action.backend);
   if (found == s_.proxies[proxy].connections.end()) return;
   Connections& c = found->second;
-  if (c.life == s_.backends[action.server].life()) s_.backends[action.server].Disconnect(c.idle);
+  if (c.life == s_.backends[action.backend].life()) s_.backends[action.backend].Disconnect(c.idle);
   c.open -= std::exchange(c.idle, 0);
 }
 
@@ -137,14 +138,14 @@
 
 void Service::Take(std::uint32_t slot) {
   Try& t = s_.At(slot);
-  Submit submit;
+  RequestReceived submit;
   submit.request = State::IdOf(slot, t);
-  submit.due = State::Time(t.due);
+  submit.deadline = State::Time(t.due);
   submit.request_class = t.wish.cls;
   submit.tenant = t.wish.account;
   submit.key = t.wish.key;
-  submit.has_hint = t.wish.hint_ms > 0;
-  submit.work_ms = t.wish.hint_ms;
+  submit.has_work_estimate = t.wish.hint_ms > 0;
+  submit.estimated_work_ms = t.wish.hint_ms;
   submit.client_retry = s_.scenario.clients.marks_retry && t.tries_left < s_.MostRepeats();
   Recognise(t, submit);
   if (s_.logs) {
@@ -153,7 +154,7 @@
               {"id", log::Hex(submit.request)},
               {"wish", log::Hex(overload::FingerprintOf(submit))},
               {"class", submit.request_class},
-              {"work_ms", submit.work_ms}});
+              {"work_ms", submit.estimated_work_ms}});
   }
   Feed(t.proxy, submit);
 }
@@ -161,7 +162,7 @@
 // On a large fleet a repeat hardly ever meets the same proxy, and the marks of a try hold 64.
 bool Service::RecognitionIsMeasured() const { return s_.proxies.size() <= 64; }
 
-void Service::Recognise(Try& t, const Submit& submit) {
+void Service::Recognise(Try& t, const RequestReceived& submit) {
   if (!RecognitionIsMeasured()) return;
   const std::uint64_t here = std::uint64_t{1} << t.proxy;
   t.recognised = s_.proxies[t.proxy].recognition.Arrived(s_.time(), submit, t.tries_left < s_.MostRepeats(),
@@ -207,21 +208,21 @@
   crowd_->OnFinal(slot, final, retry_after);
 }
 
-void Service::Do(std::uint32_t proxy, const Refuse& action) {
+void Service::Do(std::uint32_t proxy, const RejectRequest& action) {
   std::uint32_t slot = 0;
   Try* t = Held(proxy, action.request, &slot);
   if (!t || t->final) return;
   ++s_.metrics.refused;
   s_.observer.Refused(s_.now(), action.request, proxy, Judged(*t));
-  Conclude(slot, Final::kRefused, action.why, action.retry_after);
+  Conclude(slot, Final::kRefused, WordFor(action.reason), action.retry_after);
 }
 
-void Service::Do(std::uint32_t proxy, const Fail& action) {
+void Service::Do(std::uint32_t proxy, const FailRequest& action) {
   std::uint32_t slot = 0;
   Try* t = Held(proxy, action.request, &slot);
   if (!t || t->final) return;
   ++s_.metrics.failed;
-  Conclude(slot, Final::kFailed, action.why, Duration(0));
+  Conclude(slot, Final::kFailed, WordFor(action.reason), Duration(0));
 }
 
 bool Service::OnDue(std::uint32_t slot) {
@@ -240,36 +241,39 @@
   s_.Tell(slot, "still without a final answer");
   s_.observer.Unanswered(s_.now(), id, t.proxy);
   t.final = true;
-  if (s_.proxies[t.proxy].alive && s_.proxies[t.proxy].life == t.proxy_life) Feed(t.proxy, ClientGone{id});
+  if (s_.proxies[t.proxy].alive && s_.proxies[t.proxy].life == t.proxy_life)
+    Feed(t.proxy, ClientDisconnected{id});
 }
 
 // ---- attempts -----------------------------------------------------------------------------------------
 
-void Service::Do(std::uint32_t proxy, const Dispatch& action) {
+void Service::Do(std::uint32_t proxy, const StartAttempt& action) {
   std::uint32_t slot = 0;
   Try* t = Held(proxy, action.request, &slot);
-  if (!t || action.server >= s_.backends.size()) return;
-  s_.observer.Dispatched(s_.now(), action.request, proxy, action.server, Judged(*t), t->final);
+  if (!t || action.backend >= s_.backends.size()) return;
+  s_.observer.Dispatched(s_.now(), action.request, proxy, action.backend, Judged(*t), t->final);
   const auto n = static_cast<std::uint32_t>(t->attempts.size());
   const bool out =
       std::any_of(t->attempts.begin(), t->attempts.end(), [](const Attempt& a) { return a.out; });
   if (t->final || out || s_.now() >= t->due || static_cast<int>(n) >= s_.scenario.rules.max_attempts) {
-    AttemptEnded end;
+    AttemptCompleted end;
     end.request = action.request;
     end.attempt = static_cast<int>(n);
-    end.server = action.server;
-    end.settled = t->final;
-    end.outcome = Outcome::kMoot;
-    t->attempts.push_back({action.server, 0, s_.now(), false, false});
+    end.backend = action.backend;
+    end.request_completed = t->final;
+    end.outcome = AttemptOutcome::kNotSent;
+    t->attempts.push_back({action.backend, 0, s_.now(), false, false});
     return Feed(proxy, end);
   }
   ++s_.metrics.attempts;
-  s_.metrics.cross_zone += s_.backends[action.server].zone() != s_.proxies[proxy].zone;
-  t->attempts.push_back({action.server, s_.backends[action.server].life(), s_.now()});
-  s_.Tell(slot, "attempt {} goes to backend {}", n, action.server);
-  s_.LogOf(
-      proxy, "attempt_sent",
-      {{"request", action.request}, {"attempt", n}, {"server", action.server}, {"work_ms", t->wish.hint_ms}});
+  s_.metrics.cross_zone += s_.backends[action.backend].zone() != s_.proxies[proxy].zone;
+  t->attempts.push_back({action.backend, s_.backends[action.backend].life(), s_.now()});
+  s_.Tell(slot, "attempt {} goes to backend {}", n, action.backend);
+  s_.LogOf(proxy, "attempt_sent",
+           {{"request", action.request},
+            {"attempt", n},
+            {"server", action.backend},
+            {"work_ms", t->wish.hint_ms}});
   Send(slot, n);
   const Micros until = s_.now() + FromMs(std::max(0.0, action.timeout.count()));
   if (action.timeout.count() != 0 && until < t->due) {
@@ -324,7 +328,7 @@
 void Service::OnNeverUp(std::uint32_t slot, std::uint32_t n) {
   if (s_.At(slot).attempts[n].out) {
     ++s_.metrics.connect_failed;
-    End(slot, n, Outcome::kConnectFailed);
+    End(slot, n, AttemptOutcome::kConnectFailure);
   }
   s_.Let(slot);
 }
@@ -340,7 +344,8 @@
     silent_[a.backend].emplace_back(slot, n);
     return;
   }
-  if (b.health() == Backend::Health::kDown || a.life != b.life()) return Reply(slot, n, Outcome::kReset);
+  if (b.health() == Backend::Health::kDown || a.life != b.life())
+    return Reply(slot, n, AttemptOutcome::kConnectionReset);
   const RequestClass& c = s_.scenario.classes[t.wish.cls];
   Job job;
   job.try_slot = slot;
@@ -352,10 +357,10 @@
   if (b.Press(s_.now(), job.work_ms, Knew(t.proxy, a.backend), &told_share)) {
     s_.observer.FellOver(s_.now(), a.backend, told_share);
     StopBackend(a.backend, /*silent=*/false);
-    return Reply(slot, n, Outcome::kReset);
+    return Reply(slot, n, AttemptOutcome::kConnectionReset);
   }
-  if (s_.chance.Chance(b.fail_fast())) return Reply(slot, n, Outcome::kError);
-  if (resets_ > 0 && s_.chance.Chance(resets_)) return Reply(slot, n, Outcome::kReset);
+  if (s_.chance.Chance(b.fail_fast())) return Reply(slot, n, AttemptOutcome::kServerError);
+  if (resets_ > 0 && s_.chance.Chance(resets_)) return Reply(slot, n, AttemptOutcome::kConnectionReset);
   Backend::Started started;
   switch (b.Arrive(s_.now(), job, &started)) {
     case Backend::Verdict::kStarted:
@@ -364,7 +369,7 @@
       return s_.Tell(slot, "waits at backend {}, {} held there", a.backend, b.held());
     case Backend::Verdict::kFull:
       ++s_.metrics.turned_away;
-      return Reply(slot, n, Outcome::kFull);
+      return Reply(slot, n, AttemptOutcome::kBackendRejected);
   }
 }
 
@@ -393,7 +398,7 @@
     return;
   }
   if (poisonous_ && job->key != 0 && job->key == s_.day.poison) {
-    Reply(job->try_slot, job->attempt, Outcome::kReset);
+    Reply(job->try_slot, job->attempt, AttemptOutcome::kConnectionReset);
     return on_crash(backend);
   }
   const Try& t = s_.At(job->try_slot);
@@ -401,7 +406,7 @@
   // What a request takes for each that is there: times those there now, what the next would take.
   recent_ms_[backend] += 0.2 * (took / (b.held() + 1) - recent_ms_[backend]);
   Reply(job->try_slot, job->attempt,
-        s_.chance.Chance(b.machine().error_rate) ? Outcome::kError : Outcome::kOk);
+        s_.chance.Chance(b.machine().error_rate) ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
   RunNext(backend);
 }
 
@@ -410,10 +415,10 @@
 }
 
 // The hold goes with the answer.
-void Service::Reply(std::uint32_t slot, std::uint32_t n, Outcome outcome) {
+void Service::Reply(std::uint32_t slot, std::uint32_t n, AttemptOutcome outcome) {
   const Try& t = s_.At(slot);
   const Backend& b = s_.backends[t.attempts[n].backend];
-  if (outcome == Outcome::kOk && lost_answers_ > 0 && s_.chance.Chance(lost_answers_)) {
+  if (outcome == AttemptOutcome::kSuccess && lost_answers_ > 0 && s_.chance.Chance(lost_answers_)) {
     s_.Tell(slot, "the answer is lost");
     return s_.Let(slot);
   }
@@ -424,11 +429,11 @@
 
 void Service::OnAnswer(std::uint32_t slot, std::uint32_t attempt_and_outcome) {
   const std::uint32_t n = attempt_and_outcome & 0xff;
-  const auto outcome = static_cast<Outcome>(attempt_and_outcome >> 8);
+  const auto outcome = static_cast<AttemptOutcome>(attempt_and_outcome >> 8);
   Try& t = s_.At(slot);
   if (t.attempts[n].out && s_.proxies[t.proxy].alive && s_.proxies[t.proxy].life == t.proxy_life) {
-    s_.metrics.errors += outcome == Outcome::kError;
-    s_.metrics.resets += outcome == Outcome::kReset;
+    s_.metrics.errors += outcome == AttemptOutcome::kServerError;
+    s_.metrics.resets += outcome == AttemptOutcome::kConnectionReset;
     End(slot, n, outcome);
   }
   s_.Let(slot);
@@ -444,7 +449,7 @@
     const Micros there = s_.network.Delay(s_.now(), s_.proxies[t.proxy].zone, s_.backends[a.backend].zone());
     s_.queue.Push(s_.now() + there, Rank::kBackend, kGivenUp, n, slot);
   }
-  End(slot, n, Outcome::kTimeout);
+  End(slot, n, AttemptOutcome::kTimeout);
 }
 
 void Service::OnGivenUp(std::uint32_t slot, std::uint32_t n) {
@@ -460,7 +465,7 @@
 }
 
 // An attempt ends, as far as its proxy is concerned.
-void Service::End(std::uint32_t slot, std::uint32_t n, Outcome outcome) {
+void Service::End(std::uint32_t slot, std::uint32_t n, AttemptOutcome outcome) {
   Try& t = s_.At(slot);
   Attempt& a = t.attempts[n];
   a.out = false;
@@ -472,18 +477,20 @@
             {"server", a.backend},
             {"outcome", WordFor(outcome)},
             {"took_ms", ToMs(s_.now() - a.sent)}});
-  Release(t.proxy, a, outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kFull);
-  if (outcome == Outcome::kOk && !t.final) {
+  Release(t.proxy, a,
+          outcome == AttemptOutcome::kSuccess || outcome == AttemptOutcome::kServerError ||
+              outcome == AttemptOutcome::kBackendRejected);
+  if (outcome == AttemptOutcome::kSuccess && !t.final) {
     s_.metrics.useful_ms += a.ran_ms;
     Conclude(slot, Final::kServed, "", Duration(0));
   }
-  AttemptEnded end;
+  AttemptCompleted end;
   end.request = State::IdOf(slot, t);
   end.attempt = static_cast<int>(n);
-  end.server = a.backend;
-  end.settled = t.final;
+  end.backend = a.backend;
+  end.request_completed = t.final;
   end.outcome = outcome;
-  end.took = Duration(ToMs(s_.now() - a.sent));
+  end.duration = Duration(ToMs(s_.now() - a.sent));
   Feed(t.proxy, end);
 }
 
@@ -543,7 +550,7 @@
     if (silent) {
       silent_[backend].emplace_back(job.try_slot, job.attempt);
     } else {
-      Reply(job.try_slot, job.attempt, Outcome::kReset);
+      Reply(job.try_slot, job.attempt, AttemptOutcome::kConnectionReset);
     }
   }
 }
@@ -553,7 +560,7 @@
   recent_ms_[backend] = 0;
   // A machine that was silent answers what is still sent to it, or tried again, with a reset.
   for (const auto& [slot, attempt] : std::exchange(silent_[backend], {}))
-    Reply(slot, attempt, Outcome::kReset);
+    Reply(slot, attempt, AttemptOutcome::kConnectionReset);
 }
 
 bool Service::Knew(std::uint32_t proxy, std::uint32_t backend) const {
@@ -561,7 +568,7 @@
          s_.proxies[proxy].known_start.at(backend) == s_.backends[backend].up_since();
 }
 
-double Service::AnswerIn(std::uint32_t proxy, ServerId backend, double work, std::uint64_t key) const {
+double Service::AnswerIn(std::uint32_t proxy, BackendId backend, double work, std::uint64_t key) const {
   const Backend& b = s_.backends[backend];
   if (b.health() != Backend::Health::kUp || b.fail_fast() > 0.2) return -1;
   if (poisonous_ && key != 0 && key == s_.day.poison) return -1;
--- a/src/lab/world/service.h
+++ b/src/lab/world/service.h
@@ -22,7 +22,7 @@
   void SetCrowd(Crowd* crowd) { crowd_ = crowd; }
 
   // ---- proxies ----
-  void StartProxy(std::uint32_t proxy, std::vector<ServerEntry> known);
+  void StartProxy(std::uint32_t proxy, std::vector<Endpoint> known);
   // What it holds is lost, and its connections break.
   void KillProxy(std::uint32_t proxy);
   void Feed(std::uint32_t proxy, Event event);
@@ -57,7 +57,7 @@
   // Called when a backend crashes by what it ran.
   std::function<void(std::uint32_t)> on_crash;
 
-  double AnswerIn(std::uint32_t proxy, ServerId backend, double work, std::uint64_t key) const override;
+  double AnswerIn(std::uint32_t proxy, BackendId backend, double work, std::uint64_t key) const override;
 
  private:
   struct Answer {
@@ -66,22 +66,22 @@
     double latency_ms = 0;
   };
 
-  void Do(std::uint32_t proxy, const Dispatch& action);
-  void Do(std::uint32_t proxy, const Refuse& action);
-  void Do(std::uint32_t proxy, const Fail& action);
+  void Do(std::uint32_t proxy, const StartAttempt& action);
+  void Do(std::uint32_t proxy, const RejectRequest& action);
+  void Do(std::uint32_t proxy, const FailRequest& action);
   void Do(std::uint32_t proxy, const SetTimer& action);
-  void Do(std::uint32_t proxy, const Subscribe& action);
-  void Do(std::uint32_t proxy, const CloseIdle& action);
+  void Do(std::uint32_t proxy, const PollEndpoints& action);
+  void Do(std::uint32_t proxy, const CloseIdleConnections& action);
   void Do(std::uint32_t proxy, const Log& action);
 
   Try* Held(std::uint32_t proxy, RequestId request, std::uint32_t* slot);
   Observer::Attempts Judged(const Try& t) const;
   void Send(std::uint32_t slot, std::uint32_t attempt);
-  void End(std::uint32_t slot, std::uint32_t attempt, Outcome outcome);
+  void End(std::uint32_t slot, std::uint32_t attempt, AttemptOutcome outcome);
   bool RecognitionIsMeasured() const;
-  void Recognise(Try& t, const Submit& submit);
+  void Recognise(Try& t, const RequestReceived& submit);
   void Conclude(std::uint32_t slot, Final final, const char* why, Duration retry_after);
-  void Reply(std::uint32_t slot, std::uint32_t attempt, Outcome outcome);
+  void Reply(std::uint32_t slot, std::uint32_t attempt, AttemptOutcome outcome);
   void Run(std::uint32_t backend, const Backend::Started& started);
   void RunNext(std::uint32_t backend);
   void Release(std::uint32_t proxy, const Attempt& attempt, bool reusable);
--- a/src/lab/world/views.cpp
+++ b/src/lab/world/views.cpp
@@ -21,7 +21,7 @@
   if (s_.scenario.fleet.positions != Positions::kChance) return;
   for (std::uint32_t p = 0; p < s_.proxies.size(); ++p) {
     Random random(s_.day.seed, "position", p);
-    feed_(p, Position{random.Unit()});
+    feed_(p, SubsetPosition{random.Unit()});
   }
 }
 
@@ -49,7 +49,7 @@
     const auto turn = subsets::TurnAmong(peers, fmt::format("proxy-{}", p));
     if (!turn || (said_[p].life == s_.proxies[p].life && said_[p].turn == *turn)) continue;
     said_[p] = {s_.proxies[p].life, *turn};
-    feed_(p, Position{*turn});
+    feed_(p, SubsetPosition{*turn});
   }
 }
 
--- a/src/overload/priority.cpp
+++ b/src/overload/priority.cpp
@@ -15,8 +15,10 @@
 }  // namespace
 
 Priority::Priority(const Settings& settings)
-    : goal_(settings.goal), classes_(settings.classes.size()), tenants_(settings.tenants.size()) {
-  for (const ClassSettings& c : settings.classes) worth_.push_back(c.worth);
+    : goal_(settings.service_objective),
+      classes_(settings.classes.size()),
+      tenants_(settings.tenants.size()) {
+  for (const ClassSettings& c : settings.classes) worth_.push_back(c.priority_weight);
 }
 
 void Priority::Count(int cls, int tenant, double work, bool within_share, double Share::*sum) {
@@ -53,7 +55,7 @@
 double Priority::Of(int cls, int tenant) const {
   if (cls < 0 || cls >= static_cast<int>(classes_.size())) return 0;
   const double worth = worth_[static_cast<std::size_t>(cls)];
-  double gain = goal_.whole;
+  double gain = goal_.overall;
   const Share* worst = Worst(classes_);
   if (worst == &classes_[static_cast<std::size_t>(cls)] && worst->asked > 0)
     gain += goal_.worst_class * asked_ / worst->asked;
--- a/src/overload/priority.h
+++ b/src/overload/priority.h
@@ -36,7 +36,7 @@
   static const Share* Worst(const std::vector<Share>& shares);
   void Count(int cls, int tenant, double work, bool within_share, double Share::*sum);
 
-  Goal goal_;
+  ServiceObjective goal_;
   std::vector<double> worth_;             // of the classes
   std::vector<Share> classes_, tenants_;  // by worth
   double asked_ = 0;                      // by worth
--- a/src/overload/repeats.cpp
+++ b/src/overload/repeats.cpp
@@ -8,11 +8,11 @@
 
 namespace copperpoint::overload {
 
-std::uint64_t FingerprintOf(const Submit& submit) {
-  if (submit.key == 0 && !submit.has_hint) return 0;
-  const std::uint64_t same[] = {static_cast<std::uint64_t>(submit.request_class),
-                                static_cast<std::uint64_t>(submit.tenant), submit.key,
-                                submit.has_hint ? std::bit_cast<std::uint64_t>(submit.work_ms) : 0};
+std::uint64_t FingerprintOf(const RequestReceived& submit) {
+  if (submit.key == 0 && !submit.has_work_estimate) return 0;
+  const std::uint64_t same[] = {
+      static_cast<std::uint64_t>(submit.request_class), static_cast<std::uint64_t>(submit.tenant), submit.key,
+      submit.has_work_estimate ? std::bit_cast<std::uint64_t>(submit.estimated_work_ms) : 0};
   return std::max<std::uint64_t>(1, XXH64(same, sizeof same, 0));
 }
 
--- a/src/overload/repeats.h
+++ b/src/overload/repeats.h
@@ -17,7 +17,7 @@
 namespace copperpoint::overload {
 
 // What a client says the same of in each of its tries; 0: too little to recognise it by.
-std::uint64_t FingerprintOf(const Submit& submit);
+std::uint64_t FingerprintOf(const RequestReceived& submit);
 
 // A wish of a client, over all of its tries that came here.
 struct Wish {
--- a/src/proxy/control/disabled.cpp
+++ b/src/proxy/control/disabled.cpp
@@ -107,12 +107,12 @@
   if (whole) listed_.clear();
   revision_ = list.revision;
   for (Member& member : list.members) {
-    if (member.state == ServerState::kGone) {
+    if (member.state == EndpointState::kRemoved) {
       listed_.erase(member.id);
       continue;
     }
     listed_[member.id] = member;
-    if (ids_.contains(member.id)) member.state = ServerState::kDraining;
+    if (ids_.contains(member.id)) member.state = EndpointState::kDraining;
   }
   return list;
 }
@@ -131,7 +131,7 @@
     const auto found = listed_.find(id);
     if (found == listed_.end()) continue;
     changes.members.push_back(found->second);
-    if (out) changes.members.back().state = ServerState::kDraining;
+    if (out) changes.members.back().state = EndpointState::kDraining;
   }
   return changes;
 }
--- a/src/proxy/data/backends.cpp
+++ b/src/proxy/data/backends.cpp
@@ -48,10 +48,10 @@
 // comes after its attempt's time-out has nowhere to go.
 class Backends::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Backends& owner, ServerId server, std::uint64_t generation)
+  Connection(Backends& owner, BackendId server, std::uint64_t generation)
       : owner_(&owner), server_(server), generation_(generation), socket_(owner.io_), timer_(owner.io_) {}
 
-  ServerId server() const { return server_; }
+  BackendId server() const { return server_; }
   std::uint64_t generation() const { return generation_; }
   Steady::time_point idle_since() const { return idle_since_; }
 
@@ -60,15 +60,15 @@
     socket_.open(address.protocol(), error);
     if (!error) socket_.set_option(Tcp::no_delay(true), error);
     if (!error) socket_.non_blocking(true, error);
-    if (error) return FinishSoon(Outcome::kMoot, /*local=*/true);
+    if (error) return FinishSoon(AttemptOutcome::kNotSent, /*local=*/true);
     SetTimer(std::min(deadline_, Steady::now() + ToSteady(connect_timeout)));
     socket_.async_connect(address, [self = shared_from_this(), use = use_](const Error& failed) {
       if (!self->Carries(use)) return;
-      if (failed && IsLocal(failed)) return self->Finish(Outcome::kMoot, {}, /*local=*/true);
-      if (failed) return self->Finish(Outcome::kConnectFailed);
+      if (failed && IsLocal(failed)) return self->Finish(AttemptOutcome::kNotSent, {}, /*local=*/true);
+      if (failed) return self->Finish(AttemptOutcome::kConnectFailure);
       self->SetTimer(self->deadline_);
       // What speaks before it is asked will not answer what it is asked.
-      if (!self->Quiet()) return self->Finish(Outcome::kConnectFailed);
+      if (!self->Quiet()) return self->Finish(AttemptOutcome::kConnectFailure);
       self->Write();
     });
   }
@@ -97,7 +97,7 @@
 
   // An attempt that ends before its last byte is out; its result still comes from the event loop. Nothing
   // that completes in the meantime may carry it on.
-  void FinishSoon(Outcome outcome, bool local = false) {
+  void FinishSoon(AttemptOutcome outcome, bool local = false) {
     aborted_ = true;
     asio::post(owner_->io_, [self = shared_from_this(), outcome, local, use = use_] {
       if (use == self->use_) self->Finish(outcome, {}, local);
@@ -108,7 +108,7 @@
   // has partly left for good goes on, as there is no other try.
   void AbortUnsent() {
     if (!done_ || aborted_ || written_ || (upload_ && upload_->consumed)) return;
-    FinishSoon(Outcome::kMoot);
+    FinishSoon(AttemptOutcome::kNotSent);
   }
 
   // Open, with nothing to read. Guards against writing to a connection that the backend has closed in the
@@ -168,9 +168,10 @@
       if (cancelled || self->closed_ || self->aborted_ || Steady::now() < self->timer_.expiry()) return;
       if (!self->done_) return self->Close();  // idle for too long, or stalled in a large answer
       // Nothing has run unless the last byte was written.
-      self->Finish(!self->written_                                           ? Outcome::kConnectFailed
-                   : self->begun_ && self->timer_.expiry() < self->deadline_ ? Outcome::kReset
-                                                                             : Outcome::kTimeout);
+      self->Finish(!self->written_ ? AttemptOutcome::kConnectFailure
+                   : self->begun_ && self->timer_.expiry() < self->deadline_
+                       ? AttemptOutcome::kConnectionReset
+                       : AttemptOutcome::kTimeout);
     });
   }
 
@@ -195,7 +196,7 @@
 
   void Write() {
     const auto left = deadline_ - Steady::now();
-    if (left <= Steady::duration(0)) return FinishSoon(Outcome::kMoot);
+    if (left <= Steady::duration(0)) return FinishSoon(AttemptOutcome::kNotSent);
     if (upload_)
       return WritePiece(Head(timeout_) + Framed(request_->body(), false, request_->chunked()), false);
     out_ = Head(left);
@@ -227,11 +228,11 @@
         socket_.async_wait(Tcp::socket::wait_write,
                            [self = shared_from_this(), use = use_, last](const Error& failed) {
                              if (!self->Carries(use)) return;
-                             failed ? self->Finish(Outcome::kConnectFailed) : self->Flush(last);
+                             failed ? self->Finish(AttemptOutcome::kConnectFailure) : self->Flush(last);
                            });
         return;
       }
-      if (failed && failed != asio::error::interrupted) return FinishSoon(Outcome::kConnectFailed);
+      if (failed && failed != asio::error::interrupted) return FinishSoon(AttemptOutcome::kConnectFailure);
     }
     last ? OnWritten() : ReadUpload();
   }
@@ -253,7 +254,8 @@
     upload_->rest->Read(
         [self = shared_from_this(), use = use_](bool whole, std::string_view piece, bool last) {
           if (!self->Carries(use)) return;
-          if (!whole) return self->Finish(Outcome::kMoot);  // the client's doing, and nothing has run
+          if (!whole)
+            return self->Finish(AttemptOutcome::kNotSent);  // the client's doing, and nothing has run
           self->WritePiece(Framed(piece, last, self->request_->chunked()), last);
         });
   }
@@ -262,7 +264,7 @@
   void AwaitAnswer() {
     socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_](const Error& failed) {
       if (!self->Carries(use)) return;
-      if (failed) return self->Finish(Outcome::kReset);
+      if (failed) return self->Finish(AttemptOutcome::kConnectionReset);
       self->begun_ = true;
       self->ExpectMore();
       self->Read();
@@ -278,7 +280,7 @@
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this(), use = use_](const Error& failed, std::size_t) {
                               if (!self->Carries(use)) return;
-                              if (failed) return self->Finish(Outcome::kReset);
+                              if (failed) return self->Finish(AttemptOutcome::kConnectionReset);
                               self->OnHeader();
                             });
   }
@@ -288,14 +290,14 @@
     if (header.result_int() < 200) {
       // The final answer is still to come; but nothing here asked to switch protocols.
       const bool over = header.result() == http::status::switching_protocols || ++interim_ > kMostInterim;
-      return over ? Finish(Outcome::kReset) : Read();
+      return over ? Finish(AttemptOutcome::kConnectionReset) : Read();
     }
     // An answer that only the connection's end delimits cannot be told from one cut short, unless the backend
     // has said that it will close: then a plain end is the answer's, and a reset is not.
     const bool ends_it =
         header.version() >= 11 && http::token_list(header[http::field::connection]).exists("close");
     if (!FramingIsPlain(header, header.version()) || (parser_->need_eof() && !parser_->chunked() && !ends_it))
-      return Finish(Outcome::kReset);
+      return Finish(AttemptOutcome::kConnectionReset);
     ReadBody();
   }
 
@@ -305,15 +307,15 @@
     if (parser_->is_done()) {
       reusable_ = parser_->keep_alive() && buffer_.size() == 0;
       HttpResponse response(parser_->get().base(), std::move(body_));
-      const Outcome outcome = OutcomeOf(*request_, response);
+      const AttemptOutcome outcome = OutcomeOf(*request_, response);
       return Finish(outcome, std::move(response));
     }
     if (body_.size() > kMostWhole || (length && *length > kMostWhole))
-      return ok ? BeginStream() : Finish(Outcome::kReset);
+      return ok ? BeginStream() : Finish(AttemptOutcome::kConnectionReset);
     ReadPiece(socket_, buffer_, *parser_, piece_,
               [self = shared_from_this(), use = use_](const Error& failed, auto got) {
                 if (!self->Carries(use)) return;
-                if (failed) return self->Finish(Outcome::kReset);
+                if (failed) return self->Finish(AttemptOutcome::kConnectionReset);
                 self->body_.append(self->piece_.data(), got());
                 self->ExpectMore();
                 self->ReadBody();
@@ -324,7 +326,7 @@
   void BeginStream() {
     const auto self = shared_from_this();
     AttemptResult result;
-    result.outcome = Outcome::kOk;
+    result.outcome = AttemptOutcome::kSuccess;
     if (parser_->content_length()) result.length = *parser_->content_length();
     result.response = HttpResponse(parser_->get().base(), std::move(body_));
     if (upload_) result.written = written_at_;
@@ -376,7 +378,7 @@
     buffer_.shrink_to_fit();
   }
 
-  void Finish(Outcome outcome, HttpResponse response = {}, bool local = false) {
+  void Finish(AttemptOutcome outcome, HttpResponse response = {}, bool local = false) {
     if (!done_) return;
     const auto self = shared_from_this();
     const AttemptDone done = std::exchange(done_, nullptr);
@@ -390,7 +392,7 @@
       Close();
     }
     // Where one answer stays away, the idle connections may lead nowhere too.
-    if (outcome == Outcome::kTimeout && owner_) owner_->CloseIdle(server_);
+    if (outcome == AttemptOutcome::kTimeout && owner_) owner_->CloseIdleConnections(server_);
     AttemptResult result;
     result.outcome = outcome;
     result.response = std::move(response);
@@ -400,7 +402,7 @@
   }
 
   Backends* owner_;
-  ServerId server_;
+  BackendId server_;
   std::uint64_t generation_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
@@ -434,7 +436,7 @@
   }
 }
 
-void Backends::Set(ServerId server, const Tcp::endpoint& address, double up_since) {
+void Backends::Set(BackendId server, const Tcp::endpoint& address, double up_since) {
   Backend& backend = backends_[server];
   if (backend.usable && backend.address == address && backend.up_since == up_since) return;
   Retire(server);
@@ -443,14 +445,14 @@
   backend.usable = true;
 }
 
-void Backends::Retire(ServerId server) {
+void Backends::Retire(BackendId server) {
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   Backend& backend = found->second;
   if (!backend.usable && backend.live == 0) return;
   ++backend.generation;
   backend.usable = false;
-  CloseIdle(server);
+  CloseIdleConnections(server);
   if (backend.live == 0) return;
   // What is still being dialled or written would begin at a backend that wants nothing new.
   for (const auto& [key, weak] : live_) {
@@ -459,13 +461,13 @@
   }
 }
 
-void Backends::RetireOthers(const std::unordered_set<ServerId>& named) {
+void Backends::RetireOthers(const std::unordered_set<BackendId>& named) {
   for (const auto& [server, backend] : backends_) {
     if (!named.contains(server)) Retire(server);
   }
 }
 
-void Backends::CloseIdle(ServerId server) {
+void Backends::CloseIdleConnections(BackendId server) {
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   const auto idle = std::move(found->second.idle);
@@ -473,7 +475,7 @@
   for (const auto& connection : idle) connection->Close();
 }
 
-void Backends::Forget(ServerId server) {
+void Backends::Forget(BackendId server) {
   const auto found = backends_.find(server);
   if (found != backends_.end() && !found->second.usable && found->second.live == 0) backends_.erase(found);
 }
@@ -483,8 +485,8 @@
   if (connection && connection->use() == ticket.use) connection->AbortUnsent();
 }
 
-Backends::Ticket Backends::Send(ServerId server, std::shared_ptr<const HttpRequest> request, Duration timeout,
-                                AttemptDone done, std::shared_ptr<Upload> upload) {
+Backends::Ticket Backends::Send(BackendId server, std::shared_ptr<const HttpRequest> request,
+                                Duration timeout, AttemptDone done, std::shared_ptr<Upload> upload) {
   Backend& backend = backends_[server];
   std::shared_ptr<Connection> connection = TakeIdle(backend);
   if (connection) {
@@ -500,9 +502,9 @@
   // A backend that never had an address could not be connected to; a pool full of attempts is no backend's
   // fault.
   if (backend.address.port() == 0) {
-    connection->FinishSoon(Outcome::kConnectFailed);
+    connection->FinishSoon(AttemptOutcome::kConnectFailure);
   } else if (open_ > limits_.connections && !CloseOldestIdle()) {
-    connection->FinishSoon(Outcome::kMoot, /*local=*/true);
+    connection->FinishSoon(AttemptOutcome::kNotSent, /*local=*/true);
   } else {
     ++opened_;
     log::Global().Debug("connection_opened", {{"server", server}});
--- a/src/proxy/data/backends.h
+++ b/src/proxy/data/backends.h
@@ -21,13 +21,13 @@
 namespace copperpoint::proxy {
 
 struct AttemptResult {
-  Outcome outcome = Outcome::kUnknown;
+  AttemptOutcome outcome = AttemptOutcome::kUnknown;
   HttpResponse response;  // of kOk, whole but for `rest`; of kUnknown, where the backend turned the request
                           // away as faulty
   std::shared_ptr<PieceSource> rest;  // of a large answer; whoever lets it go lets go of the connection
   std::optional<std::uint64_t> length;
   std::optional<Steady::time_point> written;  // when a large request's last byte was
-  bool local = false;  // of kMoot: it could not begin for want of descriptors or places here
+  bool local = false;  // of kNotSent: it could not begin for want of descriptors or places here
 };
 using AttemptDone = std::function<void(AttemptResult)>;
 
@@ -46,16 +46,16 @@
   Backends& operator=(const Backends&) = delete;
 
   // Where a backend listens now, and since when it runs. Idle connections to what has moved or restarted go.
-  void Set(ServerId server, const boost::asio::ip::tcp::endpoint& address, double up_since);
+  void Set(BackendId server, const boost::asio::ip::tcp::endpoint& address, double up_since);
   // Nothing new will go there: idle connections go, and so do those in use when their answers are in.
   // Attempts whose last byte is not out end as moot: they never ran.
-  void Retire(ServerId server);
+  void Retire(BackendId server);
   // All but those that a complete list names.
-  void RetireOthers(const std::unordered_set<ServerId>& named);
-  void CloseIdle(ServerId server);
+  void RetireOthers(const std::unordered_set<BackendId>& named);
+  void CloseIdleConnections(BackendId server);
 
   // Drops what is known of a backend that is retired.
-  void Forget(ServerId server);
+  void Forget(BackendId server);
 
   // One attempt with the request as it came, but for how long its answer will be waited for. `done` is called
   // once, never from within this call, and not after the destructor.
@@ -64,8 +64,8 @@
     std::weak_ptr<void> connection;
     std::uint64_t use = 0;
   };
-  Ticket Send(ServerId server, std::shared_ptr<const HttpRequest> request, Duration timeout, AttemptDone done,
-              std::shared_ptr<Upload> upload = nullptr);
+  Ticket Send(BackendId server, std::shared_ptr<const HttpRequest> request, Duration timeout,
+              AttemptDone done, std::shared_ptr<Upload> upload = nullptr);
   // Ends that attempt as moot, soon, unless its last byte is out.
   void AbortUnsent(const Ticket& ticket);
 
@@ -94,7 +94,7 @@
 
   boost::asio::io_context& io_;
   Limits limits_;
-  std::unordered_map<ServerId, Backend> backends_;
+  std::unordered_map<BackendId, Backend> backends_;
   std::unordered_map<const Connection*, std::weak_ptr<Connection>> live_;
   std::size_t open_ = 0, opened_ = 0;
 };
--- a/src/proxy/data/framing.cpp
+++ b/src/proxy/data/framing.cpp
@@ -98,13 +98,13 @@
   const auto kind = message.find("Req-Kind");
   if (kind != message.end() && View(kind->value()) != class_name) return bad("Req-Kind is not the path's");
   const ClassSettings& c = config.settings.classes[request->request_class];
-  const http::verb method = c.effect == Effect::kSafe ? http::verb::get : http::verb::post;
+  const http::verb method = c.idempotency == Idempotency::kIdempotent ? http::verb::get : http::verb::post;
   if (message.method() != method) return Complaint{http::status::method_not_allowed, "wrong method"};
   const auto id = message["Req-Id"];
   if (id.empty() || id.size() > kMostId) return bad("Req-Id is missing or too long");
-  if (c.effect == Effect::kKeyed && message["Idempotency-Key"].empty())
+  if (c.idempotency == Idempotency::kIdempotencyKey && message["Idempotency-Key"].empty())
     return bad("Idempotency-Key is missing");
-  if (c.effect == Effect::kUnsafe && message.count("Idempotency-Key") > 0)
+  if (c.idempotency == Idempotency::kNonIdempotent && message.count("Idempotency-Key") > 0)
     return bad("Idempotency-Key on a class without");
 
   double deadline_ms = c.deadline.count();
--- a/src/proxy/data/outcome.h
+++ b/src/proxy/data/outcome.h
@@ -9,7 +9,7 @@
 
 namespace copperpoint::proxy {
 
-Outcome OutcomeOf(const HttpRequest& request, const HttpResponse& response);
+AttemptOutcome OutcomeOf(const HttpRequest& request, const HttpResponse& response);
 
 }  // namespace copperpoint::proxy
 
--- a/src/proxy/discovery/members.cpp
+++ b/src/proxy/discovery/members.cpp
@@ -13,10 +13,10 @@
 using nlohmann::json;
 using Tcp = boost::asio::ip::tcp;
 
-std::optional<ServerState> StateOf(std::string_view phase) {
-  if (phase == "in_service") return ServerState::kReady;
-  if (phase == "terminating") return ServerState::kDraining;
-  if (phase == "terminated") return ServerState::kGone;
+std::optional<EndpointState> StateOf(std::string_view phase) {
+  if (phase == "in_service") return EndpointState::kReady;
+  if (phase == "terminating") return EndpointState::kDraining;
+  if (phase == "terminated") return EndpointState::kRemoved;
   return std::nullopt;
 }
 
@@ -27,10 +27,10 @@
   if (m.id.empty()) *why = "an entry has an empty id";
   const auto state = StateOf(entry.at("phase").get<std::string>());
   if (!state) *why = "an entry has an unknown phase";
-  m.state = state.value_or(ServerState::kGone);
+  m.state = state.value_or(EndpointState::kRemoved);
   const auto address = ParseEndpoint(entry.value("host_port", ""));
   // What is gone needs no address.
-  if (!address && m.state != ServerState::kGone) *why = "an entry has no usable host_port";
+  if (!address && m.state != EndpointState::kRemoved) *why = "an entry has no usable host_port";
   m.address = address.value_or(Tcp::endpoint());
   m.zone = entry.value("locality", "");
   m.kind = entry.value("flavor", "");
@@ -103,7 +103,7 @@
   std::sort(fresh.begin(), fresh.end());
   for (const std::string& id : fresh) {
     if (numbers_.contains(id)) continue;
-    ServerId number = hash_(id);
+    BackendId number = hash_(id);
     for (int salt = 1; taken_.contains(number); ++salt) {
       std::string salted(id);
       number = HashOf(salted.append(1, '#').append(std::to_string(salt)));
--- a/src/proxy/discovery/members.h
+++ b/src/proxy/discovery/members.h
@@ -22,7 +22,7 @@
   boost::asio::ip::tcp::endpoint address;
   std::string zone, kind;
   int cell = 0;
-  ServerState state = ServerState::kReady;
+  EndpointState state = EndpointState::kReady;
   double weight = 1;
   double up_since_unix_ms = 0;  // 0: long ago
 };
@@ -53,14 +53,14 @@
 
   // Numbers every id of a list, then `Of` finds them.
   void Learn(const std::vector<Member>& members);
-  ServerId Of(const std::string& id) const { return numbers_.at(id); }
+  BackendId Of(const std::string& id) const { return numbers_.at(id); }
   void Forget(const std::string& id);
-  const std::unordered_map<std::string, ServerId>& all() const { return numbers_; }
+  const std::unordered_map<std::string, BackendId>& all() const { return numbers_; }
 
  private:
   Hash hash_;
-  std::unordered_map<std::string, ServerId> numbers_;
-  std::unordered_map<ServerId, std::string> taken_;
+  std::unordered_map<std::string, BackendId> numbers_;
+  std::unordered_map<BackendId, std::string> taken_;
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -58,7 +58,7 @@
   options.address = config.discovery;
   options.revision = config.known.revision;
   options.reconnect =
-      config.settings.must_ask_for_list ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
+      config.settings.polls_endpoints ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
   options.seed = config.seed;
   return options;
 }
@@ -78,12 +78,14 @@
   backends_ = std::make_unique<Backends>(io, BackendLimits(config_));
   discovery_ = std::make_unique<Discovery>(
       io, DiscoveryOptions(config_),
-      [this](const MemberList& list) { OnList(list, list.complete ? ListKind::kFull : ListKind::kDelta); },
+      [this](const MemberList& list) {
+        OnList(list, list.complete ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kIncremental);
+      },
       [this] {
-        Feed(ListUpdate{ListKind::kFailed, {}});
+        Feed(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
       });
-  OnList(config_.known, ListKind::kCached);
-  if (!config_.settings.must_ask_for_list) discovery_->Watch();
+  OnList(config_.known, EndpointUpdateKind::kCached);
+  if (!config_.settings.polls_endpoints) discovery_->Watch();
   predecessor_ = HandoverClient::Connect(io, StateFile(config_, "handover.sock"));
   if (predecessor_) {
     log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", config_.upgrade.list.count()}});
@@ -99,7 +101,7 @@
         io, config_.fleet,
         FleetSelf{config_.name, zone < config_.zones.size() ? config_.zones[zone] : "", COPPERPOINT_VERSION,
                   config_.settings_version},
-        config_.seed ^ std::random_device()(), [this](double turn) { Feed(Position{turn}); });
+        config_.seed ^ std::random_device()(), [this](double turn) { Feed(SubsetPosition{turn}); });
     TellFleet();
   }
 }
@@ -135,7 +137,7 @@
 OperatorCalls::Verdict Proxy::Carried(DisabledBackends::Verdict verdict, const MemberList& changes) {
   if (verdict == DisabledBackends::Verdict::kUnknown) return Verdict::kUnknownBackend;
   if (verdict == DisabledBackends::Verdict::kNotKept) return Verdict::kNotKept;
-  if (!changes.members.empty()) PassOn(changes, ListKind::kDelta);
+  if (!changes.members.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
   return Verdict::kDone;
 }
 
@@ -181,7 +183,7 @@
     if (cancelled) return;
     LookAfterState();
     const MemberList changes = disabled_.Reread();
-    if (!changes.members.empty()) PassOn(changes, ListKind::kDelta);
+    if (!changes.members.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
     if (successor_) successor_->Tell(nlohmann::json{{"descriptors", Descriptors()}}.dump());
   });
 }
@@ -260,13 +262,13 @@
 
 std::string Proxy::LearntText() {
   nlohmann::json learnt = nlohmann::json::array();
-  std::unordered_map<ServerId, std::string> names;
+  std::unordered_map<BackendId, std::string> names;
   for (const auto& [id, number] : numbers_.all()) names.emplace(number, id);
-  for (const Learnt& of : balancer_.Learned(clock_.Now())) {
-    learnt.push_back({{"id", names[of.server]},
-                      {"multiplier", of.multiplier},
-                      {"ejected_ms", of.ejected_for.count()},
-                      {"cold_work", of.cold_work}});
+  for (const BackendSnapshot& of : balancer_.ExportState(clock_.Now())) {
+    learnt.push_back({{"id", names[of.backend]},
+                      {"multiplier", of.ejection_multiplier},
+                      {"ejected_ms", of.ejection_remaining.count()},
+                      {"cold_work", of.slow_start_work}});
   }
   return nlohmann::json{{"descriptors", Descriptors()}, {"learnt", learnt}}.dump();
 }
@@ -274,29 +276,29 @@
 // Believed as far as it fits: without it, this process learns for itself.
 void Proxy::OnGift(const std::string& text) {
   const auto json = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
-  Inherited inherited;
+  StateRestored inherited;
   try {
     LeaveTo(json.at("descriptors").get<int>());
     for (const auto& entry : json.at("learnt")) {
       const auto number = numbers_.all().find(entry.at("id").get<std::string>());
       if (number == numbers_.all().end()) continue;
-      inherited.servers.push_back({number->second, std::clamp(entry.at("multiplier").get<int>(), 0, 100),
-                                   Duration(entry.at("ejected_ms").get<double>()),
-                                   std::max(0.0, entry.at("cold_work").get<double>())});
+      inherited.backends.push_back({number->second, std::clamp(entry.at("multiplier").get<int>(), 0, 100),
+                                    Duration(entry.at("ejected_ms").get<double>()),
+                                    std::max(0.0, entry.at("cold_work").get<double>())});
     }
   } catch (const nlohmann::json::exception& error) {
     log::Global().Warn("upgrade_learnt_unreadable", {{"reason", error.what()}});
   }
-  if (!inherited.servers.empty()) Feed(std::move(inherited));
+  if (!inherited.backends.empty()) Feed(std::move(inherited));
 }
 
 // The only caller of Handle. An action may bring about an event at once: it waits its turn here, so that
 // Handle is never entered while its actions are being carried out.
 void Proxy::Feed(Event event) {
   // News of the list go before what waits: a request must not be sent by an older list than has been told.
-  if (std::holds_alternative<ListUpdate>(event)) {
+  if (std::holds_alternative<EndpointUpdate>(event)) {
     const auto first_other = std::find_if(events_.begin(), events_.end(), [](const Event& e) {
-      return !std::holds_alternative<ListUpdate>(e);
+      return !std::holds_alternative<EndpointUpdate>(e);
     });
     events_.insert(first_other, std::move(event));
   } else {
@@ -329,43 +331,43 @@
         std::visit([this](const auto& a) { Do(a); }, action);
       } catch (const std::exception& error) {
         log::Global().Error("action_failed", {{"error", error.what()}});
-        if (const auto* sent = std::get_if<Dispatch>(&action)) OnNotSent(*sent);
+        if (const auto* sent = std::get_if<StartAttempt>(&action)) OnNotSent(*sent);
       }
     }
   }
 }
 
 // The module waits for the end of what it has sent.
-void Proxy::OnNotSent(const Dispatch& action) {
+void Proxy::OnNotSent(const StartAttempt& action) {
   const auto found = pending_.find(action.request);
   if (found == pending_.end()) return;
   found->second.attempt_out = false;
-  AttemptEnded end;
+  AttemptCompleted end;
   end.request = action.request;
   end.attempt = found->second.attempts - 1;
-  end.server = action.server;
-  end.settled = !found->second.responder;
-  end.outcome = Outcome::kMoot;
+  end.backend = action.backend;
+  end.request_completed = !found->second.responder;
+  end.outcome = AttemptOutcome::kNotSent;
   events_.push_back(end);
 }
 
-void Proxy::OnList(const MemberList& list, ListKind kind) {
-  PassOn(disabled_.Pass(list, kind != ListKind::kDelta), kind);
+void Proxy::OnList(const MemberList& list, EndpointUpdateKind kind) {
+  PassOn(disabled_.Pass(list, kind != EndpointUpdateKind::kIncremental), kind);
   listed_ |= !list.members.empty();
   if (clients_ && listed_) lifecycle_.Started();
   TellFleet();
   // From within discovery's call: the hand-over is a step of its own.
-  if (predecessor_ && !clients_ && kind != ListKind::kCached && listed_) TakeOverAfter({});
+  if (predecessor_ && !clients_ && kind != EndpointUpdateKind::kCached && listed_) TakeOverAfter({});
 }
 
-void Proxy::PassOn(const MemberList& list, ListKind kind) {
+void Proxy::PassOn(const MemberList& list, EndpointUpdateKind kind) {
   numbers_.Learn(list.members);
-  if (kind != ListKind::kDelta) {
-    std::unordered_set<ServerId> named;
+  if (kind != EndpointUpdateKind::kIncremental) {
+    std::unordered_set<BackendId> named;
     for (const Member& m : list.members) named.insert(numbers_.Of(m.id));
     backends_->RetireOthers(named);
   }
-  ListUpdate update;
+  EndpointUpdate update;
   update.kind = kind;
   log::Global().Debug("list_taken", {{"kind", WordFor(kind)},
                                      {"revision", static_cast<std::int64_t>(list.revision)},
@@ -377,8 +379,8 @@
                                           {"kind", m.kind},
                                           {"state", WordFor(m.state)},
                                           {"up_since_ms", m.up_since_unix_ms}});
-    ServerEntry entry;
-    entry.server = numbers_.Of(m.id);
+    Endpoint entry;
+    entry.backend = numbers_.Of(m.id);
     entry.zone = ZoneOf(m.zone);
     const auto kind_name = std::find(config_.kinds.begin(), config_.kinds.end(), m.kind);
     entry.kind = static_cast<int>(kind_name - config_.kinds.begin());
@@ -386,23 +388,23 @@
     entry.state = m.state;
     entry.weight = m.weight;
     entry.up_since = clock_.FromUnix(m.up_since_unix_ms);
-    update.entries.push_back(entry);
-    if (m.state == ServerState::kReady) {
-      backends_->Set(entry.server, m.address, m.up_since_unix_ms);
+    update.endpoints.push_back(entry);
+    if (m.state == EndpointState::kReady) {
+      backends_->Set(entry.backend, m.address, m.up_since_unix_ms);
     } else {
-      backends_->Retire(entry.server);
+      backends_->Retire(entry.backend);
     }
   }
   std::unordered_set<std::string_view> here;
   for (const Member& m : list.members) {
-    if (m.state == ServerState::kGone) {
+    if (m.state == EndpointState::kRemoved) {
       gone_since_.try_emplace(m.id, Steady::now());
     } else {
       here.insert(m.id);
       gone_since_.erase(m.id);
     }
   }
-  if (kind != ListKind::kDelta) {
+  if (kind != EndpointUpdateKind::kIncremental) {
     for (const auto& [id, number] : numbers_.all()) {
       if (!here.contains(id)) gone_since_.try_emplace(id, Steady::now());
     }
@@ -430,15 +432,15 @@
 
 RequestId Proxy::OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) {
   const RequestId id = ++last_request_;
-  Submit submit;
+  RequestReceived submit;
   submit.request = id;
-  submit.due = clock_.At(request.due);
+  submit.deadline = clock_.At(request.due);
   submit.request_class = request.request_class;
   submit.tenant = request.tenant;
   submit.key = request.key;
-  submit.has_hint = request.has_hint;
+  submit.has_work_estimate = request.has_hint;
   submit.client_retry = request.client_retry;
-  submit.work_ms = request.work_ms;
+  submit.estimated_work_ms = request.work_ms;
   Pending& pending = pending_[id];
   pending.arrived = Steady::now();
   pending.request_class = request.request_class;
@@ -449,7 +451,7 @@
                                           {"id", std::string(request.message["Req-Id"])},
                                           {"wish", log::Hex(overload::FingerprintOf(submit))},
                                           {"class", submit.request_class},
-                                          {"work_ms", submit.work_ms}});
+                                          {"work_ms", submit.estimated_work_ms}});
   }
   open_ids_.emplace(request.message["Req-Id"]);
   pending.message = std::make_shared<const HttpRequest>(std::move(request.message));
@@ -466,74 +468,75 @@
   if (const auto found = pending_.find(request); found != pending_.end() && found->second.attempt_out)
     backends_->AbortUnsent(found->second.attempt);
   ForgetIfOver(request);
-  Feed(ClientGone{request});
+  Feed(ClientDisconnected{request});
 }
 
-void Proxy::Do(const Dispatch& action) {
+void Proxy::Do(const StartAttempt& action) {
   const auto found = pending_.find(action.request);
   const auto now = Steady::now();
   // Numbered by the order of their Dispatch; one that cannot go out is over at once, and never ran.
   const int attempt = found == pending_.end() ? 0 : found->second.attempts++;
   if (found == pending_.end() || !found->second.responder || found->second.attempt_out ||
       now >= found->second.due || attempt >= config_.settings.max_attempts) {
-    AttemptEnded end;
+    AttemptCompleted end;
     end.request = action.request;
     end.attempt = attempt;
-    end.server = action.server;
-    end.settled = found == pending_.end() || !found->second.responder;
-    end.outcome = Outcome::kMoot;
+    end.backend = action.backend;
+    end.request_completed = found == pending_.end() || !found->second.responder;
+    end.outcome = AttemptOutcome::kNotSent;
     return Feed(end);
   }
   Pending& pending = found->second;
   pending.attempt_out = true;
   log::Global().Debug("attempt_sent", {{"request", action.request},
                                        {"attempt", attempt},
-                                       {"server", action.server},
+                                       {"server", action.backend},
                                        {"work_ms", pending.work_ms}});
   Duration timeout = pending.due - now;
   if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
   pending.attempt = backends_->Send(
-      action.server, pending.message, timeout,
-      [this, id = action.request, attempt, server = action.server, now](AttemptResult result) {
+      action.backend, pending.message, timeout,
+      [this, id = action.request, attempt, server = action.backend, now](AttemptResult result) {
         OnAttemptDone(id, attempt, server, now, std::move(result));
       },
       pending.upload);
 }
 
-void Proxy::OnAttemptDone(RequestId request, int attempt, ServerId server, Steady::time_point sent,
+void Proxy::OnAttemptDone(RequestId request, int attempt, BackendId server, Steady::time_point sent,
                           AttemptResult result) {
-  AttemptEnded end;
+  AttemptCompleted end;
   end.request = request;
   end.attempt = attempt;
-  end.server = server;
+  end.backend = server;
   end.outcome = result.outcome;
-  end.took = Steady::now() - result.written.value_or(sent);
+  end.duration = Steady::now() - result.written.value_or(sent);
   const auto found = pending_.find(request);
   log::Global().Debug("attempt_ended", {{"request", request},
                                         {"attempt", attempt},
                                         {"server", server},
                                         {"outcome", WordFor(end.outcome)},
-                                        {"took_ms", end.took.count()}});
+                                        {"took_ms", end.duration.count()}});
   if (found != pending_.end()) found->second.attempt_out = false;
-  if (result.outcome == Outcome::kOk) {
+  if (result.outcome == AttemptOutcome::kSuccess) {
     Give(Conclude(request, End::kServed), [&](Responder& to) {
       to.Served(std::move(result.response), std::move(result.rest), result.length);
     });
-  } else if (result.outcome == Outcome::kUnknown) {
+  } else if (result.outcome == AttemptOutcome::kUnknown) {
     Give(Conclude(request, End::kRejected), [&](Responder& to) { to.Rejected(result.response.result()); });
   } else if (result.local) {
     // Over a limit of this process: no backend is to blame, and another attempt would fare no better.
     const bool began = attempt > 0;
-    Give(Conclude(request, began ? End::kFailed : End::kRefused, "own_limit"),
+    Give(Conclude(request, began ? End::kFailed : End::kRefused, RejectReason::kProcessLimit),
          [&](Responder& to) { began ? to.Failed() : to.Refused(config_.shares.refusal); });
   } else if (found != pending_.end() && found->second.upload && found->second.upload->consumed) {
     // Some of the body has left for good: there is no other attempt.
-    const bool ran = result.outcome != Outcome::kConnectFailed && result.outcome != Outcome::kFull &&
-                     result.outcome != Outcome::kMoot;
-    Give(Conclude(request, ran ? End::kFailed : End::kRefused, "body_has_left"),
+    const bool ran = result.outcome != AttemptOutcome::kConnectFailure &&
+                     result.outcome != AttemptOutcome::kBackendRejected &&
+                     result.outcome != AttemptOutcome::kNotSent;
+    Give(Conclude(request, ran ? End::kFailed : End::kRefused, RejectReason::kRequestBodyConsumed),
          [&](Responder& to) { ran ? to.Failed() : to.Refused(config_.shares.refusal); });
   }
-  end.settled = found == pending_.end() || !found->second.responder;
+  end.request_completed = found == pending_.end() || !found->second.responder;
   ForgetIfOver(request);
   Feed(end);
 }
@@ -555,14 +558,14 @@
 
 // Ends the request: whoever gets the responder gives the one final answer. One line each, for who counts
 // across a fleet.
-std::shared_ptr<Responder> Proxy::Conclude(RequestId request, End end, const char* why) {
+std::shared_ptr<Responder> Proxy::Conclude(RequestId request, End end, RejectReason reason) {
   const auto found = pending_.find(request);
   if (found == pending_.end() || !found->second.responder) return nullptr;
   Pending& of = found->second;
   log::Global().Debug("request_ended", {{"request", request},
                                         {"class", of.request_class},
                                         {"how", NameOf(end)},
-                                        {"why", why},
+                                        {"why", WordFor(reason)},
                                         {"attempts", of.attempts},
                                         {"after_ms", Duration(Steady::now() - of.arrived).count()},
                                         {"allowed_ms", Duration(of.due - of.arrived).count()}});
@@ -582,22 +585,22 @@
   pending_.erase(found);
 }
 
-void Proxy::Do(const Refuse& action) {
-  Give(Conclude(action.request, End::kRefused, action.why),
+void Proxy::Do(const RejectRequest& action) {
+  Give(Conclude(action.request, End::kRefused, action.reason),
        [&](Responder& to) { to.Refused(action.retry_after); });
   ForgetIfOver(action.request);
 }
 
-void Proxy::Do(const Fail& action) {
-  Give(Conclude(action.request, End::kFailed, action.why), [](Responder& to) { to.Failed(); });
+void Proxy::Do(const FailRequest& action) {
+  Give(Conclude(action.request, End::kFailed, action.reason), [](Responder& to) { to.Failed(); });
   ForgetIfOver(action.request);
 }
 
 void Proxy::Do(const SetTimer& action) { timers_.emplace(action.at, action.token); }
 
-void Proxy::Do(const Subscribe&) { discovery_->Watch(); }
+void Proxy::Do(const PollEndpoints&) { discovery_->Watch(); }
 
-void Proxy::Do(const struct CloseIdle& action) { backends_->CloseIdle(action.server); }
+void Proxy::Do(const struct CloseIdleConnections& action) { backends_->CloseIdleConnections(action.backend); }
 
 void Proxy::Do(const Log& action) { log::Global().Info("decision", {{"text", action.text}}); }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -83,8 +83,8 @@
 
   void Feed(Event event);
   void HandleQueued();
-  void OnList(const MemberList& list, ListKind kind);
-  void PassOn(const MemberList& list, ListKind kind);
+  void OnList(const MemberList& list, EndpointUpdateKind kind);
+  void PassOn(const MemberList& list, EndpointUpdateKind kind);
   Verdict Carried(DisabledBackends::Verdict verdict, const MemberList& changes);
   void LookAfterState();
   void TellFleet();  // what this process is up to
@@ -100,20 +100,20 @@
   void ForgetLongGone();
   int ZoneOf(const std::string& name) const;
 
-  void Do(const Dispatch& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
+  void Do(const StartAttempt& action);
+  void Do(const RejectRequest& action);
+  void Do(const FailRequest& action);
   void Do(const SetTimer& action);
-  void Do(const Subscribe& action);
-  void Do(const struct CloseIdle& action);
+  void Do(const PollEndpoints& action);
+  void Do(const struct CloseIdleConnections& action);
   void Do(const Log& action);
 
-  void OnNotSent(const Dispatch& action);
-  void OnAttemptDone(RequestId request, int attempt, ServerId server, Steady::time_point sent,
+  void OnNotSent(const StartAttempt& action);
+  void OnAttemptDone(RequestId request, int attempt, BackendId server, Steady::time_point sent,
                      AttemptResult result);
   template <typename Answer>
   void Give(const std::shared_ptr<Responder>& responder, Answer answer);
-  std::shared_ptr<Responder> Conclude(RequestId request, End end, const char* why = "");
+  std::shared_ptr<Responder> Conclude(RequestId request, End end, RejectReason reason = RejectReason::kNone);
   void ForgetIfOver(RequestId request);
   void ArmTimer();
 
--- a/src/rig/plan.cpp
+++ b/src/rig/plan.cpp
@@ -145,11 +145,11 @@
            {.text = "of a request, without another beside it", .unit = "ms", .most = 1e4});
   v.Whole32("slots", slots, {.text = "requests at once; more are turned away", .least = 1, .most = 10000});
   v.Number("rate", rate, {.text = "requests a second over all proxies; 0: no clients", .most = 1e5});
-  v.Number("cold_from", cold_from,
+  v.Number("cold_from", slow_start_min_capacity,
            {.text = "share of its speed right after a start", .least = 0.01, .most = 1});
   v.Number("warm_up_s", warm_up_s, {.text = "until it has the whole", .unit = "s", .most = 600});
   v.Number(
-      "fall_multiple", fall_multiple,
+      "fall_multiple", overload_factor,
       {.text = "a cold one that is sent so many times what it can do falls over", .least = 1, .most = 100});
   v.Number("fall_ms", fall_ms, {.text = "over so long", .unit = "ms", .least = 1, .most = 1e5});
 }
--- a/src/rig/plan.h
+++ b/src/rig/plan.h
@@ -100,7 +100,7 @@
   double rate = 100;  // requests a second over all proxies; 0: no clients
   // A new process of a backend: its share of its speed at first, until when that grows to the whole, and that
   // many times its capacity over how long it bears before it falls over.
-  double cold_from = 0.2, warm_up_s = 1, fall_multiple = 3, fall_ms = 1000;
+  double slow_start_min_capacity = 0.2, warm_up_s = 1, overload_factor = 3, fall_ms = 1000;
 
   void Describe(config::Visitor& v);
 };
--- a/src/rig/processes/service.cpp
+++ b/src/rig/processes/service.cpp
@@ -37,9 +37,9 @@
 lab::Machine MachineOf(const Service& service) {
   lab::Machine machine;
   machine.cores = service.slots;
-  machine.cold_from = service.cold_from;
+  machine.slow_start_min_capacity = service.slow_start_min_capacity;
   machine.warm_up_s = service.warm_up_s;
-  machine.fall_multiple = service.fall_multiple;
+  machine.overload_factor = service.overload_factor;
   machine.fall_ms = service.fall_ms;
   return machine;
 }
@@ -373,9 +373,9 @@
           {"permissions",
            {{"maxAttempts", 4}, {"connIdleMs", 60000.0}, {"connectTimeoutMs", 250.0}, {"retryAfter", false}}},
           {"rules",
-           {{"coldFrom", plan.service.cold_from},
+           {{"coldFrom", plan.service.slow_start_min_capacity},
             {"warmUpMs", plan.service.warm_up_s * 1000},
-            {"fallMultiple", plan.service.fall_multiple},
+            {"fallMultiple", plan.service.overload_factor},
             {"overloadForMs", plan.service.fall_ms}}},
           {"tenants", nlohmann::json::array()}};
 }
--- a/tests/asking_test.cpp
+++ b/tests/asking_test.cpp
@@ -13,10 +13,10 @@
     Random random(7);
     Asking asking{Duration(within_ms)};
     TimePoint now{Duration(1e9)};
-    asking.Heard(ListKind::kCached, now, random);
+    asking.Heard(EndpointUpdateKind::kCached, now, random);
     EXPECT_TRUE(asking.Due(now));
     for (int failure = 0; failure < 20; ++failure) {
-      asking.Heard(ListKind::kFailed, now, random);
+      asking.Heard(EndpointUpdateKind::kFailed, now, random);
       EXPECT_GT(asking.at(), now) << "not at once, over and over";
       EXPECT_LE(asking.at(), now + Duration(1000));
       now = asking.at();
@@ -29,7 +29,7 @@
   Random random(7);
   Asking asking{Duration(600000)};
   const TimePoint now{Duration(1e9)};
-  asking.Heard(ListKind::kCached, now, random);
+  asking.Heard(EndpointUpdateKind::kCached, now, random);
   EXPECT_TRUE(asking.Due(now));
   EXPECT_FALSE(asking.Due(now + Duration(1000)));
   EXPECT_TRUE(asking.Due(now + Duration(5000)));
@@ -39,9 +39,9 @@
   Random random(7);
   Asking asking{Duration(10000)};
   const TimePoint now{Duration(1e9)};
-  asking.Heard(ListKind::kCached, now, random);
+  asking.Heard(EndpointUpdateKind::kCached, now, random);
   EXPECT_TRUE(asking.Due(now));
-  asking.Heard(ListKind::kDelta, now, random);
+  asking.Heard(EndpointUpdateKind::kIncremental, now, random);
   EXPECT_FALSE(asking.Due(now + Duration(1e6)));
 }
 
