--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -30,23 +30,23 @@
 RequestId next_id = 1;
 
 // One request and its answer, which fails if it came from one of `failing`.
-void AnswerOne(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
+void AnswerOne(Rig& rig, AttemptOutcome outcome, std::set<BackendId> failing, double took = 10) {
   const RequestId id = next_id++;
   const auto server = rig.Ask(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
   ASSERT_TRUE(server.has_value());
   const bool fails = failing.count(*server) > 0;
-  rig.End(id, 0, *server, fails ? outcome : Outcome::kOk, took);
+  rig.End(id, 0, *server, fails ? outcome : AttemptOutcome::kSuccess, took);
 }
 
-std::optional<ServerId> AskAndEnd(Rig& rig) {
+std::optional<BackendId> AskAndEnd(Rig& rig) {
   const RequestId id = next_id++;
   const auto server = rig.Ask(id);
-  if (server) rig.End(id, 0, *server, Outcome::kOk);
+  if (server) rig.End(id, 0, *server, AttemptOutcome::kSuccess);
   return server;
 }
 
-bool InService(Rig& rig, ServerId server) {
-  std::vector<std::pair<RequestId, ServerId>> open;
+bool InService(Rig& rig, BackendId server) {
+  std::vector<std::pair<RequestId, BackendId>> open;
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
     const RequestId id = next_id++;
@@ -55,14 +55,14 @@
     open.emplace_back(id, *s);
     seen |= *s == server;
   }
-  for (const auto& [id, s] : open) rig.End(id, 0, s, Outcome::kCancelled);
+  for (const auto& [id, s] : open) rig.End(id, 0, s, AttemptOutcome::kCancelled);
   return seen;
 }
 
 // Gives each of three servers `per_server` answers; `failures` of server 1's fail, first ones first.
-void Answers(Rig& rig, int per_server, int failures, Outcome outcome = Outcome::kError) {
+void Answers(Rig& rig, int per_server, int failures, AttemptOutcome outcome = AttemptOutcome::kServerError) {
   for (int i = 0; i < per_server; ++i) {
-    std::map<ServerId, RequestId> open;
+    std::map<BackendId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 5000);
@@ -72,14 +72,14 @@
     // Server 1 last: the others qualify by then.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
       const auto [s, id] = *it;
-      rig.End(id, 0, s, s == 1 && i < failures ? outcome : Outcome::kOk);
+      rig.End(id, 0, s, s == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
     }
   }
 }
 
 // Traffic that brings the volume to each server within the interval.
 void Busy(Rig& rig) {
-  for (int i = 0; i < 100; ++i) rig.Tick(5), AnswerOne(rig, Outcome::kOk, {});
+  for (int i = 0; i < 100; ++i) rig.Tick(5), AnswerOne(rig, AttemptOutcome::kSuccess, {});
 }
 
 TEST(OutlierDetection, EjectsAtTheVolumeFloorAndNotBelow) {
@@ -94,7 +94,7 @@
 TEST(OutlierDetection, TheVolumeFloorIsTheServersOwn) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 3, 3, Outcome::kCancelled);  // the others qualify, server 1 has no answer that counts
+  Answers(rig, 3, 3, AttemptOutcome::kCancelled);  // the others qualify, server 1 has no answer that counts
   Answers(rig, 2, 2);
   EXPECT_TRUE(InService(rig, 1));
   Answers(rig, 1, 1);
@@ -106,13 +106,13 @@
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(6);
-  std::set<ServerId> late_on;
+  std::set<BackendId> late_on;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
     if (i >= 80) late_on.insert(*s);
-    rig.End(id, 0, *s, *s <= 4 ? Outcome::kReset : Outcome::kOk);
+    rig.End(id, 0, *s, *s <= 4 ? AttemptOutcome::kConnectionReset : AttemptOutcome::kSuccess);
   }
   EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are out";
 }
@@ -123,19 +123,19 @@
   Answers(before, 3, 3);
   ASSERT_FALSE(InService(before, 1));
   before.Tick(500);
-  const auto learnt = before.Learned();
+  const auto learnt = before.ExportState();
   ASSERT_EQ(learnt.size(), 1u);
-  EXPECT_EQ(learnt[0].multiplier, 1);
+  EXPECT_EQ(learnt[0].ejection_multiplier, 1);
 
   Rig next;
   next.now = before.now;
   next.Servers(3);
   EXPECT_TRUE(InService(next, 1));
-  Inherited inherited{learnt};
-  inherited.servers.push_back({99, 3, Duration(1000), 0});  // a server that is not listed here
+  StateRestored inherited{learnt};
+  inherited.backends.push_back({99, 3, Duration(1000), 0});  // a server that is not listed here
   next.Do(inherited);
   EXPECT_FALSE(InService(next, 1));
-  next.Tick(learnt[0].ejected_for.count() - 1);
+  next.Tick(learnt[0].ejection_remaining.count() - 1);
   EXPECT_FALSE(InService(next, 1));
   next.Tick(2);
   EXPECT_TRUE(InService(next, 1));
@@ -156,12 +156,13 @@
 TEST(OutlierDetection, MinimumHosts) {
   Rig rig;
   rig.Servers(1);
-  for (int i = 0; i < 10; ++i) AnswerOne(rig, Outcome::kError, {1});
+  for (int i = 0; i < 10; ++i) AnswerOne(rig, AttemptOutcome::kServerError, {1});
   EXPECT_TRUE(InService(rig, 1)) << "there is nothing to compare a lone server with";
 }
 
 TEST(OutlierDetection, CancelsAndMootTellNothing) {
-  for (Outcome outcome : {Outcome::kCancelled, Outcome::kMoot, Outcome::kUnknown}) {
+  for (AttemptOutcome outcome :
+       {AttemptOutcome::kCancelled, AttemptOutcome::kNotSent, AttemptOutcome::kUnknown}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
@@ -172,8 +173,9 @@
 }
 
 TEST(OutlierDetection, EveryFailureCounts) {
-  for (Outcome outcome :
-       {Outcome::kError, Outcome::kFull, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
+  for (AttemptOutcome outcome :
+       {AttemptOutcome::kServerError, AttemptOutcome::kBackendRejected, AttemptOutcome::kTimeout,
+        AttemptOutcome::kConnectFailure, AttemptOutcome::kConnectionReset}) {
     Settings s = Usual();
     s.max_attempts = 1;
     Rig rig(s);
@@ -237,7 +239,7 @@
       const auto s = rig.Ask(id, 2, 10);
       ASSERT_TRUE(s.has_value());
       const bool fails = *s == 1 || (failing_elsewhere && i % 3 == 0);
-      rig.End(id, 0, *s, fails ? Outcome::kError : Outcome::kOk);
+      rig.End(id, 0, *s, fails ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
       if (*s == 1 && ++sent > 2) ++after_two;
     }
     if (!failing_elsewhere) {
@@ -255,10 +257,10 @@
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, Outcome::kError);
+    rig.End(id, 0, *s, AttemptOutcome::kServerError);
   }
-  std::set<ServerId> in;
-  for (ServerId s = 1; s <= 4; ++s) {
+  std::set<BackendId> in;
+  for (BackendId s = 1; s <= 4; ++s) {
     if (InService(rig, s)) in.insert(s);
   }
   EXPECT_GE(in.size(), 2u) << "never more than half";
@@ -267,9 +269,9 @@
 TEST(OutlierDetection, AFleetFailingThroughoutDoesNotEjectItself) {
   Rig rig;
   rig.Servers(3);
-  for (int i = 0; i < 40; ++i) AnswerOne(rig, Outcome::kError, {1, 2, 3});
+  for (int i = 0; i < 40; ++i) AnswerOne(rig, AttemptOutcome::kServerError, {1, 2, 3});
   int in = 0;
-  for (ServerId s = 1; s <= 3; ++s) in += InService(rig, s);
+  for (BackendId s = 1; s <= 3; ++s) in += InService(rig, s);
   EXPECT_EQ(in, 3);
 }
 
@@ -283,7 +285,7 @@
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, *s == 1 || i % 2 ? Outcome::kError : Outcome::kOk);
+    rig.End(id, 0, *s, *s == 1 || i % 2 ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
   }
   EXPECT_FALSE(InService(rig, 1));
 }
@@ -292,8 +294,8 @@
   Rig rig;
   rig.Servers(3);
   Answers(rig, 3, 3);
-  rig.List({Entry(1, 0, 0, ServerState::kGone)}, ListKind::kDelta);
-  rig.List({Entry(1)}, ListKind::kDelta);
+  rig.List({Entry(1, 0, 0, EndpointState::kRemoved)}, EndpointUpdateKind::kIncremental);
+  rig.List({Entry(1)}, EndpointUpdateKind::kIncremental);
   EXPECT_FALSE(InService(rig, 1));
 }
 
@@ -301,7 +303,7 @@
   Rig rig;
   rig.Servers(3);
   const auto a = rig.Ask(1001, 0, 50), b = rig.Ask(1002, 0, 20), c = rig.Ask(1003, 0, 40);
-  EXPECT_EQ(std::set<ServerId>({*a, *b, *c}).size(), 3u);
+  EXPECT_EQ(std::set<BackendId>({*a, *b, *c}).size(), 3u);
   EXPECT_EQ(rig.Ask(1004, 0, 25), b) << "20 in flight is the least";
   EXPECT_EQ(rig.Ask(1005, 0, 5), c) << "now 40 is";
 }
@@ -311,22 +313,22 @@
   rig.Servers(2);
   const auto a = rig.Ask(1011, 0, 0), b = rig.Ask(1012, 0, 0);
   EXPECT_NE(a, b);
-  rig.End(1011, 0, *a, Outcome::kOk);
+  rig.End(1011, 0, *a, AttemptOutcome::kSuccess);
   EXPECT_EQ(rig.Ask(1013, 0, 0), a);
 }
 
 TEST(Pick, AmongIdleServersTheOwnZoneGoesFirstWhereCrossingHasAPrice) {
   Settings s = Usual();
-  s.price_cross_zone = 0.02;
+  s.cross_zone_cost = 0.02;
   Rig rig(s);
   rig.List({Entry(1, 1), Entry(2, 0), Entry(3, 1)});
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
   rig.Ask(next_id++);
-  EXPECT_NE(rig.Ask(next_id++), ServerId{2}) << "a whole request in flight outweighs it";
+  EXPECT_NE(rig.Ask(next_id++), BackendId{2}) << "a whole request in flight outweighs it";
 }
 
 TEST(Pick, TiesAtRandom) {
-  std::set<ServerId> seen;
+  std::set<BackendId> seen;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Rig rig(Usual(), seed);
     rig.Servers(4);
@@ -338,30 +340,30 @@
 // A hundred proxies took a key to sixty servers in turn, and each did its work afresh.
 TEST(WarmKeys, ManyProxiesTakeAKeyToTheSameFewServers) {
   Settings settings = Usual();
-  settings.balancers = 20;
-  settings.warm_keys = true;
-  std::map<std::uint64_t, std::set<ServerId>> used[2];  // by key; in the second round server 3 is gone
+  settings.proxy_count = 20;
+  settings.key_affinity = true;
+  std::map<std::uint64_t, std::set<BackendId>> used[2];  // by key; in the second round server 3 is gone
   for (int me = 0; me < 20; ++me) {
-    settings.me = me;
+    settings.proxy_index = me;
     Rig rig(settings, static_cast<std::uint64_t>(me + 1));
     rig.Servers(8);  // all of them in each proxy's subset
     for (const int round : {0, 1}) {
-      if (round == 1) rig.List({Entry(3, 0, 0, ServerState::kGone)}, ListKind::kDelta);
+      if (round == 1) rig.List({Entry(3, 0, 0, EndpointState::kRemoved)}, EndpointUpdateKind::kIncremental);
       for (std::uint64_t key = 1; key <= 12; ++key) {
         rig.Tick(5000);  // what a proxy itself remembers of keys is over
         const RequestId id = next_id++;
         const auto s = rig.Ask(id, 2, 10, 400, key);
         ASSERT_TRUE(s.has_value());
         used[round][key].insert(*s);
-        rig.End(id, 0, *s, Outcome::kOk);
+        rig.End(id, 0, *s, AttemptOutcome::kSuccess);
       }
     }
   }
-  std::set<ServerId> all;
+  std::set<BackendId> all;
   for (const auto& [key, servers] : used[0]) {
     EXPECT_LE(servers.size(), 4u) << key;
     all.insert(servers.begin(), servers.end());
-    for (const ServerId s : servers) EXPECT_TRUE(s == 3 || used[1][key].contains(s)) << "moved without need";
+    for (const BackendId s : servers) EXPECT_TRUE(s == 3 || used[1][key].contains(s)) << "moved without need";
     EXPECT_LE(used[1][key].size(), 4u) << key;
   }
   EXPECT_EQ(all.size(), 8u) << "keys are spread over all servers";
@@ -374,23 +376,23 @@
   for (int i = 0; i < 40; ++i) {
     const RequestId id = next_id++;
     const auto server = rig.Ask(id, 0, 10, 900);
-    rig.End(id, 0, *server, Outcome::kOk, *server == 1 ? 60 : 20);
+    rig.End(id, 0, *server, AttemptOutcome::kSuccess, *server == 1 ? 60 : 20);
   }
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
   // And with that one busy it still serves.
   const RequestId busy = next_id++;
-  EXPECT_EQ(rig.Ask(busy, 0, 100, 900), ServerId{2});
-  EXPECT_EQ(rig.Ask(next_id++, 0, 10, 900), ServerId{1});
+  EXPECT_EQ(rig.Ask(busy, 0, 100, 900), BackendId{2});
+  EXPECT_EQ(rig.Ask(next_id++, 0, 10, 900), BackendId{1});
 }
 
 // Spread evenly, a key was served afresh by one server after the other: up to half of all work for nothing.
 TEST(Pick, AKeyGoesWhereItIsWarmUnlessThatIsFarBusier) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.key_affinity = true;
   Rig rig(settings);
   rig.Servers(4);
   auto ask = [&](std::uint64_t key, double work = 10) { return *rig.Ask(next_id++, 0, work, 5000, key); };
-  const ServerId home = ask(7);
+  const BackendId home = ask(7);
   EXPECT_EQ(ask(7), home) << "10 in flight there, but the key saves its work";
   EXPECT_NE(ask(8), home) << "another key";
   EXPECT_NE(ask(0), home) << "no key";
@@ -398,16 +400,16 @@
 
   Rig forgets(settings);
   forgets.Servers(4);
-  std::set<ServerId> later;
+  std::set<BackendId> later;
   for (int i = 0; i < 20; ++i) {
     const RequestId id = next_id++;
     later.insert(*forgets.Ask(id, 0, 10, 5000, 9));
-    forgets.End(id, 0, forgets.sent.back().server, Outcome::kOk);
+    forgets.End(id, 0, forgets.sent.back().backend, AttemptOutcome::kSuccess);
     forgets.Tick(4001);
   }
   EXPECT_GT(later.size(), 1u) << "forgotten";
 
-  settings.warm_keys = false;
+  settings.key_affinity = false;
   Rig none(settings);
   none.Servers(2);
   const auto first = none.Ask(next_id++, 0, 10, 5000, 7);
@@ -418,72 +420,73 @@
   Rig rig;
   rig.Servers(3);
   Answers(rig, 3, 3);
-  rig.List({Entry(2, 0, 0, ServerState::kGone), Entry(3, 0, 0, ServerState::kGone)}, ListKind::kDelta);
-  EXPECT_EQ(rig.Ask(next_id++), ServerId{1});
+  rig.List({Entry(2, 0, 0, EndpointState::kRemoved), Entry(3, 0, 0, EndpointState::kRemoved)},
+           EndpointUpdateKind::kIncremental);
+  EXPECT_EQ(rig.Ask(next_id++), BackendId{1});
 }
 
 TEST(Drains, NothingNewFromTheMomentItIsKnown) {
-  for (ServerState state : {ServerState::kDraining, ServerState::kGone}) {
+  for (EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Rig rig;
     rig.Servers(2);
-    rig.List({Entry(1, 0, 0, state)}, ListKind::kDelta);
-    for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+    rig.List({Entry(1, 0, 0, state)}, EndpointUpdateKind::kIncremental);
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
   }
   Rig rig;
   rig.Servers(2);
   rig.List({Entry(2)});  // absent from a full list: removed
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
 }
 
 TEST(Discovery, AsksAtStartAndAgainAfterAFailure) {
   Settings s = Usual();
-  s.must_ask_for_list = true;
-  s.must_ask_within = Duration(10000);
+  s.polls_endpoints = true;
+  s.max_poll_interval = Duration(10000);
   Rig rig(s);
-  rig.List({Entry(1)}, ListKind::kCached);
-  EXPECT_EQ(rig.Count<Subscribe>(), 1);
+  rig.List({Entry(1)}, EndpointUpdateKind::kCached);
+  EXPECT_EQ(rig.Count<PollEndpoints>(), 1);
   rig.Tick(100);
-  EXPECT_EQ(rig.Count<Subscribe>(), 0) << "one call at a time";
-  rig.List({}, ListKind::kFailed);
+  EXPECT_EQ(rig.Count<PollEndpoints>(), 0) << "one call at a time";
+  rig.List({}, EndpointUpdateKind::kFailed);
   double waited = 0;
-  while (rig.Count<Subscribe>() == 0 && waited < 20000) rig.Tick(10), waited += 10;
+  while (rig.Count<PollEndpoints>() == 0 && waited < 20000) rig.Tick(10), waited += 10;
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(rig.Ask(next_id++), ServerId{1}) << "the old list serves";
+  EXPECT_EQ(rig.Ask(next_id++), BackendId{1}) << "the old list serves";
   rig.List({Entry(1)});
   for (int i = 0; i < 1000; ++i) {
     rig.Tick(100);
-    EXPECT_EQ(rig.Count<Subscribe>(), 0);
+    EXPECT_EQ(rig.Count<PollEndpoints>(), 0);
   }
 }
 
 TEST(Discovery, PushIsNeverAsked) {
   Rig rig;
-  rig.List({Entry(1)}, ListKind::kCached);
+  rig.List({Entry(1)}, EndpointUpdateKind::kCached);
   for (int i = 0; i < 200; ++i) {
     rig.Tick(100);
-    EXPECT_EQ(rig.Count<Subscribe>(), 0);
+    EXPECT_EQ(rig.Count<PollEndpoints>(), 0);
   }
 }
 
 // What follows an attempt of each class that ended in each way: sent again, refused or failed.
 struct Verdict {
   int cls;
-  Outcome outcome;
+  AttemptOutcome outcome;
   bool again, refusable;
 };
 
 TEST(Attempts, OnlyWhatIsPermittedIsSentAgainOrRefused) {
   const Verdict verdicts[] = {
-      {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
-      {0, Outcome::kReset, true, true},         {0, Outcome::kFull, true, true},
-      {0, Outcome::kConnectFailed, true, true}, {1, Outcome::kError, true, false},
-      {1, Outcome::kTimeout, true, false},      {1, Outcome::kFull, true, true},
-      {1, Outcome::kConnectFailed, true, true}, {1, Outcome::kReset, true, false},
-      {2, Outcome::kError, false, false},       {2, Outcome::kTimeout, false, false},
-      {2, Outcome::kReset, false, false},       {2, Outcome::kUnknown, false, false},
-      {2, Outcome::kFull, true, true},          {2, Outcome::kConnectFailed, true, true},
-      {2, Outcome::kCancelled, false, false},
+      {0, AttemptOutcome::kServerError, true, true},       {0, AttemptOutcome::kTimeout, true, true},
+      {0, AttemptOutcome::kConnectionReset, true, true},   {0, AttemptOutcome::kBackendRejected, true, true},
+      {0, AttemptOutcome::kConnectFailure, true, true},    {1, AttemptOutcome::kServerError, true, false},
+      {1, AttemptOutcome::kTimeout, true, false},          {1, AttemptOutcome::kBackendRejected, true, true},
+      {1, AttemptOutcome::kConnectFailure, true, true},    {1, AttemptOutcome::kConnectionReset, true, false},
+      {2, AttemptOutcome::kServerError, false, false},     {2, AttemptOutcome::kTimeout, false, false},
+      {2, AttemptOutcome::kConnectionReset, false, false}, {2, AttemptOutcome::kUnknown, false, false},
+      {2, AttemptOutcome::kBackendRejected, true, true},   {2, AttemptOutcome::kConnectFailure, true, true},
+      {2, AttemptOutcome::kCancelled, false, false},
   };
   for (const Verdict& v : verdicts) {
     SCOPED_TRACE(::testing::Message() << "class " << v.cls << " outcome " << static_cast<int>(v.outcome));
@@ -496,7 +499,7 @@
     if (v.again) {
       EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
     } else {
-      EXPECT_EQ(rig.Count<Fail>(), 1);
+      EXPECT_EQ(rig.Count<FailRequest>(), 1);
     }
     // And with no attempt left: refused only where that is permitted.
     Settings s = Usual();
@@ -505,8 +508,8 @@
     last.Servers(3);
     const auto only = last.Ask(1, v.cls);
     last.End(1, 0, *only, v.outcome);
-    EXPECT_EQ(last.Count<Refuse>(), v.refusable ? 1 : 0);
-    EXPECT_EQ(last.Count<Fail>(), v.refusable ? 0 : 1);
+    EXPECT_EQ(last.Count<RejectRequest>(), v.refusable ? 1 : 0);
+    EXPECT_EQ(last.Count<FailRequest>(), v.refusable ? 0 : 1);
   }
 }
 
@@ -514,19 +517,19 @@
   for (int gone : {0, 1}) {
     Rig rig;
     rig.List({Entry(1, 0, 1), Entry(2, 0, 1), Entry(3, 0, 2), Entry(4, 1, 1)});
-    ServerId first = *rig.Ask(next_id, 1);
+    BackendId first = *rig.Ask(next_id, 1);
     while (first > 2) {  // start in the cell of servers 1 and 2
-      rig.End(next_id, 0, first, Outcome::kOk);
+      rig.End(next_id, 0, first, AttemptOutcome::kSuccess);
       first = *rig.Ask(++next_id, 1);
     }
-    if (gone) rig.List({Entry(3 - first, 0, 1, ServerState::kGone)}, ListKind::kDelta);
+    if (gone) rig.List({Entry(3 - first, 0, 1, EndpointState::kRemoved)}, EndpointUpdateKind::kIncremental);
     rig.now += 100;
-    rig.End(next_id, 0, first, Outcome::kError);
+    rig.End(next_id, 0, first, AttemptOutcome::kServerError);
     EXPECT_EQ(rig.SentTo(next_id), gone ? first : 3 - first);
     rig.now += 401;  // past the 500 ms window
-    rig.End(next_id, 1, gone ? first : 3 - first, Outcome::kError);
+    rig.End(next_id, 1, gone ? first : 3 - first, AttemptOutcome::kServerError);
     EXPECT_FALSE(rig.SentTo(next_id).has_value());
-    EXPECT_EQ(rig.Count<Fail>(), 1);
+    EXPECT_EQ(rig.Count<FailRequest>(), 1);
     ++next_id;
   }
 }
@@ -535,10 +538,10 @@
 TEST(Attempts, OneAtATime) {
   Rig rig;
   rig.Servers(3);
-  for (int i = 0; i < 30; ++i) AnswerOne(rig, Outcome::kOk, {});
+  for (int i = 0; i < 30; ++i) AnswerOne(rig, AttemptOutcome::kSuccess, {});
   for (int i = 0; i < 30; ++i) {
     const RequestId id = next_id++;
-    rig.End(id, 0, *rig.Ask(id, 0), Outcome::kOk);
+    rig.End(id, 0, *rig.Ask(id, 0), AttemptOutcome::kSuccess);
   }
   const RequestId id = next_id++;
   rig.Ask(id, 0);
@@ -566,7 +569,7 @@
     rig.Servers(1);
     for (int i = 0; i < 40; ++i) {
       const RequestId id = next_id++;
-      rig.End(id, 0, *rig.Ask(id, cls), Outcome::kOk);
+      rig.End(id, 0, *rig.Ask(id, cls), AttemptOutcome::kSuccess);
     }
     rig.Ask(next_id++, cls, 10, 2000);
     rig.Tick(300);
@@ -582,12 +585,12 @@
   Rig rig(s);
   rig.Servers(5);
   const auto first = rig.Ask(1, 0);
-  rig.End(1, 0, *first, Outcome::kConnectFailed);
+  rig.End(1, 0, *first, AttemptOutcome::kConnectFailure);
   const auto second = rig.SentTo(1);
   ASSERT_TRUE(second.has_value());
-  rig.End(1, 1, *second, Outcome::kConnectFailed);
+  rig.End(1, 1, *second, AttemptOutcome::kConnectFailure);
   EXPECT_FALSE(rig.SentTo(1).has_value());
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  EXPECT_EQ(rig.Count<RejectRequest>(), 1);
 }
 
 TEST(Attempts, AFailingFleetMeetsNoStorm) {
@@ -597,7 +600,7 @@
     const RequestId id = next_id++;
     auto s = rig.Ask(id, 0);
     for (int attempt = 0; s; ++attempt) {
-      rig.End(id, attempt, *s, Outcome::kError);
+      rig.End(id, attempt, *s, AttemptOutcome::kServerError);
       s = rig.SentTo(id);
     }
   }
@@ -609,10 +612,10 @@
 TEST(Pick, AFullHomeZoneIsLeftAndAGoodOneKept) {
   for (const bool full : {true, false}) {
     Settings settings = Usual();
-    settings.price_cross_zone = 0.06;
+    settings.cross_zone_cost = 0.06;
     Rig rig(settings);
-    std::vector<ServerEntry> list;
-    for (ServerId id = 1; id <= 40; ++id) list.push_back(Entry(id, id > 20));
+    std::vector<Endpoint> list;
+    for (BackendId id = 1; id <= 40; ++id) list.push_back(Entry(id, id > 20));
     rig.List(list);
     int away = 0;
     for (int i = 0; i < 120; ++i) {
@@ -623,7 +626,7 @@
       if (i >= 40) away += *s > 20;
       const bool late = full && *s <= 20;  // answered, but long after the aim: A50 counts no failure
       if (late) rig.now += 400;
-      rig.End(id, 0, *s, Outcome::kOk, late ? 400 : 20);
+      rig.End(id, 0, *s, AttemptOutcome::kSuccess, late ? 400 : 20);
     }
     if (full) {
       EXPECT_GT(away, 30) << "of 80";
@@ -636,7 +639,7 @@
 // The memory of keys must outlive its own forgetting: the same key twice at one server, then silence.
 TEST(Pick, KeysAreForgottenAndMetAgain) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.key_affinity = true;
   Rig rig(settings);
   rig.Servers(2);
   for (int round = 0; round < 4; ++round) {
@@ -644,7 +647,7 @@
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 1, 10, 1000, 1 + i % 3);
       ASSERT_TRUE(s.has_value());
-      rig.End(id, 0, *s, Outcome::kOk);
+      rig.End(id, 0, *s, AttemptOutcome::kSuccess);
       rig.Tick(10);
     }
     rig.Tick(5000);
@@ -654,22 +657,22 @@
 // Incident i0f08a6: hundreds of proxies each held a connection to every server, more than servers accept.
 TEST(Subset, ThinTrafficUsesFewServersAndAllProxiesTogetherUseThemAlike) {
   constexpr int kProxies = 400, kServers = 80;
-  std::map<ServerId, int> proxies_at;
+  std::map<BackendId, int> proxies_at;
   for (int me = 0; me < kProxies; ++me) {
     Settings settings = Usual();
-    settings.balancers = kProxies;
-    settings.me = me;
+    settings.proxy_count = kProxies;
+    settings.proxy_index = me;
     Rig rig(settings, me + 1);
     rig.Servers(kServers);
-    std::set<ServerId> used;
+    std::set<BackendId> used;
     for (int i = 0; i < 100; ++i) {
       rig.Tick(250);
       const RequestId id = next_id++;
-      if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+      if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, AttemptOutcome::kSuccess);
     }
     EXPECT_LE(used.size(), 16u);
     EXPECT_GE(used.size(), 4u);
-    for (const ServerId s : used) ++proxies_at[s];
+    for (const BackendId s : used) ++proxies_at[s];
   }
   EXPECT_EQ(proxies_at.size(), static_cast<std::size_t>(kServers));
   const double mean = 1.0 * kProxies * 8 / kServers;
@@ -679,18 +682,18 @@
 // A shrunk fleet: a fixed subset brought 133 proxies to each server (tsoa big-1), and old connections stayed.
 TEST(Subset, FewServersAreSharedByNoMoreProxiesThanTheyCanHold) {
   Settings settings = Usual();
-  settings.balancers = 640;
+  settings.proxy_count = 640;
   Rig rig(settings);
   rig.Servers(80);
-  std::vector<ServerEntry> gone;
-  for (ServerId id = 31; id <= 80; ++id) gone.push_back(Entry(id, 0, 0, ServerState::kGone));
-  rig.List(gone, ListKind::kDelta);
+  std::vector<Endpoint> gone;
+  for (BackendId id = 31; id <= 80; ++id) gone.push_back(Entry(id, 0, 0, EndpointState::kRemoved));
+  rig.List(gone, EndpointUpdateKind::kIncremental);
   rig.sent.clear();
-  std::set<ServerId> used;
+  std::set<BackendId> used;
   for (int i = 0; i < 60; ++i) {
     rig.Tick(250);
     const RequestId id = next_id++;
-    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, AttemptOutcome::kSuccess);
   }
   EXPECT_LE(used.size(), 4u) << "640 x 3 / 30 is 64";
 }
@@ -704,12 +707,12 @@
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, *s == 1 ? Outcome::kConnectFailed : Outcome::kOk);
+    rig.End(id, 0, *s, *s == 1 ? AttemptOutcome::kConnectFailure : AttemptOutcome::kSuccess);
     for (const Action& a : rig.actions) {
-      const auto* close = std::get_if<CloseIdle>(&a);
+      const auto* close = std::get_if<CloseIdleConnections>(&a);
       if (!close) continue;
       ++closed;
-      EXPECT_EQ(close->server, 1u);
+      EXPECT_EQ(close->backend, 1u);
     }
   }
   EXPECT_GE(closed, 1);
@@ -719,14 +722,14 @@
   int sent[2] = {0, 0};
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
-    settings.balancers = 400;
+    settings.proxy_count = 400;
     Rig rig(settings);
     rig.Servers(80);
     for (int i = 0; i < 120; ++i) {
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 5000);
       if (s && i >= 60) ++sent[crowded];
-      if (s) rig.End(id, 0, *s, Outcome::kOk, crowded && i >= 30 ? 250 : 10);  // of an aim of 200
+      if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, crowded && i >= 30 ? 250 : 10);  // of an aim of 200
       rig.Tick(200);
     }
   }
@@ -738,7 +741,7 @@
 // hundred proxies that each refused by that measure had their clients come back to the next one, too late.
 TEST(Admission, UnevenAnswersWellWithinTheAimThrottleNobody) {
   Settings settings = Usual();
-  settings.balancers = 100;
+  settings.proxy_count = 100;
   Rig rig(settings);
   rig.Servers(60);
   int sent = 0;
@@ -746,7 +749,7 @@
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
     sent += s.has_value();
-    if (s) rig.End(id, 0, *s, Outcome::kOk, i % 3 == 0 ? 8 : 110);  // of an aim of 200
+    if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, i % 3 == 0 ? 8 : 110);  // of an aim of 200
     rig.Tick(150);
   }
   EXPECT_EQ(sent, 120);
@@ -755,8 +758,8 @@
 // tsoa big-1, i6ba857: a proxy restarted in a crowd took slow answers for usual ones and let everything in.
 TEST(Admission, AProxyBornInACrowdThrottlesByTheAim) {
   Settings settings = Usual();
-  settings.balancers = 400;
-  settings.classes[2].late_worth = 0.5;
+  settings.proxy_count = 400;
+  settings.classes[2].late_weight_fraction = 0.5;
   Rig rig(settings);
   rig.Servers(80);
   int sent = 0;
@@ -764,7 +767,7 @@
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
     if (s && i >= 60) ++sent;
-    if (s) rig.End(id, 0, *s, Outcome::kOk, 240);  // of an aim of 200
+    if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, 240);  // of an aim of 200
     rig.Tick(200);
   }
   EXPECT_LT(sent, 50);
@@ -775,14 +778,14 @@
 TEST(Admission, ProxiesOfAManyRefuseTheSameWishes) {
   const auto admitted = [](std::uint64_t seed, int me) {
     Settings settings = Usual();
-    settings.balancers = 100;
-    settings.me = me;
+    settings.proxy_count = 100;
+    settings.proxy_index = me;
     Rig rig(settings, seed);
     rig.Servers(60);
     for (int i = 0; i < 60; ++i) {
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 5000);
-      if (s) rig.End(id, 0, *s, Outcome::kOk, 250);  // of an aim of 200
+      if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, 250);  // of an aim of 200
       rig.Tick(50);
     }
     std::vector<bool> verdicts;
@@ -790,7 +793,7 @@
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10 + 0.01 * wish, 5000, 1000 + wish);
       verdicts.push_back(s.has_value());
-      if (s) rig.End(id, 0, *s, Outcome::kOk, 130);
+      if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, 130);
       rig.Tick(50);
     }
     return verdicts;
@@ -806,13 +809,13 @@
 // Without hints all wishes for a key have the same place in the order of refusals: it must not be shut out.
 TEST(Admission, NoKeyIsRefusedForeverWhereWorkIsNotHinted) {
   Settings settings = Usual();
-  settings.balancers = 100;
+  settings.proxy_count = 100;
   Rig rig(settings);
   rig.Servers(60);
   const auto ask = [&](std::uint64_t key, double took) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 0, 5000, key);
-    if (s) rig.End(id, 0, *s, Outcome::kOk, took);  // of an aim of 200
+    if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, took);  // of an aim of 200
     rig.Tick(50);
     return s.has_value();
   };
@@ -829,28 +832,28 @@
 
 TEST(Subset, ABusyProxyUsesAllServers) {
   Settings settings = Usual();
-  settings.balancers = 400;
+  settings.proxy_count = 400;
   Rig rig(settings);
   rig.Servers(40);
-  std::set<ServerId> used;
+  std::set<BackendId> used;
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
     const RequestId id = next_id++;
-    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, AttemptOutcome::kSuccess);
   }
   EXPECT_EQ(used.size(), 40u);
 }
 
 TEST(ColdStart, BudgetOverEveryWindow) {
   Rig rig;
-  std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
+  std::vector<Endpoint> list = {Entry(1), Entry(2), Entry(3)};
   rig.List(list);
   // 30 ms of work every 10 ms, answered at once, for 20 s: each warm server gets about 1 a ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
       rig.Tick(10);
-      std::vector<std::pair<RequestId, ServerId>> open;
+      std::vector<std::pair<RequestId, BackendId>> open;
       for (int k = 0; k < 3; ++k) {
         const RequestId id = next_id++;
         const auto s = rig.Ask(id, 2, 10, 900);
@@ -858,12 +861,13 @@
         open.emplace_back(id, *s);
         if (*s == 3) sent.emplace_back(rig.now, 10);
       }
-      for (const auto& [id, s] : open) rig.End(id, 0, s, Outcome::kOk, 5);
+      for (const auto& [id, s] : open) rig.End(id, 0, s, AttemptOutcome::kSuccess, 5);
     }
     return sent;
   };
   run(20000);
-  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // the same id, started again
+  rig.List({Entry(3, 0, 0, EndpointState::kReady, rig.now)},
+           EndpointUpdateKind::kIncremental);  // the same id, started again
   const double start = rig.now;
   const auto sent = run(10000);
   double most = 0;
@@ -883,7 +887,7 @@
   Settings s = Usual();
   s.max_attempts = 1;
   Rig rig(s);
-  rig.List({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
+  rig.List({Entry(1), Entry(2), Entry(3, 0, 0, EndpointState::kReady, rig.now)});
   int sent = 0;
   for (int i = 0; i < 800; ++i) {
     rig.Tick(5);
@@ -891,7 +895,7 @@
     const auto server = rig.Ask(id, 2, 10, 900);
     if (!server) continue;
     sent += *server == 3;
-    rig.End(id, 0, *server, i % 20 ? Outcome::kFull : Outcome::kOk, 5);
+    rig.End(id, 0, *server, i % 20 ? AttemptOutcome::kBackendRejected : AttemptOutcome::kSuccess, 5);
   }
   EXPECT_LE(sent, 6) << "4 s, of a fleet that served 0.05 of 2 ms of work a ms";
 }
@@ -908,12 +912,12 @@
       rig.Tick(5);
       const RequestId id = next_id++;
       const auto server = rig.Ask(id, 2, 10, 900);
-      if (server) sent += 10, rig.End(id, 0, *server, Outcome::kOk, 5);
+      if (server) sent += 10, rig.End(id, 0, *server, AttemptOutcome::kSuccess, 5);
     }
     return sent;
   };
   run(3000);
-  rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now)});
+  rig.List({Entry(1, 0, 0, EndpointState::kReady, rig.now)});
   // A warm one has served 0.33 of work a ms; it starts at a quarter and falls over at three times that.
   EXPECT_LT(run(200), 1000) << "of 2000 that are asked for in this second";
 }
@@ -922,8 +926,8 @@
 // big-2).
 TEST(ColdStart, ABudgetDoesNotStarveItselfWhenNoServerIsWarm) {
   Settings settings = Usual();
-  settings.warm_up = Duration(20000);
-  settings.cold_from = 0.1;
+  settings.slow_start_window = Duration(20000);
+  settings.slow_start_min_capacity = 0.1;
   Rig rig(settings);
   rig.Servers(6);
   bool served = true;
@@ -933,13 +937,13 @@
       rig.Tick(20);
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 400);
-      if (s) ++sent, rig.End(id, 0, *s, served ? Outcome::kOk : Outcome::kCancelled, 12);
+      if (s) ++sent, rig.End(id, 0, *s, served ? AttemptOutcome::kSuccess : AttemptOutcome::kCancelled, 12);
     }
     return sent;
   };
   run(1000);
-  std::vector<ServerEntry> cold;
-  for (ServerId id = 1; id <= 6; ++id) cold.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
+  std::vector<Endpoint> cold;
+  for (BackendId id = 1; id <= 6; ++id) cold.push_back(Entry(id, 0, 0, EndpointState::kReady, rig.now));
   rig.List(cold);
   served = false;
   run(250);
@@ -950,11 +954,11 @@
 // join+vast: while most servers are cold, what all serve is no measure of what the few warm ones could do.
 TEST(ColdStart, AMostlyColdFleetIsNoReasonToSendAColdServerMore) {
   Settings settings = Usual();
-  settings.warm_up = Duration(60000);
-  settings.cold_from = 0.1;
+  settings.slow_start_window = Duration(60000);
+  settings.slow_start_min_capacity = 0.1;
   Rig rig(settings);
-  std::vector<ServerEntry> list;
-  for (ServerId id = 1; id <= 8; ++id) list.push_back(Entry(id));
+  std::vector<Endpoint> list;
+  for (BackendId id = 1; id <= 8; ++id) list.push_back(Entry(id));
   rig.List(list);
   const auto run = [&](int n) {
     int to_first = 0;
@@ -964,12 +968,12 @@
       const auto s = rig.Ask(id, 2, 10, 400);
       if (!s) continue;
       to_first += *s == 1;
-      rig.End(id, 0, *s, Outcome::kOk, 12);
+      rig.End(id, 0, *s, AttemptOutcome::kSuccess, 12);
     }
     return to_first;
   };
   run(2000);  // 2 ms of work a ms: 0.25 by each
-  for (ServerId id = 1; id <= 7; ++id) list[id - 1] = Entry(id, 0, 0, ServerState::kReady, rig.now);
+  for (BackendId id = 1; id <= 7; ++id) list[id - 1] = Entry(id, 0, 0, EndpointState::kReady, rig.now);
   rig.List(list);
   run(1600);  // eight seconds, in which the rates of late forget what was
   // At 0.22 of its capacity and three times that at the most: 10 ms each, over two seconds.
@@ -978,19 +982,19 @@
 
 TEST(ColdStart, RejectedWorkCountsToo) {
   Rig rig;
-  rig.List({Entry(1, 0, 0, ServerState::kReady, 99999)});
+  rig.List({Entry(1, 0, 0, EndpointState::kReady, 99999)});
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 2000);
-    if (s) ++sent, rig.End(id, 0, *s, Outcome::kFull);
+    if (s) ++sent, rig.End(id, 0, *s, AttemptOutcome::kBackendRejected);
   }
   EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
 }
 
 TEST(ColdStart, AProxyThatKnowsNothingStillServes) {
   Rig rig;
-  rig.List({Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
+  rig.List({Entry(1, 0, 0, EndpointState::kReady, 99999), Entry(2, 0, 0, EndpointState::kReady, 99999)});
   const RequestId id = next_id++;
   bool sent = rig.Ask(id, 0).has_value();
   for (int i = 0; i < 20 && !sent; ++i) rig.Tick(5), sent = rig.SentTo(id).has_value();
@@ -1001,21 +1005,21 @@
 // big-2 of a catalogue: 4.1 times what it could do).
 TEST(ColdStart, ManyProxiesTakeTurnsAtAStartingServer) {
   Settings settings = Usual();
-  settings.balancers = 400;
-  settings.cold_from = 0.1;
+  settings.proxy_count = 400;
+  settings.slow_start_min_capacity = 0.1;
   int at_once = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     Rig rig(settings, seed);
     rig.List({Entry(1), Entry(2), Entry(3)});
     for (int i = 0; i < 100; ++i) {  // a request every 200 ms
       rig.Tick(200);
-      if (const auto s = rig.Ask(next_id++, 2, 10)) rig.End(next_id - 1, 0, *s, Outcome::kOk);
+      if (const auto s = rig.Ask(next_id++, 2, 10)) rig.End(next_id - 1, 0, *s, AttemptOutcome::kSuccess);
     }
-    rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);
+    rig.List({Entry(3, 0, 0, EndpointState::kReady, rig.now)}, EndpointUpdateKind::kIncremental);
     for (int k = 0; k < 5; ++k) {
       rig.Tick(200);
       if (const auto s = rig.Ask(next_id++, 2, 10))
-        at_once += *s == 3, rig.End(next_id - 1, 0, *s, Outcome::kOk);
+        at_once += *s == 3, rig.End(next_id - 1, 0, *s, AttemptOutcome::kSuccess);
     }
   }
   // Each warm server serves 400 x 10 ms of work each 600 ms: 6.7 a ms. A cold one does 0.1 to 0.19 of that in
@@ -1031,8 +1035,8 @@
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.Ask(next_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Ask(next_id++, 2, 10, 5000).has_value());
   double waited = 0;
-  while (rig.Count<Refuse>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  while (rig.Count<RejectRequest>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
+  EXPECT_EQ(rig.Count<RejectRequest>(), 1);
   EXPECT_LE(waited, 205) << "within the aim, not at the deadline";
 }
 
@@ -1041,13 +1045,13 @@
   std::size_t in_flight[2];
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
-    settings.balancers = 400;
+    settings.proxy_count = 400;
     Rig rig(settings);
     rig.Servers(80);
     for (int i = 0; i < 60; ++i) {
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 5000);
-      if (s) rig.End(id, 0, *s, Outcome::kOk, crowded && i >= 45 ? 120 : 10);
+      if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, crowded && i >= 45 ? 120 : 10);
       rig.Tick(200);
     }
     const std::size_t before = rig.sent.size();
@@ -1065,7 +1069,7 @@
   const RequestId first = next_id++;
   const auto s = rig.Ask(first, 2, 10, 5000);
   ASSERT_TRUE(s.has_value());
-  rig.End(first, 0, *s, Outcome::kOk, 190);
+  rig.End(first, 0, *s, AttemptOutcome::kSuccess, 190);
   EXPECT_TRUE(rig.Ask(next_id++, 2, 20, 350).has_value())
       << "380 ms at that pace, after the aim and its patience";
 }
@@ -1074,13 +1078,13 @@
 TEST(Admission, WhatIsTooLargeIsTriedWhileThereIsRoomAndRefusedInACrowd) {
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
-    settings.balancers = 400;
+    settings.proxy_count = 400;
     Rig rig(settings);
     rig.Servers(80);
     for (int i = 0; i < 40; ++i) {
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 900);
-      if (s) rig.End(id, 0, *s, Outcome::kOk, crowded && i >= 30 ? 180 : 20);
+      if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, crowded && i >= 30 ? 180 : 20);
       rig.Tick(200);
     }
     EXPECT_EQ(rig.Ask(next_id++, 0, 600, 900).has_value(), !crowded) << "1.2 s at this pace";
@@ -1089,9 +1093,9 @@
 
 TEST(Admission, TheMostWorthGoesFirst) {
   Settings s = Usual();
-  s.classes[2].worth = 1;
-  s.classes[0].worth = 9;
-  s.balancers = 2;
+  s.classes[2].priority_weight = 1;
+  s.classes[0].priority_weight = 9;
+  s.proxy_count = 2;
   Rig rig(s);
   rig.Servers(1);
   const RequestId first = next_id++;
@@ -1100,9 +1104,9 @@
   const RequestId poor = next_id++, rich = next_id++;
   EXPECT_FALSE(rig.Ask(poor, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Ask(rich, 0, 10, 5000).has_value());
-  rig.End(first, 0, 1, Outcome::kOk, 10);
+  rig.End(first, 0, 1, AttemptOutcome::kSuccess, 10);
   std::vector<RequestId> order;
-  for (const Dispatch& d : rig.sent) order.push_back(d.request);
+  for (const StartAttempt& d : rig.sent) order.push_back(d.request);
   const auto rich_at = std::find(order.begin(), order.end(), rich);
   ASSERT_NE(rich_at, order.end());
   EXPECT_EQ(std::find(order.begin(), rich_at, poor), rich_at);
@@ -1113,15 +1117,15 @@
 TEST(Admission, BeyondItsShareATenantComesLast) {
   Settings s = Usual();
   s.tenants = {{1}, {1}};
-  s.over_share_worth = 0.2;
-  s.balancers = 2;
+  s.over_quota_weight = 0.2;
+  s.proxy_count = 2;
   Rig rig(s);
   rig.Servers(1);
   auto ask = [&](RequestId id, int tenant) {
-    Submit submit;
+    RequestReceived submit;
     submit.request = id;
     submit.tenant = tenant;
-    submit.due = At(rig.now + 900);
+    submit.deadline = At(rig.now + 900);
     rig.Do(submit);
     return rig.SentTo(id).has_value();
   };
@@ -1130,7 +1134,7 @@
   EXPECT_FALSE(ask(9003, 1));
   rig.now += 1;
   EXPECT_FALSE(ask(9004, 0)) << "newer, but beyond its share";
-  rig.End(9001, 0, 1, Outcome::kOk);
+  rig.End(9001, 0, 1, AttemptOutcome::kSuccess);
   EXPECT_TRUE(rig.SentTo(9003).has_value());
   EXPECT_FALSE(rig.SentTo(9004).has_value());
 }
@@ -1138,10 +1142,10 @@
 // 65 servers that had just started tripled what was always in order, and the fleet was overdriven.
 TEST(Admission, ColdServersRaiseTheFloorByTheirShareOnly) {
   Settings s = Usual();
-  s.balancers = 4;
+  s.proxy_count = 4;
   Rig rig(s);
-  std::vector<ServerEntry> list = {Entry(1), Entry(2)};
-  for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
+  std::vector<Endpoint> list = {Entry(1), Entry(2)};
+  for (BackendId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, EndpointState::kReady, rig.now));
   rig.List(list);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
   EXPECT_EQ(rig.sent.size(), 3u) << "2 + 8 x 0.25 servers, 3 each, of 4 proxies";
@@ -1150,7 +1154,7 @@
 // Oldest first, an overloaded proxy would send only what has hardly any of its aim left.
 TEST(Admission, OfEqualWorthTheOldestGoesFirst) {
   Settings s = Usual();
-  s.balancers = 2;
+  s.proxy_count = 2;
   Rig rig(s);
   rig.Servers(1);
   for (int i = 0; i < 2; ++i) ASSERT_TRUE(rig.Ask(500 + static_cast<RequestId>(i), 0, 10, 900).has_value());
@@ -1158,7 +1162,7 @@
     rig.Tick(10);
     EXPECT_FALSE(rig.Ask(id, 0, 10, 900).has_value());
   }
-  rig.End(500, 0, 1, Outcome::kOk, 20);
+  rig.End(500, 0, 1, AttemptOutcome::kSuccess, 20);
   EXPECT_TRUE(rig.SentTo(601).has_value());
   EXPECT_FALSE(rig.SentTo(602).has_value());
 }
@@ -1166,7 +1170,7 @@
 // A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
 TEST(Admission, ANewProxyStartsFromLittle) {
   Settings s = Usual();
-  s.balancers = 4;
+  s.proxy_count = 4;
   Rig rig(s);
   rig.Servers(4);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
@@ -1177,20 +1181,20 @@
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 100; ++i) {
-    AnswerOne(rig, Outcome::kOk, {}, 15);
+    AnswerOne(rig, AttemptOutcome::kSuccess, {}, 15);
     rig.Tick(50);
   }
   rig.Ask(next_id++, 0, 1000, 900);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "about 1500 ms of 900";
+  EXPECT_EQ(rig.Count<RejectRequest>(), 1) << "about 1500 ms of 900";
   rig.Ask(next_id++, 0, 100, 900);
-  EXPECT_EQ(rig.Count<Dispatch>(), 1);
+  EXPECT_EQ(rig.Count<StartAttempt>(), 1);
 }
 
 TEST(Admission, AHugeRequestIsNotShutOutByTheLimitOfTheProxy) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 100; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    AnswerOne(rig, AttemptOutcome::kSuccess, {});
     rig.Tick(50);
   }
   EXPECT_TRUE(rig.Ask(next_id++, 2, 150, 5000).has_value());
@@ -1204,16 +1208,16 @@
   Rig rig(settings);
   rig.Servers(3);
   auto served = [&](double left, bool repeat = false) {
-    Submit s;
+    RequestReceived s;
     s.request = next_id++;
     s.request_class = 2;
-    s.has_hint = true;
-    s.work_ms = 10;
-    s.due = At(rig.now + left);
+    s.has_work_estimate = true;
+    s.estimated_work_ms = 10;
+    s.deadline = At(rig.now + left);
     s.client_retry = repeat;
     rig.Do(s);
     const auto server = rig.SentTo(s.request);
-    if (server) rig.End(s.request, 0, *server, Outcome::kOk);
+    if (server) rig.End(s.request, 0, *server, AttemptOutcome::kSuccess);
     return server.has_value();
   };
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "no usual time yet";
@@ -1221,7 +1225,7 @@
   EXPECT_TRUE(served(900)) << "100 of its 1000 are gone, of an aim of 200";
   EXPECT_FALSE(served(780)) << "220 are";
   EXPECT_FALSE(served(600, true)) << "200 or so: half of what may have passed before a marked repeat";
-  const auto* refused = std::get_if<Refuse>(&rig.actions.front());
+  const auto* refused = std::get_if<RejectRequest>(&rig.actions.front());
   ASSERT_NE(refused, nullptr);
   EXPECT_GE(refused->retry_after.count(), 270) << "another try would be later still";
   EXPECT_LE(refused->retry_after.count(), 300);
@@ -1231,10 +1235,10 @@
 // Clients' retries kept an overloaded fleet overloaded: every answer late, none refused.
 TEST(Admission, AFleetSlowThroughoutGetsNoMoreThanItAnswersInTime) {
   Settings s = Usual();
-  s.balancers = 2;
+  s.proxy_count = 2;
   Rig rig(s);
   rig.Servers(3);
-  std::deque<std::tuple<double, RequestId, ServerId>> out;
+  std::deque<std::tuple<double, RequestId, BackendId>> out;
   std::size_t most = 0;
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
@@ -1244,12 +1248,12 @@
     if (i % 4 == 0 && !out.empty()) {
       const auto [at, oldest, server] = out.front();
       out.pop_front();
-      rig.End(oldest, 0, server, Outcome::kOk, rig.now - at);
-      for (const Dispatch& d : rig.sent) {
+      rig.End(oldest, 0, server, AttemptOutcome::kSuccess, rig.now - at);
+      for (const StartAttempt& d : rig.sent) {
         if (std::none_of(out.begin(), out.end(),
                          [&](const auto& o) { return std::get<1>(o) == d.request; }) &&
             rig.SentTo(d.request))
-          out.emplace_back(rig.now, d.request, d.server);
+          out.emplace_back(rig.now, d.request, d.backend);
       }
     }
     if (i > 1000) most = std::max(most, out.size());
@@ -1261,12 +1265,12 @@
 // nothing.
 TEST(Admission, TheLimitLeavesRoomForChance) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.Servers(3);
   for (int i = 0; i < 4000; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    AnswerOne(rig, AttemptOutcome::kSuccess, {});
     rig.Tick(2);
   }
   for (int i = 0; i < 40; ++i) rig.Ask(next_id++, 2, 10, 5000);
@@ -1276,13 +1280,13 @@
 // Long aims let queues grow until servers choked on them; a fleet in that state did a fifth of its work.
 TEST(Admission, LongAimsDoNotCrowdServers) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
-  settings.balancers = 2;
+  settings.proxy_count = 2;
   Rig rig(settings);
   rig.Servers(3);
   for (int i = 0; i < 200; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    AnswerOne(rig, AttemptOutcome::kSuccess, {});
     rig.Tick(20);
   }
   for (int i = 0; i < 40; ++i) rig.Ask(next_id++, 2, 10, 5000);
@@ -1306,7 +1310,7 @@
   EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
   rig.Tick(20000);
   rig.Tick(20000);
-  rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now)});
+  rig.List({Entry(1, 0, 0, EndpointState::kReady, rig.now)});
   for (int i = 0; i < 30; ++i) {
     rig.Ask(next_id++);
     note();
@@ -1320,35 +1324,35 @@
   Rig rig;
   EXPECT_FALSE(rig.Ask(1, 0).has_value()) << "no list yet: held";
   rig.List({});
-  rig.End(77, 0, 1, Outcome::kOk);
-  rig.Do(ClientGone{77});
-  rig.Do(StreamStarted{77, 0});
+  rig.End(77, 0, 1, AttemptOutcome::kSuccess);
+  rig.Do(ClientDisconnected{77});
+  rig.Do(ResponseStarted{77, 0});
   rig.Servers(1);
-  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "held ones go once a server is listed";
-  rig.End(1, 9, 1, Outcome::kOk);
-  rig.End(1, -1, 1, Outcome::kOk);
+  EXPECT_EQ(rig.SentTo(1), BackendId{1}) << "held ones go once a server is listed";
+  rig.End(1, 9, 1, AttemptOutcome::kSuccess);
+  rig.End(1, -1, 1, AttemptOutcome::kSuccess);
   rig.Ask(1, 0);
   EXPECT_FALSE(rig.SentTo(1).has_value()) << "a duplicate id";
   rig.Ask(2, 99);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "an unknown class";
+  EXPECT_EQ(rig.Count<RejectRequest>(), 1) << "an unknown class";
   rig.Ask(3, 0, 10, -50);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "due in the past";
+  EXPECT_EQ(rig.Count<RejectRequest>(), 1) << "due in the past";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
     const RequestId id = 100 + next_id++;
-    Submit s;
+    RequestReceived s;
     s.request = id;
-    s.due = At(rig.now + 500);
-    s.has_hint = true;
-    s.work_ms = work;
+    s.deadline = At(rig.now + 500);
+    s.has_work_estimate = true;
+    s.estimated_work_ms = work;
     s.tenant = 4000;
     rig.Do(s);
     ASSERT_TRUE(rig.SentTo(id).has_value()) << work;
-    AttemptEnded e;
+    AttemptCompleted e;
     e.request = id;
-    e.server = 1;
-    e.outcome = Outcome::kOk;
-    e.settled = true;
-    e.took = Duration(nan);
+    e.backend = 1;
+    e.outcome = AttemptOutcome::kSuccess;
+    e.request_completed = true;
+    e.duration = Duration(nan);
     rig.Do(e);
   }
   EXPECT_TRUE(rig.Ask(next_id + 1000, 0).has_value());
@@ -1358,10 +1362,10 @@
   Rig rig;
   rig.List({});
   EXPECT_FALSE(rig.Ask(next_id++, 0, 10, 1000).has_value());
-  EXPECT_EQ(rig.Count<Refuse>() + rig.Count<Fail>(), 0);
+  EXPECT_EQ(rig.Count<RejectRequest>() + rig.Count<FailRequest>(), 0);
   double waited = 0;
-  while (rig.Count<Refuse>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  while (rig.Count<RejectRequest>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
+  EXPECT_EQ(rig.Count<RejectRequest>(), 1);
   EXPECT_LE(waited, 1000);
 }
 
@@ -1371,21 +1375,21 @@
   const RequestId id = next_id++;
   EXPECT_FALSE(rig.Ask(id, 2, 10, 1000).has_value());
   rig.now += 20;
-  rig.List({Entry(9)}, ListKind::kDelta);
-  EXPECT_EQ(rig.SentTo(id), std::optional<ServerId>(9));
+  rig.List({Entry(9)}, EndpointUpdateKind::kIncremental);
+  EXPECT_EQ(rig.SentTo(id), std::optional<BackendId>(9));
 }
 
 TEST(Odd, AThousandServersAndNoHints) {
   Settings settings = Usual();
-  settings.balancers = 3000;
-  settings.me = 2999;
+  settings.proxy_count = 3000;
+  settings.proxy_index = 2999;
   Rig rig(settings);
   rig.Servers(1000);
   for (int i = 0; i < 100; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, i % 3, 0, 900);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, Outcome::kOk);
+    rig.End(id, 0, *s, AttemptOutcome::kSuccess);
     rig.Tick(200);
   }
 }
@@ -1397,11 +1401,11 @@
     for (RequestId id = 1; id <= 200; ++id) {
       const auto s = rig->Ask(id, static_cast<int>(id % 3));
       rig->Tick(3);
-      if (s && id % 4) rig->End(id, 0, *s, id % 5 ? Outcome::kOk : Outcome::kError);
+      if (s && id % 4) rig->End(id, 0, *s, id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
     }
   }
   ASSERT_EQ(a.sent.size(), b.sent.size());
-  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].server, b.sent[i].server);
+  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].backend, b.sent[i].backend);
 }
 
 }  // namespace
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -53,15 +53,16 @@
   ASSERT_EQ(batch.records.size(), 3u);
   EXPECT_EQ(batch.records[0].instance, 3u);
   EXPECT_EQ(batch.records[2].instance, 5u);
-  const auto submit = EventIn<Submit>(batch);
+  const auto submit = EventIn<RequestReceived>(batch);
   EXPECT_EQ(submit.request, 0x0809c95d3a91c4u);
-  EXPECT_EQ(submit.due.time_since_epoch().count(), 8652.25);
+  EXPECT_EQ(submit.deadline.time_since_epoch().count(), 8652.25);
   EXPECT_EQ(submit.key, 0x91f03b7c55d20a64u);
-  EXPECT_TRUE(submit.has_hint);
+  EXPECT_TRUE(submit.has_work_estimate);
   EXPECT_FALSE(submit.client_retry);
-  EXPECT_EQ(submit.work_ms, 12);
+  EXPECT_EQ(submit.estimated_work_ms, 12);
   EXPECT_EQ(std::get<TimerFired>(std::get<Event>(batch.records[1].message)).token, 77u);
-  EXPECT_EQ(std::get<ClientGone>(std::get<Event>(batch.records[2].message)).request, 0x0bfff20e6f2b19u);
+  EXPECT_EQ(std::get<ClientDisconnected>(std::get<Event>(batch.records[2].message)).request,
+            0x0bfff20e6f2b19u);
 }
 
 TEST(Codec, CreateAndCrash) {
@@ -75,50 +76,53 @@
 
 TEST(Codec, Discovery) {
   const auto list =
-      EventIn<ListUpdate>(One(Hex("11 3b000000 03000000 02 29000000 02000000"
-                                  "074a1203 0000 0000 0000 01 0000803f 0000000000000000"
-                                  "f211902c 0100 0000 0400 02 0000c03f 0000000000d4b740")));
-  EXPECT_EQ(list.kind, ListKind::kCached);
-  ASSERT_EQ(list.entries.size(), 2u);
-  EXPECT_EQ(list.entries[0].server, 0x03124a07u);
-  EXPECT_EQ(list.entries[0].state, ServerState::kReady);
-  EXPECT_EQ(list.entries[1].zone, 1);
-  EXPECT_EQ(list.entries[1].cell, 4);
-  EXPECT_EQ(list.entries[1].state, ServerState::kDraining);
-  EXPECT_EQ(list.entries[1].weight, 1.5);
-  EXPECT_EQ(list.entries[1].up_since.time_since_epoch().count(), 6100);
+      EventIn<EndpointUpdate>(One(Hex("11 3b000000 03000000 02 29000000 02000000"
+                                      "074a1203 0000 0000 0000 01 0000803f 0000000000000000"
+                                      "f211902c 0100 0000 0400 02 0000c03f 0000000000d4b740")));
+  EXPECT_EQ(list.kind, EndpointUpdateKind::kCached);
+  ASSERT_EQ(list.endpoints.size(), 2u);
+  EXPECT_EQ(list.endpoints[0].backend, 0x03124a07u);
+  EXPECT_EQ(list.endpoints[0].state, EndpointState::kReady);
+  EXPECT_EQ(list.endpoints[1].zone, 1);
+  EXPECT_EQ(list.endpoints[1].cell, 4);
+  EXPECT_EQ(list.endpoints[1].state, EndpointState::kDraining);
+  EXPECT_EQ(list.endpoints[1].weight, 1.5);
+  EXPECT_EQ(list.endpoints[1].up_since.time_since_epoch().count(), 6100);
 }
 
 TEST(Codec, AttemptEndWithAndWithoutReport) {
-  const auto bare = EventIn<AttemptEnded>(
+  const auto bare = EventIn<AttemptCompleted>(
       One(Hex("14 1d000000 03000000 c4913a5dc9090800 01 074a1203 02 c800 0000000000803240 00")));
   EXPECT_EQ(bare.request, 0x0809c95d3a91c4u);
-  EXPECT_TRUE(bare.settled);
-  EXPECT_EQ(bare.server, 0x03124a07u);
+  EXPECT_TRUE(bare.request_completed);
+  EXPECT_EQ(bare.backend, 0x03124a07u);
   EXPECT_EQ(bare.attempt, 2);
-  EXPECT_EQ(bare.outcome, Outcome::kOk);
-  EXPECT_EQ(bare.took.count(), 18.5);
-  const auto full = EventIn<AttemptEnded>(One(Hex(
+  EXPECT_EQ(bare.outcome, AttemptOutcome::kSuccess);
+  EXPECT_EQ(bare.duration.count(), 18.5);
+  const auto full = EventIn<AttemptCompleted>(One(Hex(
       "14 25000000 03000000 c4913a5dc9090800 00 074a1203 00 f701 0000000000803240 02 0000803f 0000003f")));
-  EXPECT_FALSE(full.settled);
-  EXPECT_EQ(full.outcome, Outcome::kFull);
+  EXPECT_FALSE(full.request_completed);
+  EXPECT_EQ(full.outcome, AttemptOutcome::kBackendRejected);
 }
 
 TEST(Codec, EveryOutcome) {
-  const std::pair<const char*, Outcome> outcomes[] = {
-      {"c800", Outcome::kOk},        {"f401", Outcome::kError},         {"f701", Outcome::kFull},
-      {"f801", Outcome::kTimeout},   {"f601", Outcome::kConnectFailed}, {"5602", Outcome::kReset},
-      {"f301", Outcome::kCancelled}, {"9a01", Outcome::kMoot},          {"0700", Outcome::kUnknown}};
+  const std::pair<const char*, AttemptOutcome> outcomes[] = {
+      {"c800", AttemptOutcome::kSuccess},         {"f401", AttemptOutcome::kServerError},
+      {"f701", AttemptOutcome::kBackendRejected}, {"f801", AttemptOutcome::kTimeout},
+      {"f601", AttemptOutcome::kConnectFailure},  {"5602", AttemptOutcome::kConnectionReset},
+      {"f301", AttemptOutcome::kCancelled},       {"9a01", AttemptOutcome::kNotSent},
+      {"0700", AttemptOutcome::kUnknown}};
   for (const auto& [status, outcome] : outcomes) {
-    const auto end = EventIn<AttemptEnded>(One(Hex("14 1d000000 03000000 0100000000000000 00 02000000 00") +
-                                               Hex(status) + Hex("0000000000000000 00")));
+    const auto end =
+        EventIn<AttemptCompleted>(One(Hex("14 1d000000 03000000 0100000000000000 00 02000000 00") +
+                                      Hex(status) + Hex("0000000000000000 00")));
     EXPECT_EQ(end.outcome, outcome) << status;
   }
 }
 
 TEST(Codec, Opened) {
-  const auto started =
-      EventIn<StreamStarted>(One(Hex("13 19000000 03000000 c4913a5dc9090800 01 074a1203 0000000000802240")));
+  const auto started = EventIn<ResponseStarted>(
+      One(Hex("13 19000000 03000000 c4913a5dc9090800 01 074a1203 0000000000802240")));
   EXPECT_EQ(started.request, 0x0809c95d3a91c4u);
   EXPECT_EQ(started.attempt, 1);
 }
@@ -135,14 +139,15 @@
 
 TEST(Codec, Actions) {
   const std::pair<Action, const char*> actions[] = {
-      {Dispatch{0x0809c95d3a91c4u, 0x03124a07u, Duration(80)},
+      {StartAttempt{0x0809c95d3a91c4u, 0x03124a07u, Duration(80)},
        "1b 18000000 03000000 c4913a5dc9090800 0000000000005440 074a1203"},
       {SetTimer{TimePoint(Duration(8912.25)), 77}, "19 14000000 03000000 000000002068c140 4d00000000000000"},
       {Log{"two servers unknown"}, "16 19000000 03000000 1300 74776f207365727665727320756e6b6e6f776e"},
-      {Refuse{0x0bfff20e6f2b19u, Duration(250)}, "14 14000000 03000000 192b6f0ef2ff0b00 0000000000406f40"},
-      {Fail{0x0bfff20e6f2b19u}, "10 0c000000 03000000 192b6f0ef2ff0b00"},
-      {Subscribe{}, "12 05000000 03000000 01"},
-      {CloseIdle{0x2c9011f2u}, "13 08000000 03000000 f211902c"},
+      {RejectRequest{0x0bfff20e6f2b19u, Duration(250)},
+       "14 14000000 03000000 192b6f0ef2ff0b00 0000000000406f40"},
+      {FailRequest{0x0bfff20e6f2b19u}, "10 0c000000 03000000 192b6f0ef2ff0b00"},
+      {PollEndpoints{}, "12 05000000 03000000 01"},
+      {CloseIdleConnections{0x2c9011f2u}, "13 08000000 03000000 f211902c"},
   };
   for (const auto& [action, bytes] : actions) {
     ReplyWriter reply;
--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -17,13 +17,13 @@
 class Zoned {
  public:
   explicit Zoned(Settings settings = Usual()) : rig(std::move(settings)) {
-    std::vector<ServerEntry> list;
+    std::vector<Endpoint> list;
     for (int zone = 1; zone <= 3; ++zone) {
-      for (int i = 0; i < 6; ++i) list.push_back(Entry(static_cast<ServerId>(100 * zone + i), zone));
+      for (int i = 0; i < 6; ++i) list.push_back(Entry(static_cast<BackendId>(100 * zone + i), zone));
     }
     rig.List(list);
   }
-  static int ZoneOf(ServerId server) { return static_cast<int>(server / 100); }
+  static int ZoneOf(BackendId server) { return static_cast<int>(server / 100); }
   RequestId Next() { return ++request_; }
 
   // One request that is answered at once, unless it goes to a zone that is cut off: then no connection comes
@@ -36,8 +36,8 @@
       zones.push_back(ZoneOf(*server));
       const bool lost = std::count(cut.begin(), cut.end(), zones.back()) > 0;
       if (lost) rig.now += 20;
-      const ServerId to = *server;
-      rig.End(id, attempt, to, lost ? Outcome::kConnectFailed : Outcome::kOk);
+      const BackendId to = *server;
+      rig.End(id, attempt, to, lost ? AttemptOutcome::kConnectFailure : AttemptOutcome::kSuccess);
       server = rig.SentTo(id);
     }
     rig.Tick(10);
@@ -87,8 +87,8 @@
     const RequestId id = fleet.Next();
     auto server = fleet.rig.Ask(id, 0, 10, 3000);
     for (int attempt = 0; server; ++attempt) {
-      const ServerId to = *server;
-      fleet.rig.End(id, attempt, to, Outcome::kConnectFailed);
+      const BackendId to = *server;
+      fleet.rig.End(id, attempt, to, AttemptOutcome::kConnectFailure);
       for (const Action& action : fleet.rig.actions) {
         const auto* log = std::get_if<Log>(&action);
         told += log && log->text.find("zone") != std::string::npos;
@@ -113,17 +113,17 @@
 
 TEST(Zones, OneServerSaysNothingOfItsZone) {
   Zoned fleet;
-  std::vector<ServerEntry> list{Entry(100, 1), Entry(101, 1), Entry(300, 3)};
+  std::vector<Endpoint> list{Entry(100, 1), Entry(101, 1), Entry(300, 3)};
   fleet.rig.List(list);
   fleet.Attempts(20, {3}, 3);
-  fleet.rig.List({Entry(301, 3)}, ListKind::kDelta);
+  fleet.rig.List({Entry(301, 3)}, EndpointUpdateKind::kIncremental);
   EXPECT_GT(fleet.Attempts(20, {}, 3), 0) << "the new one is used";
 }
 
 // Time-outs of a cut were taken for a crowd: the proxies behind it refused all that came.
 TEST(Zones, TimeOutsOfASilentZoneAreNoCrowd) {
   Settings settings = Usual();
-  settings.balancers = 100;
+  settings.proxy_count = 100;
   Zoned fleet(settings);
   fleet.Attempts(100, {}, 3);
   for (int i = 0; i < 12; ++i) {  // clients give up at five times the aim
@@ -132,7 +132,8 @@
     if (!server) continue;
     const bool silent = Zoned::ZoneOf(*server) != 1;
     fleet.rig.Tick(silent ? 1000 : 10);
-    fleet.rig.End(id, 0, *server, silent ? Outcome::kTimeout : Outcome::kOk, silent ? 1000 : 10);
+    fleet.rig.End(id, 0, *server, silent ? AttemptOutcome::kTimeout : AttemptOutcome::kSuccess,
+                  silent ? 1000 : 10);
   }
   int served = 0;
   for (int i = 0; i < 50; ++i) {
@@ -148,27 +149,27 @@
   constexpr int kProxies = 100, kServers = 60, kRounds = 80;  // of 100 ms
   constexpr double kWork = 10;
   Settings settings = Usual();
-  settings.balancers = kProxies;
-  std::map<ServerId, std::vector<double>> sent_at;
+  settings.proxy_count = kProxies;
+  std::map<BackendId, std::vector<double>> sent_at;
   double started = 0;
   for (int me = 0; me < kProxies; ++me) {
-    settings.me = me;
+    settings.proxy_index = me;
     Rig rig(settings, static_cast<std::uint64_t>(me) + 1);
     RequestId id = 0;
     const auto ask = [&](bool count) {
       rig.Tick(100);
       if (const auto s = rig.Ask(++id, 2, kWork)) {
         if (count) sent_at[*s].push_back(rig.now);
-        rig.End(id, 0, *s, Outcome::kOk);
+        rig.End(id, 0, *s, AttemptOutcome::kSuccess);
       }
     };
     rig.Servers(kServers);
     for (int i = 0; i < 100; ++i) ask(false);
     started = rig.now;
-    std::vector<ServerEntry> restarted;
-    for (ServerId s = 1; s <= kServers; s += 2)
-      restarted.push_back(Entry(s, 0, 0, ServerState::kReady, started));
-    rig.List(restarted, ListKind::kDelta);
+    std::vector<Endpoint> restarted;
+    for (BackendId s = 1; s <= kServers; s += 2)
+      restarted.push_back(Entry(s, 0, 0, EndpointState::kReady, started));
+    rig.List(restarted, EndpointUpdateKind::kIncremental);
     for (int i = 0; i < kRounds; ++i) ask(true);
   }
   // Over the last four seconds cold servers have 0.55 to 0.85 of their capacity: 0.7 in the mean.
@@ -203,7 +204,7 @@
   RequestId id = 0;
   const auto served = [&](double left) {
     const auto s = rig.Ask(++id, 2, 10, left);
-    if (s) rig.End(id, 0, *s, Outcome::kOk);
+    if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess);
     return s.has_value();
   };
   for (int i = 0; i < 100; ++i) served(600);
--- a/tests/fleet/count_test.cpp
+++ b/tests/fleet/count_test.cpp
@@ -43,7 +43,7 @@
   s.discovery.calls_per_s = 30;
   s.discovery.call_timeout_ms = 300;
   s.machines[0].error_rate = 0.02;
-  s.machines[0].cold_from = 0.2;
+  s.machines[0].slow_start_min_capacity = 0.2;
   s.machines[0].warm_up_s = 5;
   const auto trouble = [&](lab::TroubleKind kind, double at, double length, double part, double size) {
     lab::Trouble t;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -17,34 +17,35 @@
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-inline ClassSettings Class(Effect effect, double aim = 200, double deadline = 1000) {
+inline ClassSettings Class(Idempotency effect, double aim = 200, double deadline = 1000) {
   ClassSettings c;
-  c.effect = effect;
-  c.aim = Duration(aim);
+  c.idempotency = effect;
+  c.latency_objective = Duration(aim);
   c.deadline = Duration(deadline);
-  c.window = Duration(500);
+  c.deduplication_window = Duration(500);
   return c;
 }
 
 // Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
 inline Settings Usual() {
   Settings s;
-  s.classes = {Class(Effect::kSafe), Class(Effect::kKeyed), Class(Effect::kUnsafe)};
-  s.classes[1].group = Group::kCell;
+  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
+               Class(Idempotency::kNonIdempotent)};
+  s.classes[1].deduplication_scope = DeduplicationScope::kCell;
   s.max_attempts = 4;
-  s.balancers = 1;
-  s.cold_from = 0.25;
-  s.warm_up = Duration(10000);
-  s.fall_multiple = 3;
-  s.overload_for = Duration(1000);
+  s.proxy_count = 1;
+  s.slow_start_min_capacity = 0.25;
+  s.slow_start_window = Duration(10000);
+  s.overload_factor = 3;
+  s.overload_window = Duration(1000);
   s.tick = Duration(5);
   return s;
 }
 
-inline ServerEntry Entry(ServerId id, int zone = 0, int cell = 0, ServerState state = ServerState::kReady,
-                         double up_since = 0) {
-  ServerEntry e;
-  e.server = id;
+inline Endpoint Entry(BackendId id, int zone = 0, int cell = 0, EndpointState state = EndpointState::kReady,
+                      double up_since = 0) {
+  Endpoint e;
+  e.backend = id;
   e.zone = zone;
   e.cell = cell;
   e.state = state;
@@ -63,50 +64,50 @@
     actions.clear();
     balancer_.Handle(At(now), event, &actions);
     for (const Action& a : actions) {
-      if (const auto* d = std::get_if<Dispatch>(&a)) ++attempts_[d->request], sent.push_back(*d);
+      if (const auto* d = std::get_if<StartAttempt>(&a)) ++attempts_[d->request], sent.push_back(*d);
     }
     return actions;
   }
-  void List(std::vector<ServerEntry> entries, ListKind kind = ListKind::kFull) {
-    Do(ListUpdate{kind, std::move(entries)});
+  void List(std::vector<Endpoint> entries, EndpointUpdateKind kind = EndpointUpdateKind::kSnapshot) {
+    Do(EndpointUpdate{kind, std::move(entries)});
   }
   void Servers(int n) {
-    std::vector<ServerEntry> entries;
-    for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
+    std::vector<Endpoint> entries;
+    for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<BackendId>(i)));
     List(entries);
   }
   // Submits and returns the server it was sent to at once, if any.
-  std::optional<ServerId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
-                              std::uint64_t key = 0) {
-    Submit s;
+  std::optional<BackendId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
+                               std::uint64_t key = 0) {
+    RequestReceived s;
     s.request = id;
     s.request_class = cls;
-    s.has_hint = work > 0;
-    s.work_ms = work;
+    s.has_work_estimate = work > 0;
+    s.estimated_work_ms = work;
     s.key = key;
-    s.due = At(now + patience);
+    s.deadline = At(now + patience);
     Do(s);
     return SentTo(id);
   }
-  void End(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
+  void End(RequestId id, int attempt, BackendId server, AttemptOutcome outcome, double took = 10,
            bool settled = false) {
-    AttemptEnded e;
+    AttemptCompleted e;
     e.request = id;
     e.attempt = attempt;
-    e.server = server;
+    e.backend = server;
     e.outcome = outcome;
-    e.settled = settled || outcome == Outcome::kOk;
-    e.took = Duration(took);
+    e.request_completed = settled || outcome == AttemptOutcome::kSuccess;
+    e.duration = Duration(took);
     Do(e);
   }
   void Tick(double ms) {
     now += ms;
     Do(TimerFired{});
   }
-  std::optional<ServerId> SentTo(RequestId id) const {
+  std::optional<BackendId> SentTo(RequestId id) const {
     for (const Action& a : actions) {
-      const auto* d = std::get_if<Dispatch>(&a);
-      if (d && d->request == id) return d->server;
+      const auto* d = std::get_if<StartAttempt>(&a);
+      if (d && d->request == id) return d->backend;
     }
     return std::nullopt;
   }
@@ -117,9 +118,9 @@
     return n;
   }
 
-  std::vector<Learnt> Learned() { return balancer_.Learned(At(now)); }
+  std::vector<BackendSnapshot> ExportState() { return balancer_.ExportState(At(now)); }
 
-  std::vector<Dispatch> sent;
+  std::vector<StartAttempt> sent;
 
  private:
   Balancer balancer_;
--- a/tests/lab/lab_testing.h
+++ b/tests/lab/lab_testing.h
@@ -44,12 +44,12 @@
   using React = std::function<void(Scripted&, TimePoint, const Event&, std::vector<Action>*)>;
   explicit Scripted(React react) : react_(std::move(react)) {}
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) override {
-    if (const auto* list = std::get_if<ListUpdate>(&event)) {
-      for (const ServerEntry& e : list->entries) known[e.server] = e;
+    if (const auto* list = std::get_if<EndpointUpdate>(&event)) {
+      for (const Endpoint& e : list->endpoints) known[e.backend] = e;
     }
     react_(*this, now, event, actions);
   }
-  std::map<ServerId, ServerEntry> known;
+  std::map<BackendId, Endpoint> known;
 
  private:
   React react_;
@@ -65,12 +65,12 @@
 
 // A policy that keeps every rule: one attempt, and its end is the request's.
 inline void OneAttempt(Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
-  if (const auto* submit = std::get_if<Submit>(&event)) {
-    if (self.known.empty()) return actions->push_back(Refuse{submit->request, Duration(0)});
-    actions->push_back(Dispatch{submit->request, self.known.begin()->first, Duration(0)});
+  if (const auto* submit = std::get_if<RequestReceived>(&event)) {
+    if (self.known.empty()) return actions->push_back(RejectRequest{submit->request, Duration(0)});
+    actions->push_back(StartAttempt{submit->request, self.known.begin()->first, Duration(0)});
   }
-  if (const auto* end = std::get_if<AttemptEnded>(&event); end && !end->settled)
-    actions->push_back(Fail{end->request});
+  if (const auto* end = std::get_if<AttemptCompleted>(&event); end && !end->request_completed)
+    actions->push_back(FailRequest{end->request});
 }
 
 inline int RuleBroken(const RunResult& result) {
--- a/tests/lab/models_test.cpp
+++ b/tests/lab/models_test.cpp
@@ -78,7 +78,7 @@
 
 TEST(Models, WarmUpRisesEvenlyFromTheColdShare) {
   Machine machine;
-  machine.cold_from = 0.2;
+  machine.slow_start_min_capacity = 0.2;
   machine.warm_up_s = 10;
   Backend backend(machine, 0, 0, 2);
   EXPECT_EQ(backend.Warmth(0), 1) << "long up";
@@ -149,7 +149,7 @@
 TEST(Models, ABackendRemembersNoMoreKeysThanItCan) {
   Machine machine;
   machine.warm_key_gain = 0.5;
-  machine.warm_keys = 3;
+  machine.key_affinity = 3;
   Backend backend(machine, 0, 0, 1);
   Micros now = 0;
   const auto takes = [&](std::uint64_t key) {
--- a/tests/lab/rules_observer_test.cpp
+++ b/tests/lab/rules_observer_test.cpp
@@ -30,22 +30,22 @@
   const RunResult result = RunScripted(
       Plain(), [](Scripted& self, TimePoint now, const Event& event, std::vector<Action>* actions) {
         OneAttempt(self, now, event, actions);
-        const auto* end = std::get_if<AttemptEnded>(&event);
-        if (end && end->outcome == Outcome::kOk)
-          actions->push_back(Dispatch{end->request, end->server, Duration(0)});
+        const auto* end = std::get_if<AttemptCompleted>(&event);
+        if (end && end->outcome == AttemptOutcome::kSuccess)
+          actions->push_back(StartAttempt{end->request, end->backend, Duration(0)});
       });
   EXPECT_EQ(RuleBroken(result), 1);
 }
 
 // Times out early and sends again, whatever the class allows.
 void Impatient(Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
-  if (const auto* submit = std::get_if<Submit>(&event))
-    actions->push_back(Dispatch{submit->request, self.known.begin()->first, Duration(5)});
-  if (const auto* end = std::get_if<AttemptEnded>(&event); end && !end->settled) {
+  if (const auto* submit = std::get_if<RequestReceived>(&event))
+    actions->push_back(StartAttempt{submit->request, self.known.begin()->first, Duration(5)});
+  if (const auto* end = std::get_if<AttemptCompleted>(&event); end && !end->request_completed) {
     if (end->attempt == 0) {
-      actions->push_back(Dispatch{end->request, end->server, Duration(0)});
+      actions->push_back(StartAttempt{end->request, end->backend, Duration(0)});
     } else {
-      actions->push_back(Fail{end->request});
+      actions->push_back(FailRequest{end->request});
     }
   }
 }
@@ -60,10 +60,10 @@
 
 TEST(RulesObserver, Rule2ARefusalAfterItMayHaveRun) {
   const auto refuse = [](Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
-    if (const auto* submit = std::get_if<Submit>(&event))
-      actions->push_back(Dispatch{submit->request, self.known.begin()->first, Duration(5)});
-    if (const auto* end = std::get_if<AttemptEnded>(&event); end && !end->settled)
-      actions->push_back(Refuse{end->request, Duration(0)});
+    if (const auto* submit = std::get_if<RequestReceived>(&event))
+      actions->push_back(StartAttempt{submit->request, self.known.begin()->first, Duration(5)});
+    if (const auto* end = std::get_if<AttemptCompleted>(&event); end && !end->request_completed)
+      actions->push_back(RejectRequest{end->request, Duration(0)});
   };
   EXPECT_EQ(RuleBroken(RunScripted(Plain("[[class]]\nsafe = false\nwork_ms = 10\n"), refuse)), 2);
   EXPECT_EQ(RunScripted(Plain("[[class]]\nsafe = true\nwork_ms = 10\n"), refuse).broken, 0);
@@ -83,9 +83,9 @@
 TEST(RulesObserver, Rule3IsKeptByOneThatHeedsTheList) {
   const RunResult result = RunScripted(
       Plain(kRelease), [](Scripted& self, TimePoint now, const Event& event, std::vector<Action>* actions) {
-        const auto* submit = std::get_if<Submit>(&event);
-        if (submit && self.known.begin()->second.state != ServerState::kReady)
-          return actions->push_back(Refuse{submit->request, Duration(0)});
+        const auto* submit = std::get_if<RequestReceived>(&event);
+        if (submit && self.known.begin()->second.state != EndpointState::kReady)
+          return actions->push_back(RejectRequest{submit->request, Duration(0)});
         OneAttempt(self, now, event, actions);
       });
   EXPECT_EQ(result.broken, 0);
--- a/tests/lab/world_test.cpp
+++ b/tests/lab/world_test.cpp
@@ -19,10 +19,10 @@
   return RunScripted(
       Plain("[network]\nsame_zone_ms = 1\njitter = 0\n[[machine]]\ncores = 100\n"),
       [ms](Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
-        if (const auto* submit = std::get_if<Submit>(&event))
-          actions->push_back(Dispatch{submit->request, self.known.begin()->first, Duration(ms)});
-        if (const auto* end = std::get_if<AttemptEnded>(&event); end && !end->settled)
-          actions->push_back(Fail{end->request});
+        if (const auto* submit = std::get_if<RequestReceived>(&event))
+          actions->push_back(StartAttempt{submit->request, self.known.begin()->first, Duration(ms)});
+        if (const auto* end = std::get_if<AttemptCompleted>(&event); end && !end->request_completed)
+          actions->push_back(FailRequest{end->request});
       });
 }
 
@@ -122,20 +122,19 @@
 
 TEST(World, ACutDelaysOneWayOnlyAndUntilItHeals) {
   // Answers from zone 1 are held up; requests to it are not: what is sent there runs all the same.
-  const RunResult result =
-      RunScripted(Plain("length_s = 4\n[fleet]\nbackends = 2\nproxies = 1\nzones = 2\n[[class]]\nwork_ms = "
-                        "1\ndeadline_ms = 500\naim_ms = 500\n"
-                        "[[trouble]]\nkind = \"cut\"\nat_s = 1\nfor_s = 2\nfrom_zone = 1\nto_zone = 0\n"),
-                  [](Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
-                    if (const auto* submit = std::get_if<Submit>(&event)) {
-                      for (const auto& [id, entry] : self.known) {
-                        if (entry.zone == 1)
-                          return actions->push_back(Dispatch{submit->request, id, Duration(0)});
-                      }
-                    }
-                    if (const auto* end = std::get_if<AttemptEnded>(&event); end && !end->settled)
-                      actions->push_back(Fail{end->request});
-                  });
+  const RunResult result = RunScripted(
+      Plain("length_s = 4\n[fleet]\nbackends = 2\nproxies = 1\nzones = 2\n[[class]]\nwork_ms = "
+            "1\ndeadline_ms = 500\naim_ms = 500\n"
+            "[[trouble]]\nkind = \"cut\"\nat_s = 1\nfor_s = 2\nfrom_zone = 1\nto_zone = 0\n"),
+      [](Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
+        if (const auto* submit = std::get_if<RequestReceived>(&event)) {
+          for (const auto& [id, entry] : self.known) {
+            if (entry.zone == 1) return actions->push_back(StartAttempt{submit->request, id, Duration(0)});
+          }
+        }
+        if (const auto* end = std::get_if<AttemptCompleted>(&event); end && !end->request_completed)
+          actions->push_back(FailRequest{end->request});
+      });
   EXPECT_NEAR(static_cast<double>(Count(result, "timeouts") + Count(result, "connect_failed")), 40, 25);
   EXPECT_GT(result.json["wasted_work"].get<double>(), 0.02);
 }
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -18,14 +18,14 @@
 TEST(LargeFleet, OneServerLeftIsFoundHoweverManyThereWere) {
   Rig rig;
   rig.Servers(kMany);
-  std::vector<ServerEntry> draining;
-  for (ServerId id = 1; id <= kMany; ++id) {
-    if (id != 77) draining.push_back(Entry(id, 0, 0, ServerState::kDraining));
+  std::vector<Endpoint> draining;
+  for (BackendId id = 1; id <= kMany; ++id) {
+    if (id != 77) draining.push_back(Entry(id, 0, 0, EndpointState::kDraining));
   }
-  rig.List(draining, ListKind::kDelta);
+  rig.List(draining, EndpointUpdateKind::kIncremental);
   for (RequestId id = 1; id <= 20; ++id) {
-    EXPECT_EQ(rig.Ask(id), std::optional<ServerId>(77));
-    rig.End(id, 0, 77, Outcome::kOk);
+    EXPECT_EQ(rig.Ask(id), std::optional<BackendId>(77));
+    rig.End(id, 0, 77, AttemptOutcome::kSuccess);
   }
 }
 
@@ -33,12 +33,12 @@
 // same.
 TEST(LargeFleet, AWarmServerAmongColdOnesIsFound) {
   Settings settings = Usual();
-  settings.cold_from = 0.001;
-  settings.warm_up = Duration(1e7);
+  settings.slow_start_min_capacity = 0.001;
+  settings.slow_start_window = Duration(1e7);
   Rig rig(settings);
-  std::vector<ServerEntry> list;
-  for (ServerId id = 1; id <= kMany; ++id)
-    list.push_back(Entry(id, 0, 0, ServerState::kReady, id == 9 ? 0 : rig.now));
+  std::vector<Endpoint> list;
+  for (BackendId id = 1; id <= kMany; ++id)
+    list.push_back(Entry(id, 0, 0, EndpointState::kReady, id == 9 ? 0 : rig.now));
   rig.List(list);
   int warm = 0;
   for (RequestId id = 1; id <= 50; ++id) {
@@ -46,7 +46,7 @@
     const auto server = rig.Ask(id);
     ASSERT_TRUE(server.has_value());
     warm += *server == 9;
-    rig.End(id, 0, *server, Outcome::kOk);
+    rig.End(id, 0, *server, AttemptOutcome::kSuccess);
   }
   EXPECT_GE(warm, 40);
 }
@@ -55,39 +55,39 @@
   Rig rig;
   rig.Servers(kMany);
   std::mt19937_64 random(5);
-  std::map<ServerId, ServerState> truth;
-  for (ServerId id = 1; id <= kMany; ++id) truth[id] = ServerState::kReady;
-  std::set<ServerId> used;
+  std::map<BackendId, EndpointState> truth;
+  for (BackendId id = 1; id <= kMany; ++id) truth[id] = EndpointState::kReady;
+  std::set<BackendId> used;
   RequestId request = 0;
   for (int step = 0; step < 4000; ++step) {
-    const auto id = static_cast<ServerId>(1 + random() % (kMany + 50));  // some were never heard of
-    const auto state = static_cast<ServerState>(random() % 3);
+    const auto id = static_cast<BackendId>(1 + random() % (kMany + 50));  // some were never heard of
+    const auto state = static_cast<EndpointState>(random() % 3);
     truth[id] = state;
-    rig.List({Entry(id, 0, 0, state)}, ListKind::kDelta);
+    rig.List({Entry(id, 0, 0, state)}, EndpointUpdateKind::kIncremental);
     rig.now += 1;
     const auto server = rig.Ask(++request);
     ASSERT_TRUE(server.has_value());
-    ASSERT_EQ(truth[*server], ServerState::kReady) << "step " << step;
+    ASSERT_EQ(truth[*server], EndpointState::kReady) << "step " << step;
     used.insert(*server);
-    rig.End(request, 0, *server, Outcome::kOk);
+    rig.End(request, 0, *server, AttemptOutcome::kSuccess);
   }
   EXPECT_GT(used.size(), 200u) << "no part of the fleet may be forgotten";
 }
 
 TEST(LargeFleet, AKeyStaysWithTheServerThatMetIt) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.key_affinity = true;
   Rig rig(settings);
   rig.Servers(kMany);
   const auto first = rig.Ask(1, 0, 10, 1000, 42);
   ASSERT_TRUE(first.has_value());
-  rig.End(1, 0, *first, Outcome::kOk);
+  rig.End(1, 0, *first, AttemptOutcome::kSuccess);
   for (RequestId id = 2; id <= 100; ++id) {
     rig.Tick(10);
     const auto other = rig.Ask(1000 + id);
-    rig.End(1000 + id, 0, *other, Outcome::kOk);
+    rig.End(1000 + id, 0, *other, AttemptOutcome::kSuccess);
     EXPECT_EQ(rig.Ask(id, 0, 10, 1000, 42), first);
-    rig.End(id, 0, *first, Outcome::kOk);
+    rig.End(id, 0, *first, AttemptOutcome::kSuccess);
   }
 }
 
@@ -100,9 +100,9 @@
     rig.Tick(1);
     const auto server = rig.Ask(++request);
     ASSERT_TRUE(server.has_value());
-    rig.End(request, 0, *server, Outcome::kOk);
+    rig.End(request, 0, *server, AttemptOutcome::kSuccess);
   }
-  std::map<ServerId, int> out;
+  std::map<BackendId, int> out;
   int sent = 0, most = 0;
   for (int k = 0; k < kMany / 2; ++k) {
     const auto server = rig.Ask(++request, 0, 10, 100000);
@@ -116,15 +116,15 @@
   Rig rig;
   RequestId request = 0;
   for (int life = 0; life < 20; ++life) {
-    std::vector<ServerEntry> list;
-    for (int i = 0; i < 100; ++i) list.push_back(Entry(static_cast<ServerId>(1000 * life + i + 1)));
+    std::vector<Endpoint> list;
+    for (int i = 0; i < 100; ++i) list.push_back(Entry(static_cast<BackendId>(1000 * life + i + 1)));
     rig.List(list);
     for (int k = 0; k < 50; ++k) {
       rig.Tick(10);
       const auto server = rig.Ask(++request);
       ASSERT_TRUE(server.has_value());
-      ASSERT_EQ((*server - 1) / 1000, static_cast<ServerId>(life)) << "only those listed now";
-      rig.End(request, 0, *server, Outcome::kOk);
+      ASSERT_EQ((*server - 1) / 1000, static_cast<BackendId>(life)) << "only those listed now";
+      rig.End(request, 0, *server, AttemptOutcome::kSuccess);
     }
     rig.Tick(700000);
   }
@@ -134,25 +134,25 @@
 // numbers are; one that moves closes what it held.
 TEST(LargeFleet, ToldPositionsDivideTheServersEvenly) {
   constexpr int kServers = 64, kProxies = 8;
-  std::map<ServerId, int> holders;
+  std::map<BackendId, int> holders;
   for (int proxy = 0; proxy < kProxies; ++proxy) {
     Settings settings = Usual();
-    settings.balancers = 200;
-    settings.me = 3;  // all the same number
+    settings.proxy_count = 200;
+    settings.proxy_index = 3;  // all the same number
     Rig rig(settings);
     rig.Servers(kServers);
-    rig.Do(Position{static_cast<double>(proxy) / kProxies});
-    std::set<ServerId> used;
+    rig.Do(SubsetPosition{static_cast<double>(proxy) / kProxies});
+    std::set<BackendId> used;
     for (RequestId id = 1; id <= 400; ++id) {
       const auto server = rig.Ask(id);
       ASSERT_TRUE(server.has_value());
       used.insert(*server);
-      rig.End(id, 0, *server, Outcome::kOk);
+      rig.End(id, 0, *server, AttemptOutcome::kSuccess);
     }
     EXPECT_LE(used.size(), 8u);
-    for (const ServerId server : used) ++holders[server];
-    rig.Do(Position{static_cast<double>(proxy) / kProxies + 0.5 / kProxies});
-    EXPECT_GE(rig.Count<CloseIdle>(), 3);
+    for (const BackendId server : used) ++holders[server];
+    rig.Do(SubsetPosition{static_cast<double>(proxy) / kProxies + 0.5 / kProxies});
+    EXPECT_GE(rig.Count<CloseIdleConnections>(), 3);
   }
   EXPECT_EQ(holders.size(), static_cast<std::size_t>(kServers));
   for (const auto& [server, n] : holders) EXPECT_EQ(n, 1) << server;
--- a/tests/operation_test.cpp
+++ b/tests/operation_test.cpp
@@ -60,7 +60,7 @@
 }
 
 // ---- backends out by hand -----------------------------------------------------------------------------
-MemberList ListOf(const std::string& id, ServerState state = ServerState::kReady, double up_since = 0) {
+MemberList ListOf(const std::string& id, EndpointState state = EndpointState::kReady, double up_since = 0) {
   Member member;
   member.id = id;
   member.state = state;
@@ -77,17 +77,18 @@
   EXPECT_EQ(disabled.Disable("s-2", &changes), DisabledBackends::Verdict::kUnknown);
   EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::Verdict::kDone);
   ASSERT_EQ(changes.members.size(), 1u);
-  EXPECT_EQ(changes.members[0].state, ServerState::kDraining);
+  EXPECT_EQ(changes.members[0].state, EndpointState::kDraining);
   EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::Verdict::kDone);
   EXPECT_TRUE(changes.members.empty());
-  EXPECT_EQ(disabled.Pass(ListOf("s-1", ServerState::kGone), false).members[0].state, ServerState::kGone);
-  EXPECT_EQ(disabled.Pass(ListOf("s-1", ServerState::kReady, 5), false).members[0].state,
-            ServerState::kDraining);
-  EXPECT_EQ(disabled.Pass(ListOf("s-1", ServerState::kReady, 7), true).members[0].state,
-            ServerState::kDraining);
+  EXPECT_EQ(disabled.Pass(ListOf("s-1", EndpointState::kRemoved), false).members[0].state,
+            EndpointState::kRemoved);
+  EXPECT_EQ(disabled.Pass(ListOf("s-1", EndpointState::kReady, 5), false).members[0].state,
+            EndpointState::kDraining);
+  EXPECT_EQ(disabled.Pass(ListOf("s-1", EndpointState::kReady, 7), true).members[0].state,
+            EndpointState::kDraining);
   EXPECT_EQ(disabled.Enable("s-1", &changes), DisabledBackends::Verdict::kDone);
   ASSERT_EQ(changes.members.size(), 1u);
-  EXPECT_EQ(changes.members[0].state, ServerState::kReady);
+  EXPECT_EQ(changes.members[0].state, EndpointState::kReady);
   EXPECT_EQ(changes.members[0].up_since_unix_ms, 7);
 }
 
@@ -107,7 +108,7 @@
   EXPECT_EQ(one.Reread().members.size(), 1u);
   EXPECT_EQ(one.ids(), two.ids());
   EXPECT_EQ(one.Enable("s-2", &changes), DisabledBackends::Verdict::kDone);
-  EXPECT_EQ(two.Reread().members[0].state, ServerState::kReady);
+  EXPECT_EQ(two.Reread().members[0].state, EndpointState::kReady);
   EXPECT_EQ(DisabledBackends(file, log::Global()).ids(), (std::set<std::string>{"s-1"}));
 }
 
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -17,23 +17,23 @@
 using copperpoint::testing::Rig;
 using copperpoint::testing::Usual;
 
-Submit Asking(int cls, int tenant, std::uint64_t key, double work) {
-  Submit submit;
+RequestReceived Asking(int cls, int tenant, std::uint64_t key, double work) {
+  RequestReceived submit;
   submit.request_class = cls;
   submit.tenant = tenant;
   submit.key = key;
-  submit.has_hint = work > 0;
-  submit.work_ms = work;
+  submit.has_work_estimate = work > 0;
+  submit.estimated_work_ms = work;
   return submit;
 }
 
 TEST(Fingerprint, IsOfWhatATryHasInCommonWithTheNext) {
-  const Submit one = Asking(1, 2, 3, 4.5);
-  Submit again = one;
+  const RequestReceived one = Asking(1, 2, 3, 4.5);
+  RequestReceived again = one;
   again.request = 99;
-  again.due = At(7);
+  again.deadline = At(7);
   EXPECT_EQ(FingerprintOf(one), FingerprintOf(again));
-  for (const Submit& other :
+  for (const RequestReceived& other :
        {Asking(0, 2, 3, 4.5), Asking(1, 0, 3, 4.5), Asking(1, 2, 0, 4.5), Asking(1, 2, 3, 4.25)})
     EXPECT_NE(FingerprintOf(one), FingerprintOf(other));
   EXPECT_EQ(FingerprintOf(Asking(1, 2, 0, 0)), 0u) << "class and account alone name nobody";
@@ -94,13 +94,13 @@
   EXPECT_EQ(repeats.kept(), 0u);
 }
 
-Settings Judged(Goal goal) {
+Settings Judged(ServiceObjective goal) {
   Settings s = Usual();
-  s.classes = {Class(Effect::kSafe), Class(Effect::kUnsafe)};
-  s.classes[0].worth = 5;
-  s.classes[1].worth = 3;
+  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kNonIdempotent)};
+  s.classes[0].priority_weight = 5;
+  s.classes[1].priority_weight = 3;
   s.tenants = {{100}, {100}};
-  s.goal = goal;
+  s.service_objective = goal;
   return s;
 }
 
@@ -236,13 +236,13 @@
   }
   static Settings Limited() {
     Settings s = Usual();
-    s.balancers = 2;
+    s.proxy_count = 2;
     s.max_retry_after = Duration(800);
     return s;
   }
-  const Refuse* Refused(RequestId id) {
+  const RejectRequest* Refused(RequestId id) {
     for (const Action& a : rig_.actions) {
-      const auto* refuse = std::get_if<Refuse>(&a);
+      const auto* refuse = std::get_if<RejectRequest>(&a);
       if (refuse && refuse->request == id) return refuse;
     }
     return nullptr;
@@ -252,20 +252,20 @@
 
 TEST_F(Crowded, WhoComesAgainWhenItsAimHasPassedIsRefusedAtOnceAndToldToStayAway) {
   rig_.Ask(10, 0, 5, 900);
-  rig_.End(1, 0, 1, Outcome::kOk, 20);  // somebody is answered: a crowd, no silence
+  rig_.End(1, 0, 1, AttemptOutcome::kSuccess, 20);  // somebody is answered: a crowd, no silence
   EXPECT_TRUE(rig_.SentTo(10).has_value());
   rig_.Ask(11, 0, 6, 900);
   rig_.Tick(5);
-  rig_.End(2, 0, 1, Outcome::kOk, 20);
+  rig_.End(2, 0, 1, AttemptOutcome::kSuccess, 20);
   rig_.Ask(12, 0, 7, 900);
   rig_.Tick(5);
   rig_.Ask(13, 0, 8, 900);
   rig_.Tick(250);  // 12 and 13 have been refused long since; the aim is 200
-  rig_.End(10, 0, 1, Outcome::kOk, 20);
-  rig_.End(11, 0, 1, Outcome::kOk, 20);
+  rig_.End(10, 0, 1, AttemptOutcome::kSuccess, 20);
+  rig_.End(11, 0, 1, AttemptOutcome::kSuccess, 20);
   EXPECT_TRUE(rig_.Ask(20, 0, 4, 900).has_value()) << "there is room for others";
   EXPECT_FALSE(rig_.Ask(22, 0, 8, 900).has_value()) << "but not for 13 anew";
-  const Refuse* refuse = Refused(22);
+  const RejectRequest* refuse = Refused(22);
   ASSERT_NE(refuse, nullptr);
   EXPECT_LE(refuse->retry_after, Duration(800));
   EXPECT_GE(refuse->retry_after, Duration(0.9 * 800));
@@ -278,13 +278,13 @@
   rig_.Tick(30);
   EXPECT_EQ(Refused(10), nullptr) << "nobody was answered since: a silence";
   rig_.Tick(1);
-  rig_.End(1, 0, 1, Outcome::kOk, 20);
+  rig_.End(1, 0, 1, AttemptOutcome::kSuccess, 20);
   EXPECT_TRUE(rig_.SentTo(10).has_value());
   // As many more as there is room for, and a few that wait.
   RequestId last = 12;
   for (int waiting = 0; waiting < 8; ++last) waiting += !rig_.Ask(last, 0, static_cast<double>(last), 900);
   rig_.Tick(1);
-  rig_.End(2, 0, 1, Outcome::kOk, 20);
+  rig_.End(2, 0, 1, AttemptOutcome::kSuccess, 20);
   const RequestId newest = last - 1;
   ASSERT_FALSE(rig_.SentTo(newest).has_value()) << "older ones are before it";
   rig_.Tick(30);  // more than 0.08 of the aim
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -53,11 +53,12 @@
     return head != std::string::npos && bytes.size() - head - 4 >= request.body().size();
   }
   bool NeverRan() const {
-    return result_->outcome == Outcome::kConnectFailed || result_->outcome == Outcome::kMoot ||
-           result_->outcome == Outcome::kFull;
+    return result_->outcome == AttemptOutcome::kConnectFailure ||
+           result_->outcome == AttemptOutcome::kNotSent ||
+           result_->outcome == AttemptOutcome::kBackendRejected;
   }
 
-  static constexpr ServerId kServer = 7;
+  static constexpr BackendId kServer = 7;
   asio::io_context io_{1}, peer_io_;
   Tcp::acceptor acceptor_;
   proxy::Backends::Limits limits_;
@@ -131,7 +132,7 @@
   backends_->AbortUnsent(ticket_);
   EXPECT_FALSE(result_) << "not from within the call";
   ASSERT_TRUE(Ended());
-  EXPECT_EQ(result_->outcome, Outcome::kMoot);
+  EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   EXPECT_FALSE(result_->local);
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
   EXPECT_EQ(backends_->connections(), 0u);
@@ -150,7 +151,7 @@
     Send(milliseconds(60000));
     Tcp::socket peer = Accepted();
     ASSERT_TRUE(Ended());
-    EXPECT_EQ(result_->outcome, Outcome::kMoot);
+    EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
     EXPECT_EQ(HearToTheEnd(peer).bytes, "");
   }
 }
@@ -160,7 +161,7 @@
   Tcp::socket peer = Accepted();
   backends_->Retire(kServer);
   ASSERT_TRUE(Ended());
-  EXPECT_EQ(result_->outcome, Outcome::kMoot);
+  EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   EXPECT_FALSE(result_->local);
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
 }
@@ -195,7 +196,7 @@
   }));
   backends_->Retire(kServer);
   ASSERT_TRUE(Ended());
-  EXPECT_EQ(result_->outcome, Outcome::kMoot);
+  EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   bytes += HearToTheEnd(peer).bytes;
   EXPECT_FALSE(Whole(bytes, *request));
 }
@@ -208,7 +209,7 @@
   backends_->Retire(kServer);
   SendRaw(peer, OkAnswer("it ran"));
   ASSERT_TRUE(Ended());
-  EXPECT_EQ(result_->outcome, Outcome::kOk);
+  EXPECT_EQ(result_->outcome, AttemptOutcome::kSuccess);
   EXPECT_EQ(result_->response.body(), "it ran");
 }
 
@@ -246,7 +247,7 @@
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
   CloseByReset(peer);
   ASSERT_TRUE(Ended());
-  EXPECT_EQ(result_->outcome, Outcome::kReset);
+  EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectionReset);
 
   const auto large = Request(std::string(64 * 1024 * 1024, 'y'));
   Send(milliseconds(60000), large);
@@ -254,7 +255,7 @@
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(half).bytes.empty(); }));
   CloseByReset(half);
   ASSERT_TRUE(Ended());
-  EXPECT_EQ(result_->outcome, Outcome::kConnectFailed);
+  EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectFailure);
 }
 
 // Cut at every byte: what is whole by its own framing is served, and nothing else.
@@ -278,7 +279,7 @@
         SendRaw(peer, form.substr(0, cut));
         by_reset ? CloseByReset(peer) : peer.close();
         ASSERT_TRUE(Ended());
-        EXPECT_EQ(result_->outcome, Outcome::kReset) << "after " << form.substr(0, cut);
+        EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectionReset) << "after " << form.substr(0, cut);
       }
     }
   }
@@ -301,7 +302,7 @@
       io_.poll();
     }
     ASSERT_TRUE(Ended());
-    EXPECT_EQ(result_->outcome, Outcome::kOk);
+    EXPECT_EQ(result_->outcome, AttemptOutcome::kSuccess);
     EXPECT_EQ(result_->response.body(), "body");
     peer.close();
     ASSERT_TRUE(StepUntil(io_, [&] { return backends_->connections() == 0; }));
--- a/tests/proxy/client_gone_test.cpp
+++ b/tests/proxy/client_gone_test.cpp
@@ -43,11 +43,11 @@
   EXPECT_TRUE(site.AllForgotten());
 }
 
-TEST(ClientGone, AnAttemptThatIsBeingDialledEndsWithIt) { ExpectForgotten(Book()); }
-TEST(ClientGone, IsSeenBehindANextRequest) { ExpectForgotten(Book() + WithId(Book(), "next")); }
-TEST(ClientGone, IsSeenBehindAFlood) { ExpectForgotten(Book(), std::string(2 * 1024 * 1024, 'x')); }
+TEST(ClientDisconnected, AnAttemptThatIsBeingDialledEndsWithIt) { ExpectForgotten(Book()); }
+TEST(ClientDisconnected, IsSeenBehindANextRequest) { ExpectForgotten(Book() + WithId(Book(), "next")); }
+TEST(ClientDisconnected, IsSeenBehindAFlood) { ExpectForgotten(Book(), std::string(2 * 1024 * 1024, 'x')); }
 
-TEST(ClientGone, ByAResetIsSeenToo) {
+TEST(ClientDisconnected, ByAResetIsSeenToo) {
   HeldDial dial;
   HeldSite site(dial);
   Client client(site.proxy->address);
@@ -57,7 +57,7 @@
   EXPECT_TRUE(site.AllForgotten());
 }
 
-TEST(ClientGone, ManyAtOnceAreAllForgotten) {
+TEST(ClientDisconnected, ManyAtOnceAreAllForgotten) {
   HeldDial dial;
   HeldSite site(dial);
   {
@@ -71,7 +71,7 @@
   EXPECT_TRUE(site.AllForgotten());
 }
 
-TEST(ClientGone, OneThatFloodsBehindItsRequestGetsItsAnswerAndTheEnd) {
+TEST(ClientDisconnected, OneThatFloodsBehindItsRequestGetsItsAnswerAndTheEnd) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -480,7 +480,7 @@
   proxy::ServerNumbers a(same), b(same);
   a.Learn(list({"x", "y", "z"}));
   b.Learn(list({"z", "y", "x"}));
-  std::set<ServerId> distinct;
+  std::set<BackendId> distinct;
   for (const char* id : {"x", "y", "z"}) {
     EXPECT_EQ(a.Of(id), b.Of(id));
     distinct.insert(a.Of(id));
@@ -721,9 +721,9 @@
   backends.Send(1, message, Duration(60000), keep);
   backends.Send(1, message, Duration(60000), keep);
   while (results.size() < 2) io.run_one();
-  EXPECT_EQ(results[0].outcome, Outcome::kMoot);  // never ran, and says nothing of the backend
+  EXPECT_EQ(results[0].outcome, AttemptOutcome::kNotSent);  // never ran, and says nothing of the backend
   EXPECT_TRUE(results[0].local);
-  EXPECT_EQ(results[1].outcome, Outcome::kOk);
+  EXPECT_EQ(results[1].outcome, AttemptOutcome::kSuccess);
 }
 
 TEST(Proxy, ATimeOutClosesTheIdleConnectionsToo) {
--- a/tests/rig/harmful_outcome.cpp
+++ b/tests/rig/harmful_outcome.cpp
@@ -7,10 +7,10 @@
 
 namespace copperpoint::proxy {
 
-Outcome OutcomeOf(const HttpRequest& request, const HttpResponse& response) {
+AttemptOutcome OutcomeOf(const HttpRequest& request, const HttpResponse& response) {
   const auto id = request["Req-Id"];
-  if (StableHash({id.data(), id.size()}) % 4 == 0) return Outcome::kError;
-  return response.result_int() == 200 ? Outcome::kOk : Outcome::kError;
+  if (StableHash({id.data(), id.size()}) % 4 == 0) return AttemptOutcome::kServerError;
+  return response.result_int() == 200 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError;
 }
 
 }  // namespace copperpoint::proxy
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -20,10 +20,10 @@
 using testing::Usual;
 
 struct Try {
-  ServerId server;
+  BackendId server;
   double sent_at;
   double ends_at;
-  Outcome outcome;
+  AttemptOutcome outcome;
   bool out = true;
 };
 struct Open {
@@ -36,11 +36,11 @@
 class World {
  public:
   World(Settings settings, std::uint64_t seed) : settings_(settings), rng_(seed), balancer_(settings, seed) {
-    for (ServerId id = 1; id <= 8; ++id) servers_[id] = Entry(id, id % 2, id % 3);
+    for (BackendId id = 1; id <= 8; ++id) servers_[id] = Entry(id, id % 2, id % 3);
   }
 
   void Play() {
-    Push(ListKind::kCached, All());
+    Push(EndpointUpdateKind::kCached, All());
     for (now_ = 1000; now_ < 9000; now_ += 1 + Roll(8)) {
       if (now_ > 7000) {
         Step(false);
@@ -57,13 +57,15 @@
  private:
   int Roll(int n) { return static_cast<int>(rng_() % static_cast<unsigned>(n)); }
 
-  std::vector<ServerEntry> All() const {
-    std::vector<ServerEntry> all;
+  std::vector<Endpoint> All() const {
+    std::vector<Endpoint> all;
     for (const auto& [id, e] : servers_) all.push_back(e);
     return all;
   }
 
-  void Push(ListKind kind, std::vector<ServerEntry> entries) { Do(ListUpdate{kind, std::move(entries)}); }
+  void Push(EndpointUpdateKind kind, std::vector<Endpoint> entries) {
+    Do(EndpointUpdate{kind, std::move(entries)});
+  }
 
   void Step(bool load) {
     // Timers, attempts that end and arrivals of one batch, in a random order.
@@ -87,22 +89,23 @@
   }
 
   void Arrive() {
-    Submit s;
+    RequestReceived s;
     s.request = ++last_id_;
     s.request_class = Roll(3);
-    s.due = At(now_ + 30 + Roll(700));
-    s.has_hint = Roll(3) > 0;
-    s.work_ms = 1 + Roll(60);
-    open_[s.request] = Open{s.request_class, s.due.time_since_epoch().count(), {}};
+    s.deadline = At(now_ + 30 + Roll(700));
+    s.has_work_estimate = Roll(3) > 0;
+    s.estimated_work_ms = 1 + Roll(60);
+    open_[s.request] = Open{s.request_class, s.deadline.time_since_epoch().count(), {}};
     Do(s);
   }
 
   void ChangeList() {
-    const ServerId id = 1 + static_cast<ServerId>(Roll(8));
-    ServerEntry& e = servers_[id];
-    e.state = static_cast<ServerState>(Roll(3));
-    if (e.state == ServerState::kReady && Roll(2)) e.up_since = At(now_);
-    Push(Roll(5) ? ListKind::kDelta : ListKind::kFull, Roll(5) ? std::vector<ServerEntry>{e} : All());
+    const BackendId id = 1 + static_cast<BackendId>(Roll(8));
+    Endpoint& e = servers_[id];
+    e.state = static_cast<EndpointState>(Roll(3));
+    if (e.state == EndpointState::kReady && Roll(2)) e.up_since = At(now_);
+    Push(Roll(5) ? EndpointUpdateKind::kIncremental : EndpointUpdateKind::kSnapshot,
+         Roll(5) ? std::vector<Endpoint>{e} : All());
   }
 
   void EndTries() {
@@ -117,23 +120,23 @@
       Open& r = open_[id];
       Try& t = r.tries[static_cast<std::size_t>(i)];
       t.out = false;
-      if (t.outcome == Outcome::kOk && r.finals == 0) r.finals = 1;
-      AttemptEnded e;
+      if (t.outcome == AttemptOutcome::kSuccess && r.finals == 0) r.finals = 1;
+      AttemptCompleted e;
       e.request = id;
       e.attempt = i;
-      e.server = t.server;
+      e.backend = t.server;
       e.outcome = t.outcome;
-      e.settled = r.finals > 0;
-      e.took = Duration(now_ - t.sent_at);
+      e.request_completed = r.finals > 0;
+      e.duration = Duration(now_ - t.sent_at);
       Do(e);
     }
   }
 
   void Do(const Event& event) {
     // The lists that the instance was told decide about drains.
-    if (const auto* list = std::get_if<ListUpdate>(&event)) {
-      if (list->kind != ListKind::kDelta) told_.clear();
-      for (const ServerEntry& e : list->entries) told_[e.server] = e;
+    if (const auto* list = std::get_if<EndpointUpdate>(&event)) {
+      if (list->kind != EndpointUpdateKind::kIncremental) told_.clear();
+      for (const Endpoint& e : list->endpoints) told_[e.backend] = e;
     }
     std::vector<Action> actions;
     balancer_.Handle(At(now_), event, &actions);
@@ -141,39 +144,41 @@
   }
 
   static bool NeverRan(const Try& t) {
-    return !t.out && (t.outcome == Outcome::kFull || t.outcome == Outcome::kConnectFailed ||
-                      t.outcome == Outcome::kMoot);
+    return !t.out && (t.outcome == AttemptOutcome::kBackendRejected ||
+                      t.outcome == AttemptOutcome::kConnectFailure || t.outcome == AttemptOutcome::kNotSent);
   }
 
   void Judge(const Action& action) {
-    if (const auto* d = std::get_if<Dispatch>(&action)) {
+    if (const auto* d = std::get_if<StartAttempt>(&action)) {
       ++attempts;
       Open& r = open_.at(d->request);
       EXPECT_EQ(r.finals, 0) << "sent after its final answer";
       EXPECT_LT(static_cast<int>(r.tries.size()), settings_.max_attempts);
-      EXPECT_TRUE(told_.count(d->server) && told_[d->server].state == ServerState::kReady) << "drain";
-      const Effect effect = settings_.classes[static_cast<std::size_t>(r.cls)].effect;
+      EXPECT_TRUE(told_.count(d->backend) && told_[d->backend].state == EndpointState::kReady) << "drain";
+      const Idempotency effect = settings_.classes[static_cast<std::size_t>(r.cls)].idempotency;
       for (const Try& t : r.tries) {
         EXPECT_TRUE(!t.out) << "two at once";
         if (NeverRan(t)) continue;
-        EXPECT_NE(effect, Effect::kUnsafe) << "an effect twice";
-        if (effect == Effect::kKeyed) {
-          EXPECT_EQ(servers_[t.server].cell, servers_[d->server].cell);
-          EXPECT_LE(now_ - t.sent_at, settings_.classes[static_cast<std::size_t>(r.cls)].window.count());
+        EXPECT_NE(effect, Idempotency::kNonIdempotent) << "an effect twice";
+        if (effect == Idempotency::kIdempotencyKey) {
+          EXPECT_EQ(servers_[t.server].cell, servers_[d->backend].cell);
+          EXPECT_LE(now_ - t.sent_at,
+                    settings_.classes[static_cast<std::size_t>(r.cls)].deduplication_window.count());
         }
       }
-      Try t{d->server, now_, now_ + Roll(400), static_cast<Outcome>(Roll(9))};
+      Try t{d->backend, now_, now_ + Roll(400), static_cast<AttemptOutcome>(Roll(9))};
       const double timeout = d->timeout.count() > 0 ? std::min(now_ + d->timeout.count(), r.due) : r.due;
-      if (t.ends_at > timeout) t.ends_at = timeout, t.outcome = Outcome::kTimeout;
+      if (t.ends_at > timeout) t.ends_at = timeout, t.outcome = AttemptOutcome::kTimeout;
       r.tries.push_back(t);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
       Open& r = open_.at(refuse->request);
       EXPECT_EQ(++r.finals, 1);
       for (const Try& t : r.tries) {
-        EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].effect == Effect::kSafe)
+        EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].idempotency ==
+                                       Idempotency::kIdempotent)
             << "refused though it may have run";
       }
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       EXPECT_EQ(++open_.at(fail->request).finals, 1);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       timers_.insert(std::max(now_ + 1, timer->at.time_since_epoch().count()));
@@ -186,7 +191,7 @@
   double now_ = 500;
   std::multiset<double> timers_;
   RequestId last_id_ = 0;
-  std::map<ServerId, ServerEntry> servers_, told_;
+  std::map<BackendId, Endpoint> servers_, told_;
   std::map<RequestId, Open> open_;
 };
 
@@ -203,57 +208,61 @@
     std::mt19937_64 rng(seed);
     std::vector<Balancer> proxies;
     Settings settings = Usual();
-    settings.balancers = kProxies;
-    settings.overload_for = Duration(kWindow);
+    settings.proxy_count = kProxies;
+    settings.overload_window = Duration(kWindow);
     for (int me = 0; me < kProxies; ++me) {
-      settings.me = me;
+      settings.proxy_index = me;
       proxies.emplace_back(settings, rng());
     }
-    std::vector<ServerEntry> list;
-    for (ServerId id = 1; id <= kServers; ++id) list.push_back(Entry(id));
+    std::vector<Endpoint> list;
+    for (BackendId id = 1; id <= kServers; ++id) list.push_back(Entry(id));
     std::vector<Action> actions;
-    for (Balancer& b : proxies) b.Handle(At(1000), ListUpdate{ListKind::kCached, list}, &actions);
-    std::map<ServerId, std::deque<double>> sent;
+    for (Balancer& b : proxies)
+      b.Handle(At(1000), EndpointUpdate{EndpointUpdateKind::kCached, list}, &actions);
+    std::map<BackendId, std::deque<double>> sent;
     RequestId id = 0;
     double next_restart = 15000;
     for (double now = 1001; now < 45000; now += kEveryMs / kProxies) {
       if (now >= next_restart) {
         next_restart += 2500;
-        ServerEntry& e = list[rng() % kServers];
+        Endpoint& e = list[rng() % kServers];
         e.up_since = At(now);
-        sent[e.server].clear();
-        for (Balancer& b : proxies) b.Handle(At(now), ListUpdate{ListKind::kDelta, {e}}, &actions);
+        sent[e.backend].clear();
+        for (Balancer& b : proxies)
+          b.Handle(At(now), EndpointUpdate{EndpointUpdateKind::kIncremental, {e}}, &actions);
       }
       Balancer& proxy = proxies[rng() % kProxies];
-      Submit s;
+      RequestReceived s;
       s.request = ++id;
-      s.due = At(now + 900);
-      s.has_hint = true;
-      s.work_ms = kWork;
+      s.deadline = At(now + 900);
+      s.has_work_estimate = true;
+      s.estimated_work_ms = kWork;
       actions.clear();
       proxy.Handle(At(now), s, &actions);
       const std::vector<Action> first = actions;
       for (const Action& a : first) {
-        const auto* d = std::get_if<Dispatch>(&a);
+        const auto* d = std::get_if<StartAttempt>(&a);
         if (!d) continue;
-        const ServerEntry& e = list[d->server - 1];
+        const Endpoint& e = list[d->backend - 1];
         const double age = now - e.up_since.time_since_epoch().count();
-        auto& recent = sent[d->server];
+        auto& recent = sent[d->backend];
         recent.push_back(now);
         while (now - recent.front() > kWindow) recent.pop_front();
-        if (e.up_since != TimePoint{} && age < settings.warm_up.count()) {
+        if (e.up_since != TimePoint{} && age < settings.slow_start_window.count()) {
           ++to_cold;
-          const double share = settings.cold_from + (1 - settings.cold_from) * age / settings.warm_up.count();
+          const double share = settings.slow_start_min_capacity + (1 - settings.slow_start_min_capacity) *
+                                                                      age /
+                                                                      settings.slow_start_window.count();
           EXPECT_LE(static_cast<double>(recent.size()) * kWork,
-                    settings.fall_multiple * share * capacity * kWindow)
-              << "server " << d->server << " " << age << " ms after its start";
+                    settings.overload_factor * share * capacity * kWindow)
+              << "server " << d->backend << " " << age << " ms after its start";
         }
-        AttemptEnded end;
+        AttemptCompleted end;
         end.request = d->request;
-        end.server = d->server;
-        end.settled = true;
-        end.outcome = Outcome::kOk;
-        end.took = Duration(15);
+        end.backend = d->backend;
+        end.request_completed = true;
+        end.outcome = AttemptOutcome::kSuccess;
+        end.duration = Duration(15);
         proxy.Handle(At(now), end, &actions);
       }
     }
@@ -268,7 +277,7 @@
     Settings s = Usual();
     s.max_attempts = 1 + static_cast<int>(seed % 5);
     s.tenants = {{10}, {10}};
-    s.over_share_worth = 0.2;
+    s.over_quota_weight = 0.2;
     World world(s, seed);
     world.Play();
     attempts += world.attempts;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -33,25 +33,25 @@
 
 TEST(SettingsParser, ReadsWhatItNeeds) {
   const Settings s = ParseSettings(kSampleSettings);
-  EXPECT_EQ(s.balancers, 2);
+  EXPECT_EQ(s.proxy_count, 2);
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].effect, Effect::kSafe);
-  EXPECT_EQ(s.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[1].group, Group::kCell);
-  EXPECT_EQ(s.classes[1].window.count(), 750);
-  EXPECT_EQ(s.classes[1].worth, 10);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotent);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_EQ(s.classes[1].deduplication_scope, DeduplicationScope::kCell);
+  EXPECT_EQ(s.classes[1].deduplication_window.count(), 750);
+  EXPECT_EQ(s.classes[1].priority_weight, 10);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_EQ(s.tenants[0].quota_per_s, 57);
   EXPECT_EQ(s.max_attempts, 4);
-  EXPECT_TRUE(s.must_ask_for_list);
-  EXPECT_EQ(s.must_ask_within.count(), 10000);
-  EXPECT_EQ(s.cold_from, 0.35);
-  EXPECT_TRUE(s.warm_keys);
+  EXPECT_TRUE(s.polls_endpoints);
+  EXPECT_EQ(s.max_poll_interval.count(), 10000);
+  EXPECT_EQ(s.slow_start_min_capacity, 0.35);
+  EXPECT_TRUE(s.key_affinity);
   EXPECT_EQ(s.max_retry_after.count(), 600);
 }
 
 TEST(SettingsParser, ItsOwnNumberAmongTheProxies) {
-  EXPECT_EQ(ParseSettings(std::string(kSampleSettings) + "me=17\n").me, 17);
+  EXPECT_EQ(ParseSettings(std::string(kSampleSettings) + "me=17\n").proxy_index, 17);
   EXPECT_EQ(Complaint(std::string(kSampleSettings) + "me=-1\n"), "setting out of range: me");
 }
 
@@ -62,10 +62,10 @@
 TEST(SettingsParser, AbsentOptionalKeys) {
   const Settings s = ParseSettings(Without("tenants.count"));
   EXPECT_TRUE(s.tenants.empty());
-  EXPECT_FALSE(ParseSettings(Without("registryMode")).must_ask_for_list);
-  EXPECT_EQ(ParseSettings(Without("overShareWorth")).over_share_worth, 1);
+  EXPECT_FALSE(ParseSettings(Without("registryMode")).polls_endpoints);
+  EXPECT_EQ(ParseSettings(Without("overShareWorth")).over_quota_weight, 1);
   EXPECT_EQ(ParseSettings(Without("permissions.retryAfter")).max_retry_after.count(), 0);
-  EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).warm_keys);
+  EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).key_affinity);
 }
 
 TEST(SettingsParser, NeededKeysAbsentAreNamed) {
