--- a/src/cli/demo.cpp
+++ b/src/cli/demo.cpp
@@ -9,7 +9,7 @@
 #include <memory>
 
 #include "cli/commands.h"
-#include "rig/processes/play.h"
+#include "fault_testing/processes/play.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -19,13 +19,13 @@
   double seconds = 60, rate = 60;
 };
 
-void TellWhatToTry(const rig::Live& live) {
+void TellWhatToTry(const fault_testing::Live& live) {
   std::cout << "\nProxies:\n";
-  for (const rig::LiveMember& member : live.members)
+  for (const fault_testing::LiveMember& member : live.members)
     std::cout << fmt::format("  {}  serves at {}, operator at {}, process {}\n", member.name, member.listen,
                              member.operator_address, member.pid);
-  const rig::LiveMember& first = live.members.front();
-  const rig::LiveMember& second = live.members[1 % live.members.size()];
+  const fault_testing::LiveMember& first = live.members.front();
+  const fault_testing::LiveMember& second = live.members[1 % live.members.size()];
   std::cout << fmt::format(
       "\nAsk one yourself, and see the fleet as one of them does:\n"
       "  curl -i -H 'Req-Id: 1a2b' -H 'Req-Kind: look' -H 'Req-Deadline-Ms: 2000' http://{}/look/it\n"
@@ -40,10 +40,10 @@
       second.name, live.control, second.name, second.name, live.control, first.name, first.name);
 }
 
-void TellLine(const rig::Live& live) {
+void TellLine(const fault_testing::Live& live) {
   std::string sees, runs;
   int up = 0;
-  for (const rig::LiveMember& member : live.members) {
+  for (const fault_testing::LiveMember& member : live.members) {
     up += member.up;
     sees += fmt::format("{}{}", sees.empty() ? "" : " ", member.up ? std::to_string(member.living) : "-");
   }
@@ -58,23 +58,23 @@
 }
 
 int RunDemo(const DemoOptions& options) {
-  rig::Plan plan;
+  fault_testing::Plan plan;
   plan.members = options.proxies;
   plan.zones = 1;
   plan.length_s = options.seconds;
   plan.service.backends = options.backends;
   plan.service.rate = options.rate;
-  rig::ProcessOptions run;
+  fault_testing::ProcessOptions run;
   run.program = std::filesystem::read_symlink("/proc/self/exe").string();
   bool told = false;
-  run.watch = [&](const rig::Live& live) {
+  run.watch = [&](const fault_testing::Live& live) {
     if (!std::exchange(told, true)) return TellWhatToTry(live);
     TellLine(live);
   };
   std::cout << fmt::format("Starting {} proxies and {} backends; it ends by itself after {:.0f} s.\n",
                            options.proxies, options.backends, options.seconds)
             << std::flush;
-  const rig::ProcessOutcome result = rig::PlayProcesses(plan, run);
+  const fault_testing::ProcessOutcome result = fault_testing::PlayProcesses(plan, run);
   for (const std::string& line : result.outcome.story) std::cout << line << '\n';
   std::cout << (result.interrupted ? "Interrupted.\n" : "Done.\n");
   return kDone;
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -10,15 +10,15 @@
 
 #include "cli/commands.h"
 #include "cli/fleet_view.h"
-#include "fleet/count.h"
-#include "lab/report/plot.h"
+#include "log_analysis/count.h"
+#include "simulation/report/plot.h"
 
 namespace copperpoint::cli {
 namespace {
 
 struct FleetOptions {
   std::string folder, json, plots;
-  fleet::Options count;
+  log_analysis::Options count;
 };
 
 std::vector<std::filesystem::path> LogsOf(const std::string& folder) {
@@ -31,13 +31,14 @@
   return files;
 }
 
-std::vector<lab::Chart> Charts(const fleet::Counter& counter) {
-  lab::Chart ends{"requests", "How requests ended", "second", "a second", {}, {}};
-  lab::Chart attempts{"attempts", "How attempts ended", "second", "a second", {}, {}};
-  lab::Chart load{"load", "Sent to each server", "second", "requests a second", {}, {}};
-  const auto draw = [&](lab::Chart& chart, const fleet::Counts& names, fleet::Counts fleet::Second::*of) {
+std::vector<simulation::Chart> Charts(const log_analysis::Counter& counter) {
+  simulation::Chart ends{"requests", "How requests ended", "second", "a second", {}, {}};
+  simulation::Chart attempts{"attempts", "How attempts ended", "second", "a second", {}, {}};
+  simulation::Chart load{"load", "Sent to each server", "second", "requests a second", {}, {}};
+  const auto draw = [&](simulation::Chart& chart, const log_analysis::Counts& names,
+                        log_analysis::Counts log_analysis::Second::*of) {
     for (const auto& [name, all] : names) {
-      lab::Curve curve{name, {}};
+      simulation::Curve curve{name, {}};
       for (const auto& [at, second] : counter.seconds()) {
         const auto found = (second.*of).find(name);
         curve.points.emplace_back(at - counter.seconds().begin()->first,
@@ -46,9 +47,9 @@
       chart.curves.push_back(std::move(curve));
     }
   };
-  draw(ends, counter.Requests(), &fleet::Second::requests);
-  draw(attempts, counter.Attempts(), &fleet::Second::attempts);
-  lab::Curve warm{"warm", {}}, cold{"cold", {}};
+  draw(ends, counter.Requests(), &log_analysis::Second::requests);
+  draw(attempts, counter.Attempts(), &log_analysis::Second::attempts);
+  simulation::Curve warm{"warm", {}}, cold{"cold", {}};
   for (const auto& [at, s] : counter.seconds()) {
     const double x = static_cast<double>(at - counter.seconds().begin()->first);
     if (!s.warm_servers.empty())
@@ -60,15 +61,15 @@
   }
   if (!warm.points.empty()) load.curves.push_back(std::move(warm));
   if (!cold.points.empty()) load.curves.push_back(std::move(cold));
-  std::vector<lab::Chart> charts;
-  for (lab::Chart* chart : {&ends, &attempts, &load}) {
+  std::vector<simulation::Chart> charts;
+  for (simulation::Chart* chart : {&ends, &attempts, &load}) {
     if (!chart->curves.empty()) charts.push_back(std::move(*chart));
   }
   return charts;
 }
 
 int Count(const FleetOptions& options) {
-  fleet::Counter counter(options.count);
+  log_analysis::Counter counter(options.count);
   for (const auto& file : LogsOf(options.folder)) {
     std::ifstream in(file, std::ios::binary);
     if (!in) throw std::invalid_argument(file.string() + ": cannot be read");
@@ -79,7 +80,7 @@
     throw std::invalid_argument(options.folder + ": no line of it is one of a proxy's log");
   if (!options.json.empty()) Write(options.json, counter.Json().dump(1) + '\n');
   if (!options.plots.empty())
-    std::cout << lab::WriteCharts(Charts(counter), "A fleet, counted over its logs", "", options.plots)
+    std::cout << simulation::WriteCharts(Charts(counter), "A fleet, counted over its logs", "", options.plots)
               << '\n';
   if (options.count.request.empty()) {
     std::cout << counter.Table();
--- a/src/cli/keep.cpp
+++ b/src/cli/keep.cpp
@@ -7,8 +7,8 @@
 
 #include "cli/commands.h"
 #include "config/read.h"
-#include "keep/settings.h"
 #include "log/log.h"
+#include "supervisor/settings.h"
 
 namespace copperpoint::cli {
 
@@ -25,14 +25,14 @@
   keep->add_option("FILE", options->file, "The keeper's file")->required();
   keep->add_flag("--digests", options->digests, "Print each version's digest, and end");
   keep->callback([options, exit_code] {
-    const auto settings = config::Read<keep::Settings>(options->file);
+    const auto settings = config::Read<supervisor::Settings>(options->file);
     if (options->digests) {
-      for (const keep::Version& version : settings.versions)
-        std::cout << version.name << ' ' << keep::DigestOf(version) << '\n';
+      for (const supervisor::Version& version : settings.versions)
+        std::cout << version.name << ' ' << supervisor::DigestOf(version) << '\n';
       return;
     }
     log::Global().Set({log::Level::kInfo, settings.json_log ? log::Format::kJson : log::Format::kText, 200});
-    *exit_code = keep::Keep(settings);
+    *exit_code = supervisor::Keep(settings);
   });
 }
 
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -13,11 +13,11 @@
 #include "cli/commands.h"
 #include "config/edit.h"
 #include "config/read.h"
-#include "lab/report/plot.h"
-#include "lab/run/compare.h"
-#include "lab/run/run.h"
-#include "lab/run/sweep.h"
-#include "lab/world/day.h"
+#include "simulation/report/plot.h"
+#include "simulation/run/compare.h"
+#include "simulation/run/run.h"
+#include "simulation/run/sweep.h"
+#include "simulation/world/day.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -41,9 +41,9 @@
   return text;
 }
 
-lab::Scenario Load(const Options& options) {
-  if (options.set.empty()) return lab::ReadScenario(options.scenario);
-  return config::ReadFrom<lab::Scenario>(TextOf(options), options.scenario);
+simulation::Scenario Load(const Options& options) {
+  if (options.set.empty()) return simulation::ReadScenario(options.scenario);
+  return config::ReadFrom<simulation::Scenario>(TextOf(options), options.scenario);
 }
 
 // On a terminal, one line that is written over.
@@ -64,7 +64,7 @@
                            static_cast<double>(usage.ru_maxrss) / 1024);
 }
 
-void TellBroken(const lab::RunResult& run) {
+void TellBroken(const simulation::RunResult& run) {
   std::size_t told = 0;
   for (const auto& broken : run.json["broken"]) {
     if (++told > 5) break;
@@ -80,14 +80,14 @@
 }
 
 int RunOne(const Options& options) {
-  const lab::Scenario scenario = Load(options);
-  lab::RunOptions run;
+  const simulation::Scenario scenario = Load(options);
+  simulation::RunOptions run;
   run.policy = options.policy;
   run.seed = options.seed;
   run.trace = options.trace;
   run.logs = options.logs;
   run.log_format = options.json_logs ? log::Format::kJson : log::Format::kText;
-  const lab::RunResult result = lab::RunAndTell(scenario, run);
+  const simulation::RunResult result = simulation::RunAndTell(scenario, run);
   if (!options.json.empty()) Write(options.json, result.json.dump(1) + '\n');
   nlohmann::ordered_json brief = result.json;
   for (const char* key : {"windows", "broken"}) brief.erase(key);
@@ -101,11 +101,11 @@
 }
 
 int CompareAll(const Options& options) {
-  const lab::Scenario scenario = Load(options);
-  const auto policies = options.policies.empty() ? lab::AllPolicies() : options.policies;
+  const simulation::Scenario scenario = Load(options);
+  const auto policies = options.policies.empty() ? simulation::AllPolicies() : options.policies;
   std::size_t done = 0;
-  const lab::Comparison comparison = lab::Compare(scenario, policies, options.seed, options.threads,
-                                                  [&] { Progress(++done, policies.size()); });
+  const simulation::Comparison comparison = simulation::Compare(
+      scenario, policies, options.seed, options.threads, [&] { Progress(++done, policies.size()); });
   if (!options.json.empty()) Write(options.json, comparison.json.dump(1) + '\n');
   std::cout << scenario.title << ", seed " << options.seed << '\n' << comparison.table;
   std::uint64_t events = 0;
@@ -120,14 +120,14 @@
 }
 
 int SweepAll(const Options& options) {
-  lab::SweepPlan plan;
+  simulation::SweepPlan plan;
   plan.scenario_file = options.scenario;
   plan.scenario_text = TextOf(options);
-  for (const std::string& vary : options.vary) plan.varied.push_back(lab::ParseVaried(vary));
+  for (const std::string& vary : options.vary) plan.varied.push_back(simulation::ParseVaried(vary));
   plan.policies = options.policies.empty() ? std::vector<std::string>{"ours"} : options.policies;
   plan.seeds = options.seeds.empty() ? std::vector<std::uint64_t>{1} : options.seeds;
-  const lab::SweepReport report = lab::Sweep(plan, options.folder, options.threads, Progress);
-  std::cout << lab::SweepTable(lab::ReadSweep(options.folder));
+  const simulation::SweepReport report = simulation::Sweep(plan, options.folder, options.threads, Progress);
+  std::cout << simulation::SweepTable(simulation::ReadSweep(options.folder));
   std::cout << fmt::format("{} points, {} of them done before, {} torn and done anew; in {}\n", report.points,
                            report.done_before, report.torn, options.folder);
   if (report.broken > 0) std::cout << report.broken << " rules broken\n";
@@ -136,23 +136,23 @@
 }
 
 void PlotAll(const Options& options) {
-  std::vector<lab::Chart> charts;
+  std::vector<simulation::Chart> charts;
   std::string title = "Sweep", table;
   const bool sweep = std::filesystem::is_directory(options.input);
   if (sweep) {
-    charts = lab::ChartsOfSweep(lab::ReadSweep(options.input));
+    charts = simulation::ChartsOfSweep(simulation::ReadSweep(options.input));
   } else {
     const auto json = nlohmann::ordered_json::parse(config::Contents(options.input), nullptr, false);
     if (!json.is_object() || !(json.contains("runs") || json.contains("windows")))
       throw std::invalid_argument(options.input + ": is no result of lab run or lab compare");
-    charts = lab::ChartsOfComparison(json);
+    charts = simulation::ChartsOfComparison(json);
     title =
         fmt::format("{}, seed {}", json["scenario"].get<std::string>(), json["seed"].get<std::uint64_t>());
   }
   const std::string out = !options.out.empty() ? options.out
                           : sweep              ? options.input
                                                : options.input + ".plots";
-  std::cout << lab::WriteCharts(charts, title, table, out) << '\n';
+  std::cout << simulation::WriteCharts(charts, title, table, out) << '\n';
 }
 
 CLI::App* Sub(CLI::App* lab, const char* name, const char* what, const char* example) {
@@ -229,7 +229,7 @@
                  "does; this page is written by\n"
                  "`copperpoint lab reference`. Unknown keys and values out of range are refused, all of them "
                  "at once.\n\n"
-              << lab::ScenarioReference();
+              << simulation::ScenarioReference();
   });
 
   CLI::App* draw = Sub(lab, "draw", "Print the day that a seed draws: backends, speeds, whom troubles befall",
@@ -237,8 +237,8 @@
   AddScenario(draw, *options);
   draw->add_option("--seed", options->seed, "The day");
   draw->callback([options] {
-    const lab::Scenario scenario = Load(*options);
-    std::cout << lab::Json(scenario, lab::Draw(scenario, options->seed)).dump(1) << '\n';
+    const simulation::Scenario scenario = Load(*options);
+    std::cout << simulation::Json(scenario, simulation::Draw(scenario, options->seed)).dump(1) << '\n';
   });
 }
 
--- a/src/cli/rig.cpp
+++ b/src/cli/rig.cpp
@@ -10,11 +10,11 @@
 
 #include "cli/commands.h"
 #include "cli/rig_plot.h"
-#include "lab/run/compare.h"
-#include "rig/plan.h"
-#include "rig/processes/play.h"
-#include "rig/quantile.h"
-#include "rig/virtual.h"
+#include "fault_testing/plan.h"
+#include "fault_testing/processes/play.h"
+#include "fault_testing/quantile.h"
+#include "fault_testing/virtual.h"
+#include "simulation/run/compare.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -30,7 +30,7 @@
   std::vector<std::string> without;
 };
 
-void Switch(const std::string& part, view::Options* options) {
+void Switch(const std::string& part, membership::Options* options) {
   if (part == "suspicion") options->with_suspicion = false;
   if (part == "own_time") options->with_own_time = false;
   if (part == "helpers") options->with_helpers = false;
@@ -54,20 +54,20 @@
   return label;
 }
 
-void Tell(const RigOptions& options, std::uint64_t seed, const rig::Outcome& outcome) {
+void Tell(const RigOptions& options, std::uint64_t seed, const fault_testing::Outcome& outcome) {
   for (const std::string& line : outcome.story) std::cout << "  " << line << '\n';
   if (!outcome.holds) std::cout << "  replay: " << Replay(options, seed) << '\n';
 }
 
-int RunVirtual(const RigOptions& options, const rig::Plan& plan) {
-  std::vector<rig::Outcome> outcomes(static_cast<std::size_t>(options.seeds));
-  lab::InParallel(outcomes.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
-    rig::VirtualOptions run;
+int RunVirtual(const RigOptions& options, const fault_testing::Plan& plan) {
+  std::vector<fault_testing::Outcome> outcomes(static_cast<std::size_t>(options.seeds));
+  simulation::InParallel(outcomes.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
+    fault_testing::VirtualOptions run;
     run.seed = options.seed + i;
     run.timeline = options.seeds == 1;
     run.settled = options.settled;
     for (const std::string& part : options.without) Switch(part, &run.view);
-    outcomes[i] = rig::PlayVirtual(plan, run);
+    outcomes[i] = fault_testing::PlayVirtual(plan, run);
   });
 
   nlohmann::ordered_json all = nlohmann::ordered_json::array();
@@ -88,9 +88,10 @@
       if (!value.is_number() || name == "bound") continue;
       std::vector<double> values;
       for (const auto& json : all) values.push_back(json["properties"][p][name].get<double>());
-      std::cout << "  " << name << ' ' << rig::Quantile(values, 0.5);
+      std::cout << "  " << name << ' ' << fault_testing::Quantile(values, 0.5);
       if (values.size() > 1)
-        std::cout << " (p99 " << rig::Quantile(values, 0.99) << ", most " << rig::Quantile(values, 1) << ')';
+        std::cout << " (p99 " << fault_testing::Quantile(values, 0.99) << ", most "
+                  << fault_testing::Quantile(values, 1) << ')';
     }
     std::cout << "  bound " << shown["bound"].get<double>() << '\n';
   }
@@ -104,19 +105,19 @@
   return failed ? kFault : kDone;
 }
 
-int RunProcesses(const RigOptions& options, const rig::Plan& plan) {
+int RunProcesses(const RigOptions& options, const fault_testing::Plan& plan) {
   if (plan.members > kMostProcesses)
     throw std::invalid_argument(options.file + ": " + std::to_string(plan.members) +
                                 " members; at most 100 are played as processes (--members, --virtual)");
   if (options.seeds != 1) throw std::invalid_argument("--seeds goes with --virtual");
-  rig::ProcessOptions run;
+  fault_testing::ProcessOptions run;
   run.program = std::filesystem::read_symlink("/proc/self/exe").string();
   run.logs = options.logs;
   run.other = options.other;
   run.other_settings = options.other_settings;
   run.seed = options.seed;
   run.sharing = !options.alone;
-  const rig::ProcessOutcome result = rig::PlayProcesses(plan, run);
+  const fault_testing::ProcessOutcome result = fault_testing::PlayProcesses(plan, run);
   if (!options.json.empty()) {
     nlohmann::ordered_json json = result.outcome.json;
     json["label"] = Label(options) + ", processes";
@@ -138,7 +139,7 @@
 }
 
 int RunRig(const RigOptions& options) {
-  rig::Plan plan = rig::ReadPlan(options.file);
+  fault_testing::Plan plan = fault_testing::ReadPlan(options.file);
   if (options.members > 0) plan.members = options.members;
   if (options.backends > 0) plan.service.backends = options.backends;
   return options.in_virtual_time ? RunVirtual(options, plan) : RunProcesses(options, plan);
@@ -150,7 +151,7 @@
     if (entry.path().extension() == ".toml") files.push_back(entry.path());
   std::sort(files.begin(), files.end());
   for (const auto& file : files)
-    std::cout << file.string() << ": " << rig::ReadPlan(file.string()).about << '\n';
+    std::cout << file.string() << ": " << fault_testing::ReadPlan(file.string()).about << '\n';
 }
 
 }  // namespace
--- a/src/cli/rig_plot.cpp
+++ b/src/cli/rig_plot.cpp
@@ -12,8 +12,8 @@
 
 #include "cli/commands.h"
 #include "config/read.h"
-#include "lab/report/plot.h"
-#include "rig/quantile.h"
+#include "fault_testing/quantile.h"
+#include "simulation/report/plot.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -26,8 +26,8 @@
 };
 
 // How an end became known: the share of the others that had learnt of it, by then.
-lab::Curve SpreadOf(const std::string& label, const Json& run) {
-  lab::Curve curve{label, {{0, 0}}};
+simulation::Curve SpreadOf(const std::string& label, const Json& run) {
+  simulation::Curve curve{label, {{0, 0}}};
   const Json& spread = run["spread"];
   for (std::size_t i = 0; i < spread.size(); ++i) {
     const auto at = spread[i].get<double>();
@@ -37,8 +37,8 @@
   return curve;
 }
 
-lab::Curve ViewsOf(const std::string& label, const Json& run) {
-  lab::Curve curve{label, {}};
+simulation::Curve ViewsOf(const std::string& label, const Json& run) {
+  simulation::Curve curve{label, {}};
   double before = 0;
   for (const Json& point : run["views"]) {
     const auto at = point[0].get<double>(), views = point[1].get<double>();
@@ -50,10 +50,11 @@
 }
 
 void Plot(const Options& options) {
-  lab::Chart spread{"spread", "How an end becomes known", "seconds after it", "share that knows", {}, {}};
-  lab::Chart views{"views", "Different views among the living", "seconds", "views", {}, {}};
-  std::vector<lab::Chart> charts;
-  std::map<std::string, lab::Chart> figures;
+  simulation::Chart spread{"spread", "How an end becomes known", "seconds after it", "share that knows", {},
+                           {}};
+  simulation::Chart views{"views", "Different views among the living", "seconds", "views", {}, {}};
+  std::vector<simulation::Chart> charts;
+  std::map<std::string, simulation::Chart> figures;
   for (const std::string& file : options.files) {
     const Json json = Json::parse(config::Contents(file), nullptr, /*allow_exceptions=*/false);
     if (!json.is_object()) throw std::runtime_error(file + ": is no result of rig run --json");
@@ -65,11 +66,11 @@
       spread.curves.push_back(SpreadOf(label, runs[0]));
     if (runs[0].contains("views")) views.curves.push_back(ViewsOf(label, runs[0]));
     const auto bar = [&](const std::string& figure, const std::vector<double>& values) {
-      lab::Chart& chart = figures[figure];
+      simulation::Chart& chart = figures[figure];
       chart.file = figure;
       chart.title = figure + (runs.size() > 1 ? ", median of the seeds" : "");
       chart.y = figure;
-      chart.bars.emplace_back(label, rig::Quantile(values, 0.5));
+      chart.bars.emplace_back(label, fault_testing::Quantile(values, 0.5));
     };
     for (std::size_t p = 0; p < runs[0]["properties"].size(); ++p) {
       for (const auto& [name, value] : runs[0]["properties"][p].items()) {
@@ -89,7 +90,7 @@
   if (!spread.curves.empty()) charts.push_back(spread);
   if (!views.curves.empty()) charts.push_back(views);
   for (auto& [name, chart] : figures) charts.push_back(std::move(chart));
-  std::cout << lab::WriteCharts(charts, "The rig: " + options.files.front(), "", options.out) << '\n';
+  std::cout << simulation::WriteCharts(charts, "The rig: " + options.files.front(), "", options.out) << '\n';
 }
 
 }  // namespace
--- a/src/cli/rollout.cpp
+++ b/src/cli/rollout.cpp
@@ -18,10 +18,10 @@
 #include "cli/commands.h"
 #include "cli/rollout_report.h"
 #include "config/read.h"
-#include "lab/run/compare.h"
-#include "rig/quantile.h"
-#include "rig/trial.h"
+#include "fault_testing/quantile.h"
+#include "fault_testing/trial.h"
 #include "rollout/plan.h"
+#include "simulation/run/compare.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -33,7 +33,7 @@
   int members = 0, zones = 3, threads = 0, seeds = 1;
   double rate = -1, missed = 0.01;
   bool as_json = false;
-  rig::TrialOptions trial;
+  fault_testing::TrialOptions trial;
 };
 
 Json Parsed(const std::string& text, const std::string& of) {
@@ -110,19 +110,19 @@
 
 int Try(const Options& options) {
   const std::string text = config::Contents(options.file);
-  std::vector<rig::TrialResult> results(static_cast<std::size_t>(options.seeds));
-  lab::InParallel(results.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
-    rig::TrialOptions trial = options.trial;
+  std::vector<fault_testing::TrialResult> results(static_cast<std::size_t>(options.seeds));
+  simulation::InParallel(results.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
+    fault_testing::TrialOptions trial = options.trial;
     trial.tell = options.seeds == 1;
     trial.seed += i;
-    results[i] = rig::TryChange(text, options.file, trial);
+    results[i] = fault_testing::TryChange(text, options.file, trial);
   });
   int broken = 0, done = 0, stopped = 0;
   std::vector<double> ever, harmed, took, back;
   std::map<std::string, int> why;
   Json all = Json::array();
   for (std::size_t i = 0; i < results.size(); ++i) {
-    const rig::TrialResult& result = results[i];
+    const fault_testing::TrialResult& result = results[i];
     done += result.done;
     stopped += result.stopped;
     ever.push_back(result.ever);
@@ -146,9 +146,10 @@
       "{:.0f}); "
       "to the stop {:.1f} s (p99 {:.1f}), back after {:.1f} s (p99 {:.1f})\n",
       options.harm, options.trial.amount, options.around, results.size(), done, stopped, broken,
-      rig::Quantile(ever, 0.5), rig::Quantile(ever, 1), rig::Quantile(harmed, 0.5),
-      rig::Quantile(harmed, 0.99), rig::Quantile(took, 0.5), rig::Quantile(took, 0.99),
-      rig::Quantile(back, 0.5), rig::Quantile(back, 0.99));
+      fault_testing::Quantile(ever, 0.5), fault_testing::Quantile(ever, 1),
+      fault_testing::Quantile(harmed, 0.5), fault_testing::Quantile(harmed, 0.99),
+      fault_testing::Quantile(took, 0.5), fault_testing::Quantile(took, 0.99),
+      fault_testing::Quantile(back, 0.5), fault_testing::Quantile(back, 0.99));
   for (const auto& [reason, times] : why) std::cout << fmt::format("  {} x {}\n", times, reason);
   if (!options.json.empty()) Write(options.json, Json{{"runs", all}}.dump(1) + '\n');
   return broken ? kFault : kDone;
@@ -161,8 +162,8 @@
       "Example: copperpoint rollout try lab/rollout/fleet.toml --harm fails --amount 0.02 --seeds 100");
   trial->add_option("FILE", options->file, "The plan")->required()->check(CLI::ExistingFile);
   std::vector<std::string> harms, arounds;
-  for (const auto& [name, harm] : rig::HarmNames()) harms.push_back(name);
-  for (const auto& [name, around] : rig::AroundNames()) arounds.push_back(name);
+  for (const auto& [name, harm] : fault_testing::HarmNames()) harms.push_back(name);
+  for (const auto& [name, around] : fault_testing::AroundNames()) arounds.push_back(name);
   trial->add_option("--harm", options->harm, "What is wrong with it")->check(CLI::IsMember(harms));
   trial->add_option("--amount", options->trial.amount, "How much, in the harm's unit");
   trial->add_option("--around", options->around, "What befalls the fleet meanwhile")
@@ -180,9 +181,9 @@
   trial->add_option("--threads", options->threads, "Seeds at a time; 0: one a core");
   trial->add_option("--json", options->json, "Write all results here");
   trial->callback([options, exit_code] {
-    for (const auto& [name, harm] : rig::HarmNames())
+    for (const auto& [name, harm] : fault_testing::HarmNames())
       if (name == options->harm) options->trial.harm = harm;
-    for (const auto& [name, around] : rig::AroundNames())
+    for (const auto& [name, around] : fault_testing::AroundNames())
       if (name == options->around) options->trial.around = around;
     *exit_code = Try(*options);
   });
--- a/src/rig/conditions.h
+++ b/src/fault_testing/conditions.h
@@ -3,17 +3,17 @@
 // Faults that wait for something to happen, so that they land while it is half done: `settled` (all living
 // members have one view, the true one), `EVENT` (the first log event of that name at any member) or
 // `EVENT:MEMBER` (the first that is about that member).
-#ifndef COPPERPOINT_RIG_CONDITIONS_H_
-#define COPPERPOINT_RIG_CONDITIONS_H_
+#ifndef COPPERPOINT_FAULT_TESTING_CONDITIONS_H_
+#define COPPERPOINT_FAULT_TESTING_CONDITIONS_H_
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "rig/plan.h"
+#include "fault_testing/plan.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Conditions {
  public:
@@ -50,6 +50,6 @@
   std::vector<Waiting> waiting_;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_CONDITIONS_H_
+#endif  // COPPERPOINT_FAULT_TESTING_CONDITIONS_H_
--- a/src/rig/judge.cpp
+++ b/src/fault_testing/judge.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/judge.h"
+#include "fault_testing/judge.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "rig/quantile.h"
+#include "fault_testing/quantile.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 std::vector<bool> Marked(const Plan& plan, const std::vector<int>& members) {
@@ -275,4 +275,4 @@
   return verdict;
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/judge.h
+++ b/src/fault_testing/judge.h
@@ -2,8 +2,8 @@
 //
 // Judges a run by what was done to the members and what they were seen to say and do. It knows no protocol,
 // and serves processes and virtual time alike.
-#ifndef COPPERPOINT_RIG_JUDGE_H_
-#define COPPERPOINT_RIG_JUDGE_H_
+#ifndef COPPERPOINT_FAULT_TESTING_JUDGE_H_
+#define COPPERPOINT_FAULT_TESTING_JUDGE_H_
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "rig/plan.h"
+#include "fault_testing/plan.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 // Seconds since the start of the run.
 class Judge {
@@ -101,6 +101,6 @@
   std::vector<Cut> cuts_;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_JUDGE_H_
+#endif  // COPPERPOINT_FAULT_TESTING_JUDGE_H_
--- a/src/rig/links.cpp
+++ b/src/fault_testing/links.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/links.h"
+#include "fault_testing/links.h"
 
 #include <algorithm>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 constexpr double kMostQueuedS = 0.5;  // on a link with a bandwidth, before datagrams are dropped
@@ -71,4 +71,4 @@
   return passage;
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/links.h
+++ b/src/fault_testing/links.h
@@ -2,8 +2,8 @@
 //
 // The faults in force between members, and what they do to one datagram or connection. The relay of processes
 // and the network in virtual time ask the same object.
-#ifndef COPPERPOINT_RIG_LINKS_H_
-#define COPPERPOINT_RIG_LINKS_H_
+#ifndef COPPERPOINT_FAULT_TESTING_LINKS_H_
+#define COPPERPOINT_FAULT_TESTING_LINKS_H_
 
 #include <cstdint>
 #include <map>
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
-#include "lab/core/random.h"
-#include "rig/plan.h"
+#include "fault_testing/plan.h"
+#include "simulation/core/random.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Links {
  public:
@@ -39,11 +39,11 @@
   };
   const Plan& plan_;
   const std::uint64_t seed_;
-  lab::Random random_;
+  simulation::Random random_;
   std::vector<Link> links_;
   std::map<std::pair<int, int>, double> busy_until_s_;  // of links with a bandwidth
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_LINKS_H_
+#endif  // COPPERPOINT_FAULT_TESTING_LINKS_H_
--- a/src/rig/plan.cpp
+++ b/src/fault_testing/plan.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/plan.h"
+#include "fault_testing/plan.h"
 
 #include <fmt/format.h>
 
@@ -10,9 +10,9 @@
 #include <utility>
 
 #include "config/read.h"
-#include "lab/core/random.h"
+#include "simulation/core/random.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 const std::vector<std::pair<std::string, FaultKind>> kFaults{{"loss", FaultKind::kLoss},
@@ -68,7 +68,7 @@
   const std::size_t dash = word.find('-');
   if (word.starts_with("share:")) {
     const double share = std::strtod(word.c_str() + 6, nullptr);
-    lab::Random random(seed, word);
+    simulation::Random random(seed, word);
     std::vector<int> all;
     for (int i = 0; i < count; ++i) all.push_back(i);
     const auto wanted = std::min(static_cast<double>(count), share * count + 0.5);
@@ -221,7 +221,8 @@
   return {chosen.begin(), chosen.end()};
 }
 
-std::vector<std::pair<double, double>> StopsOf(const Plan& plan, const Fault& fault, lab::Random& random) {
+std::vector<std::pair<double, double>> StopsOf(const Plan& plan, const Fault& fault,
+                                               simulation::Random& random) {
   std::vector<std::pair<double, double>> stops;
   const double until = fault.for_s > 0 ? fault.at_s + fault.for_s : plan.length_s;
   for (double at = fault.at_s + random.Between(0, fault.most_ms) / 1000; at < until;) {
@@ -239,4 +240,4 @@
   return over;
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/plan.h
+++ b/src/fault_testing/plan.h
@@ -2,8 +2,8 @@
 //
 // A file of the rig (lab/rig/*.toml): how many members, what befalls which of them when, and what has to
 // hold. The same file is played by processes and in virtual time.
-#ifndef COPPERPOINT_RIG_PLAN_H_
-#define COPPERPOINT_RIG_PLAN_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PLAN_H_
+#define COPPERPOINT_FAULT_TESTING_PLAN_H_
 
 #include <cstdint>
 #include <string>
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "config/schema.h"
-#include "lab/core/random.h"
-#include "view/options.h"
+#include "membership/options.h"
+#include "simulation/core/random.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 enum class FaultKind {
   kLoss,       // of datagrams, `amount` of them
@@ -136,11 +136,12 @@
 
 // From when to when one member stands still under a `starve`, in seconds: stops and pauses as long as each
 // other in the mean.
-std::vector<std::pair<double, double>> StopsOf(const Plan& plan, const Fault& fault, lab::Random& random);
+std::vector<std::pair<double, double>> StopsOf(const Plan& plan, const Fault& fault,
+                                               simulation::Random& random);
 
 // When the last fault is over, of those that wait for nothing.
 double LastFaultOver(const Plan& plan);
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PLAN_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PLAN_H_
--- a/src/rig/processes/child.cpp
+++ b/src/fault_testing/processes/child.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/child.h"
+#include "fault_testing/processes/child.h"
 
 #include <linux/close_range.h>
 #include <signal.h>
@@ -14,7 +14,7 @@
 #include <istream>
 #include <utility>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 namespace bp = boost::process;
 
@@ -91,4 +91,4 @@
 
 int Child::pid() const { return impl_->child.id(); }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/child.h
+++ b/src/fault_testing/processes/child.h
@@ -2,8 +2,8 @@
 //
 // One `copperpoint serve` as a child of the rig: its start, its signals, the lines of its log. It ends with
 // the rig, however that ends.
-#ifndef COPPERPOINT_RIG_PROCESSES_CHILD_H_
-#define COPPERPOINT_RIG_PROCESSES_CHILD_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_CHILD_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_CHILD_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Child {
  public:
@@ -36,6 +36,6 @@
   std::shared_ptr<Impl> impl_;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_CHILD_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_CHILD_H_
--- a/src/rig/processes/control.cpp
+++ b/src/fault_testing/processes/control.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/control.h"
+#include "fault_testing/processes/control.h"
 
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 namespace beast = boost::beast;
@@ -73,4 +73,4 @@
   });
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/control.h
+++ b/src/fault_testing/processes/control.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Takes commands for a rig that runs: POST /WHAT/WHO. It knows none of them.
-#ifndef COPPERPOINT_RIG_PROCESSES_CONTROL_H_
-#define COPPERPOINT_RIG_PROCESSES_CONTROL_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_CONTROL_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_CONTROL_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <functional>
 #include <string>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Control {
  public:
@@ -28,6 +28,6 @@
   Carry carry_;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_CONTROL_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_CONTROL_H_
--- a/src/rig/processes/directory.cpp
+++ b/src/fault_testing/processes/directory.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/directory.h"
+#include "fault_testing/processes/directory.h"
 
 #include <fmt/format.h>
 
@@ -13,7 +13,7 @@
 
 #include "peers/transport.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 namespace asio = boost::asio;
@@ -118,7 +118,7 @@
 
 Directory::Directory(asio::io_context& io, const Plan& plan, const asio::ip::address& address,
                      std::vector<std::vector<Tcp::endpoint>> addresses, const Troubles& troubles,
-                     lab::Observer& observer, std::function<lab::Micros()> now)
+                     simulation::Observer& observer, std::function<simulation::Micros()> now)
     : io_(io),
       plan_(plan),
       addresses_(std::move(addresses)),
@@ -218,4 +218,4 @@
   Told(proxy, all);
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/directory.h
+++ b/src/fault_testing/processes/directory.h
@@ -2,8 +2,8 @@
 //
 // What discovery knows of the stand-in backends, and a stand-in discovery for each proxy that tells it so.
 // What a proxy has been told, and when, goes to the observer of the rules of service.
-#ifndef COPPERPOINT_RIG_PROCESSES_DIRECTORY_H_
-#define COPPERPOINT_RIG_PROCESSES_DIRECTORY_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -14,12 +14,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/core/queue.h"
-#include "lab/world/observer.h"
-#include "rig/plan.h"
-#include "rig/processes/troubles.h"
+#include "fault_testing/plan.h"
+#include "fault_testing/processes/troubles.h"
+#include "simulation/core/queue.h"
+#include "simulation/world/observer.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Directory {
  public:
@@ -29,7 +29,7 @@
   // `addresses`: of each backend, as each proxy reaches it.
   Directory(boost::asio::io_context& io, const Plan& plan, const boost::asio::ip::address& address,
             std::vector<std::vector<Tcp::endpoint>> addresses, const Troubles& troubles,
-            lab::Observer& observer, std::function<lab::Micros()> now);
+            simulation::Observer& observer, std::function<simulation::Micros()> now);
   ~Directory();
 
   Tcp::endpoint address(int proxy) const;
@@ -69,13 +69,13 @@
   const Plan& plan_;
   const std::vector<std::vector<Tcp::endpoint>> addresses_;
   const Troubles& troubles_;
-  lab::Observer& observer_;
-  std::function<lab::Micros()> now_;
+  simulation::Observer& observer_;
+  std::function<simulation::Micros()> now_;
   std::vector<Entry> entries_;
   std::uint64_t revision_ = 1;
   std::vector<std::unique_ptr<Door>> doors_;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_DIRECTORY_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
--- a/src/rig/processes/faults.cpp
+++ b/src/fault_testing/processes/faults.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/fleet.h"
+#include "fault_testing/processes/fleet.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 void ProcessFleet::SetBackend(int backend, Directory::Phase phase, bool up) {
   const bool was = !down_.contains(backend);
@@ -106,4 +106,4 @@
   }
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -2,8 +2,8 @@
 //
 // The inside of play.h: a run with real processes. What it does stands in files by concern: play.cpp (the
 // run), members.cpp (processes), faults.cpp (what befalls them), watch.cpp (what is asked of them).
-#ifndef COPPERPOINT_RIG_PROCESSES_FLEET_H_
-#define COPPERPOINT_RIG_PROCESSES_FLEET_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -23,20 +23,20 @@
 #include <utility>
 
 #include "config/read.h"
+#include "fault_testing/conditions.h"
+#include "fault_testing/judge.h"
+#include "fault_testing/links.h"
+#include "fault_testing/processes/child.h"
+#include "fault_testing/processes/control.h"
+#include "fault_testing/processes/directory.h"
+#include "fault_testing/processes/play.h"
+#include "fault_testing/processes/relay.h"
+#include "fault_testing/processes/service.h"
+#include "fault_testing/processes/troubles.h"
+#include "membership/options.h"
 #include "peers/transport.h"
-#include "rig/conditions.h"
-#include "rig/judge.h"
-#include "rig/links.h"
-#include "rig/processes/child.h"
-#include "rig/processes/control.h"
-#include "rig/processes/directory.h"
-#include "rig/processes/play.h"
-#include "rig/processes/relay.h"
-#include "rig/processes/service.h"
-#include "rig/processes/troubles.h"
-#include "view/options.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 namespace asio = boost::asio;
 
@@ -70,7 +70,7 @@
         links_(plan, options.seed),
         conditions_(plan),
         troubles_(plan, options.seed),
-        judge_(plan, options.seed, static_cast<double>(view::Options().silence.count()) / 1e6),
+        judge_(plan, options.seed, static_cast<double>(membership::Options().silence.count()) / 1e6),
         observer_(kDrainGraceMs),
         look_(io_),
         signals_(io_, SIGINT, SIGTERM),
@@ -137,12 +137,12 @@
   const ProcessOptions& options_;
   asio::io_context io_;
   Folder folder_;
-  lab::Random random_;
+  simulation::Random random_;
   Links links_;
   Conditions conditions_;
   Troubles troubles_;
   Judge judge_;
-  lab::Observer observer_;
+  simulation::Observer observer_;
   asio::steady_timer look_;
   asio::signal_set signals_;
   std::vector<Member> members_;
@@ -169,6 +169,6 @@
   Clock::duration latest_{};
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_FLEET_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
--- a/src/rig/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/fleet.h"
+#include "fault_testing/processes/fleet.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 constexpr std::chrono::milliseconds kLookAtEnd{20};  // whether a process has ended
@@ -173,4 +173,4 @@
            [this, number] { StartOnceOver(number); });
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/play.cpp
+++ b/src/fault_testing/processes/play.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/fleet.h"
+#include "fault_testing/processes/fleet.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 constexpr double kFallenS = 1;  // until a backend that fell over is back
@@ -27,7 +27,7 @@
   }
   if (options_.sharing)
     relay_ = std::make_unique<Relay>(io_, links_, inside, outside, [this] { return Now(); });
-  const auto now = [this] { return lab::FromMs(Now() * 1000); };
+  const auto now = [this] { return simulation::FromMs(Now() * 1000); };
   backends_ = std::make_unique<StandInBackends>(io_, plan_, options_.seed, Address(100, 0), troubles_,
                                                 observer_, now);
   directory_ = std::make_unique<Directory>(io_, plan_, Address(101, 0), backends_->addresses(), troubles_,
@@ -39,7 +39,7 @@
                        SetBackend(backend, Directory::Phase::kInService, /*up=*/true);
                      });
                    });
-  const auto choose = [this](lab::Random& random) -> std::optional<Clients::Target> {
+  const auto choose = [this](simulation::Random& random) -> std::optional<Clients::Target> {
     std::vector<int> up;
     for (int i = 0; i < plan_.members; ++i)
       if (At(i).up) up.push_back(i);
@@ -135,7 +135,7 @@
       judge_.Bytes((member.out - member.out_before) / span, (member.in - member.in_before) / span);
   }
   judge_.Served(clients_->served(), clients_->asked());
-  for (const lab::Broken& broken : observer_.broken())
+  for (const simulation::Broken& broken : observer_.broken())
     judge_.Broke(fmt::format("rule {} at {:.2f} s, request {:x}, {}: {}", static_cast<int>(broken.rule),
                              static_cast<double>(broken.at) / 1e6, broken.request,
                              MemberName(static_cast<int>(broken.proxy)), broken.what));
@@ -164,4 +164,4 @@
   return ProcessFleet(plan, options).Play();
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/play.h
+++ b/src/fault_testing/processes/play.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A plan with real processes of the program.
-#ifndef COPPERPOINT_RIG_PROCESSES_PLAY_H_
-#define COPPERPOINT_RIG_PROCESSES_PLAY_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_PLAY_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_PLAY_H_
 
 #include <cstdint>
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "rig/plan.h"
-#include "rig/virtual.h"
+#include "fault_testing/plan.h"
+#include "fault_testing/virtual.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 // What a watcher is told of a run.
 struct LiveMember {
@@ -52,6 +52,6 @@
 // Starts the members, plays, judges, ends them. Throws std::runtime_error if a member cannot be started.
 ProcessOutcome PlayProcesses(const Plan& plan, const ProcessOptions& options);
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_PLAY_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_PLAY_H_
--- a/src/rig/processes/relay.cpp
+++ b/src/fault_testing/processes/relay.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/relay.h"
+#include "fault_testing/processes/relay.h"
 
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 namespace asio = boost::asio;
@@ -184,4 +184,4 @@
   });
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/relay.h
+++ b/src/fault_testing/processes/relay.h
@@ -3,8 +3,8 @@
 // What lies between the members of a rig of processes. Each member advertises an address of the relay's and
 // binds another, so that every datagram and connection between two of them passes here, where sender and
 // receiver are known and their link is shaped by the faults in force.
-#ifndef COPPERPOINT_RIG_PROCESSES_RELAY_H_
-#define COPPERPOINT_RIG_PROCESSES_RELAY_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,9 +16,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "rig/links.h"
+#include "fault_testing/links.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Relay {
  public:
@@ -59,6 +59,6 @@
   std::uint64_t passed_ = 0, dropped_ = 0;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_RELAY_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
--- a/src/rig/processes/service.cpp
+++ b/src/fault_testing/processes/service.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/service.h"
+#include "fault_testing/processes/service.h"
 
 #include <fmt/format.h>
 
@@ -14,7 +14,7 @@
 #include <boost/beast/http/write.hpp>
 #include <utility>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 namespace asio = boost::asio;
@@ -34,8 +34,8 @@
   acceptor.listen();
 }
 
-lab::Machine MachineOf(const Service& service) {
-  lab::Machine machine;
+simulation::Machine MachineOf(const Service& service) {
+  simulation::Machine machine;
   machine.cores = service.slots;
   machine.slow_start_min_capacity = service.slow_start_min_capacity;
   machine.warm_up_s = service.warm_up_s;
@@ -164,7 +164,7 @@
 
 StandInBackends::StandInBackends(asio::io_context& io, const Plan& plan, std::uint64_t seed,
                                  const asio::ip::address& address, const Troubles& troubles,
-                                 lab::Observer& observer, std::function<lab::Micros()> now)
+                                 simulation::Observer& observer, std::function<simulation::Micros()> now)
     : io_(io),
       service_(plan.service),
       troubles_(troubles),
@@ -207,8 +207,8 @@
 
 void StandInBackends::Down(int number) {
   Backend& backend = backends_[static_cast<std::size_t>(number)];
-  if (backend.model.health() != lab::Backend::Health::kUp) return;
-  backend.model.Die(lab::Backend::Health::kDown);
+  if (backend.model.health() != simulation::Backend::Health::kUp) return;
+  backend.model.Die(simulation::Backend::Health::kDown);
   backend.busy = 0;
   for (std::size_t proxy = 0; proxy < addresses_.size(); ++proxy) {
     Error ignored;
@@ -220,7 +220,7 @@
 
 void StandInBackends::Up(int number) {
   Backend& backend = backends_[static_cast<std::size_t>(number)];
-  if (backend.model.health() == lab::Backend::Health::kUp) return;
+  if (backend.model.health() == simulation::Backend::Health::kUp) return;
   backend.model.Start(now_());
   for (std::size_t proxy = 0; proxy < addresses_.size(); ++proxy) {
     Listen(AcceptorOf(static_cast<int>(proxy), number), addresses_[proxy][static_cast<std::size_t>(number)]);
@@ -317,8 +317,9 @@
   http::response<http::string_body> response_;
 };
 
-Clients::Clients(asio::io_context& io, const Service& service, std::uint64_t seed, lab::Observer& observer,
-                 Choose choose, Owed owed, MayHaveRun may_have_run, std::function<lab::Micros()> now)
+Clients::Clients(asio::io_context& io, const Service& service, std::uint64_t seed,
+                 simulation::Observer& observer, Choose choose, Owed owed, MayHaveRun may_have_run,
+                 std::function<simulation::Micros()> now)
     : io_(io),
       service_(service),
       random_(seed, "clients"),
@@ -331,7 +332,7 @@
 
 void Clients::Start(double count_from_s) {
   if (service_.rate <= 0) return;
-  count_from_ = lab::FromMs(count_from_s * 1000);
+  count_from_ = simulation::FromMs(count_from_s * 1000);
   due_ = std::chrono::steady_clock::now();
   Next();
 }
@@ -380,4 +381,4 @@
           {"tenants", nlohmann::json::array()}};
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/service.h
+++ b/src/fault_testing/processes/service.h
@@ -3,8 +3,8 @@
 // What the proxies of a rig serve, as stand-ins: backends that count each execution by request, start cold
 // and fall over as the emulator's do, and clients that ask at a given rate, whatever becomes of earlier
 // requests, and time from the intended sending.
-#ifndef COPPERPOINT_RIG_PROCESSES_SERVICE_H_
-#define COPPERPOINT_RIG_PROCESSES_SERVICE_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -18,13 +18,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/core/random.h"
-#include "lab/world/backend.h"
-#include "lab/world/observer.h"
-#include "rig/plan.h"
-#include "rig/processes/troubles.h"
+#include "fault_testing/plan.h"
+#include "fault_testing/processes/troubles.h"
+#include "simulation/core/random.h"
+#include "simulation/world/backend.h"
+#include "simulation/world/observer.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 using Tcp = boost::asio::ip::tcp;
 
@@ -34,8 +34,8 @@
 class StandInBackends {
  public:
   StandInBackends(boost::asio::io_context& io, const Plan& plan, std::uint64_t seed,
-                  const boost::asio::ip::address& address, const Troubles& troubles, lab::Observer& observer,
-                  std::function<lab::Micros()> now);
+                  const boost::asio::ip::address& address, const Troubles& troubles,
+                  simulation::Observer& observer, std::function<simulation::Micros()> now);
   const std::vector<std::vector<Tcp::endpoint>>& addresses() const { return addresses_; }  // by proxy
   // `told`: whether a proxy knows of a backend's present start; `fell`: one was pushed over, and is down.
   void Watch(std::function<bool(int proxy, int backend)> told, std::function<void(int backend)> fell);
@@ -51,8 +51,8 @@
  private:
   class Connection;
   struct Backend {
-    explicit Backend(const lab::Machine& machine) : model(machine, 0, 0, 1) {}
-    lab::Backend model;  // for cold starts; the queue is the stand-in's own
+    explicit Backend(const simulation::Machine& machine) : model(machine, 0, 0, 1) {}
+    simulation::Backend model;  // for cold starts; the queue is the stand-in's own
     int busy = 0;
     std::uint64_t runs = 0;
     std::vector<std::weak_ptr<Connection>> open;
@@ -68,12 +68,12 @@
   boost::asio::io_context& io_;
   const Service& service_;
   const Troubles& troubles_;
-  lab::Random random_;
-  lab::Observer& observer_;
-  std::function<lab::Micros()> now_;
+  simulation::Random random_;
+  simulation::Observer& observer_;
+  std::function<simulation::Micros()> now_;
   std::function<bool(int, int)> told_;
   std::function<void(int)> fell_;
-  lab::Machine machine_;
+  simulation::Machine machine_;
   std::vector<Backend> backends_;
   std::vector<std::vector<Tcp::endpoint>> addresses_;
   std::vector<std::unique_ptr<Tcp::acceptor>> acceptors_;
@@ -91,13 +91,14 @@
     int member = 0;
     std::uint64_t life = 0;
   };
-  using Choose = std::function<std::optional<Target>(lab::Random&)>;
+  using Choose = std::function<std::optional<Target>(simulation::Random&)>;
   using Owed = std::function<bool(const Target&)>;
 
   using MayHaveRun = std::function<bool(std::uint64_t request)>;
 
-  Clients(boost::asio::io_context& io, const Service& service, std::uint64_t seed, lab::Observer& observer,
-          Choose choose, Owed owed, MayHaveRun may_have_run, std::function<lab::Micros()> now);
+  Clients(boost::asio::io_context& io, const Service& service, std::uint64_t seed,
+          simulation::Observer& observer, Choose choose, Owed owed, MayHaveRun may_have_run,
+          std::function<simulation::Micros()> now);
   void Start(double count_from_s);
   void Stop();
 
@@ -112,15 +113,15 @@
 
   boost::asio::io_context& io_;
   const Service& service_;
-  lab::Random random_;
-  lab::Observer& observer_;
+  simulation::Random random_;
+  simulation::Observer& observer_;
   Choose choose_;
   Owed owed_;
   MayHaveRun may_have_run_;
-  std::function<lab::Micros()> now_;
+  std::function<simulation::Micros()> now_;
   boost::asio::steady_timer timer_;
   std::chrono::steady_clock::time_point due_;
-  lab::Micros count_from_ = 0;
+  simulation::Micros count_from_ = 0;
   bool stopped_ = false;
   std::uint64_t all_ = 0, asked_ = 0, served_ = 0, refused_ = 0;  // the latter three from `count_from_` on
 };
@@ -128,6 +129,6 @@
 // The `settings` of a proxy's configuration that fit these stand-ins.
 nlohmann::json SettingsOf(const Plan& plan, int member);
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_SERVICE_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
--- a/src/rig/processes/troubles.cpp
+++ b/src/fault_testing/processes/troubles.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/processes/troubles.h"
+#include "fault_testing/processes/troubles.h"
 
 #include <algorithm>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 void Troubles::Begin(const Fault& fault) {
   const bool cut = fault.kind == FaultKind::kCutService;
@@ -30,4 +30,4 @@
   });
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/processes/troubles.h
+++ b/src/fault_testing/processes/troubles.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The faults in force at the stand-ins: what ails a backend, and which proxies it cannot talk to.
-#ifndef COPPERPOINT_RIG_PROCESSES_TROUBLES_H_
-#define COPPERPOINT_RIG_PROCESSES_TROUBLES_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
 
 #include <cstdint>
 #include <set>
 #include <vector>
 
-#include "rig/plan.h"
+#include "fault_testing/plan.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 class Troubles {
  public:
@@ -37,6 +37,6 @@
   std::vector<InForce> in_force_;
 };
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_PROCESSES_TROUBLES_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
--- a/src/rig/processes/watch.cpp
+++ b/src/fault_testing/processes/watch.cpp
@@ -6,9 +6,9 @@
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "rig/processes/fleet.h"
+#include "fault_testing/processes/fleet.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 namespace beast = boost::beast;
@@ -211,4 +211,4 @@
   LookAtAll();
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/quantile.h
+++ b/src/fault_testing/quantile.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef COPPERPOINT_RIG_QUANTILE_H_
-#define COPPERPOINT_RIG_QUANTILE_H_
+#ifndef COPPERPOINT_FAULT_TESTING_QUANTILE_H_
+#define COPPERPOINT_FAULT_TESTING_QUANTILE_H_
 
 #include <algorithm>
 #include <cstddef>
 #include <vector>
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 // The least value that at most `share` of the others lie below; 0 of none.
 inline double Quantile(std::vector<double> of, double share) {
@@ -15,6 +15,6 @@
   return of[std::min(of.size() - 1, static_cast<std::size_t>(share * static_cast<double>(of.size())))];
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_QUANTILE_H_
+#endif  // COPPERPOINT_FAULT_TESTING_QUANTILE_H_
--- a/src/rig/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/trial.h"
+#include "fault_testing/trial.h"
 
 #include <fmt/format.h>
 
@@ -15,17 +15,17 @@
 #include <unordered_map>
 #include <utility>
 
-#include "lab/core/queue.h"
-#include "lab/core/random.h"
 #include "rollout/agent.h"
+#include "simulation/core/queue.h"
+#include "simulation/core/random.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
-using lab::FromMs;
-using lab::Micros;
+using membership::Time;
 using rollout::Agent;
-using view::Time;
+using simulation::FromMs;
+using simulation::Micros;
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kDelay = 1'000;            // of a letter
@@ -100,7 +100,7 @@
 
   const rollout::Plan& plan_;
   const TrialOptions& options_;
-  lab::Random random_, traffic_;
+  simulation::Random random_, traffic_;
   Micros now_ = 0;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, int> by_name_;
@@ -567,4 +567,4 @@
   return names;
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/rig/trial.h
+++ b/src/fault_testing/trial.h
@@ -3,8 +3,8 @@
 // Rolling changes in virtual time: the members' own agents (src/rollout) over an emulated fleet that serves
 // emulated traffic, with faults in the middle. What is asked is whether a change is stopped that should be
 // and only then, how many members ever ran it, and whether what the agents promise holds whatever fails.
-#ifndef COPPERPOINT_RIG_TRIAL_H_
-#define COPPERPOINT_RIG_TRIAL_H_
+#ifndef COPPERPOINT_FAULT_TESTING_TRIAL_H_
+#define COPPERPOINT_FAULT_TESTING_TRIAL_H_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 
 #include "config/schema.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 
 // What is wrong with the new version.
 enum class Harm {
@@ -68,6 +68,6 @@
 const std::vector<std::pair<std::string, Harm>>& HarmNames();
 const std::vector<std::pair<std::string, Around>>& AroundNames();
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_RIG_TRIAL_H_
+#endif  // COPPERPOINT_FAULT_TESTING_TRIAL_H_
--- a/src/rig/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "rig/virtual.h"
+#include "fault_testing/virtual.h"
 
 #include <algorithm>
 #include <deque>
@@ -7,21 +7,21 @@
 #include <unordered_map>
 #include <utility>
 
-#include "lab/core/queue.h"
-#include "lab/core/random.h"
-#include "rig/conditions.h"
-#include "rig/judge.h"
-#include "rig/links.h"
-#include "subsets/position.h"
-#include "view/view.h"
+#include "fault_testing/conditions.h"
+#include "fault_testing/judge.h"
+#include "fault_testing/links.h"
+#include "membership/view.h"
+#include "simulation/core/queue.h"
+#include "simulation/core/random.h"
+#include "subsetting/position.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
-using lab::FromMs;
-using lab::Micros;
-using lab::Rank;
-using view::Time;
+using membership::Time;
+using simulation::FromMs;
+using simulation::Micros;
+using simulation::Rank;
 
 constexpr char kCluster[] = "rig", kKey[] = "a key that only the rig has";
 constexpr double kExchangeRtts = 1.5;      // before the first frame is there
@@ -63,13 +63,13 @@
     std::string bytes;
   };
   struct Node {
-    std::unique_ptr<view::View> view;
+    std::unique_ptr<membership::View> view;
     std::uint64_t life = 0;  // counts processes
     bool stopped = false;
     std::deque<std::pair<Kind, std::uint64_t>> waiting;  // what came while it stood still
-    Micros wake = lab::kNeverMicros;
+    Micros wake = simulation::kNeverMicros;
     Micros ahead = 0;  // its clock, of virtual time
-    subsets::Positions positions;
+    subsetting::Positions positions;
     int first = -1;  // backend of its subset; below 0: not known yet
     std::uint64_t hash = 0;
     bool counted = false;  // in `hashes_`
@@ -83,7 +83,7 @@
   void End(int member, bool with_a_word);
   void Settle();
   void Replace(int member);
-  void Run(const lab::Due& due);
+  void Run(const simulation::Due& due);
   void Deliver(Kind kind, std::uint64_t message);
   void After(int member);
   void Datagram(int from, const std::string& to, std::string bytes);
@@ -105,13 +105,13 @@
 
   const Plan& plan_;
   const VirtualOptions& options_;
-  lab::Random random_;
+  simulation::Random random_;
   Links links_;
   Conditions conditions_;
   std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // in force
-  lab::Queue queue_;
+  simulation::Queue queue_;
   Judge judge_;
-  view::Records records_;
+  membership::Records records_;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, int> addresses_;
   std::vector<std::string> seeds_;
@@ -149,18 +149,18 @@
                        static_cast<std::uint32_t>(member), 1);
   }
   ++node.life;
-  view::Record self;
+  membership::Record self;
   self.set_name(MemberName(member));
   self.set_address(MemberName(member) + ":1");
   self.set_zone(ZoneName(plan_, member));
   self.set_program("0.1.0");
-  self.set_state(static_cast<std::uint32_t>(view::State::kServing));
-  lab::Random draw(options_.seed, "member", static_cast<std::uint64_t>(member) << 20 | node.life);
-  node.view = std::make_unique<view::View>(options_.view, peers::Seal(kCluster, kKey), std::move(self),
-                                           draw.Bits(), Clock(node), &records_);
+  self.set_state(static_cast<std::uint32_t>(membership::State::kServing));
+  simulation::Random draw(options_.seed, "member", static_cast<std::uint64_t>(member) << 20 | node.life);
+  node.view = std::make_unique<membership::View>(options_.view, peers::Seal(kCluster, kKey), std::move(self),
+                                                 draw.Bits(), Clock(node), &records_);
   node.stopped = false;
-  node.wake = lab::kNeverMicros;
-  node.positions = subsets::Positions();
+  node.wake = simulation::kNeverMicros;
+  node.positions = subsetting::Positions();
   node.first = -1;
   ++up_;
   judge_.Started(Seconds(queue_.now()), member);
@@ -170,9 +170,9 @@
 }
 
 void VirtualFleet::Settle() {
-  std::vector<std::shared_ptr<const view::Record>> all;
+  std::vector<std::shared_ptr<const membership::Record>> all;
   for (const Node& node : nodes_)
-    if (node.view) all.push_back(std::make_shared<view::Record>(node.view->self()));
+    if (node.view) all.push_back(std::make_shared<membership::Record>(node.view->self()));
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (!nodes_[i].view) continue;
     nodes_[i].view->Settle(Time(0), all);
@@ -190,7 +190,7 @@
     for (auto& datagram : node.view->Take().datagrams)
       Datagram(member, datagram.to, std::move(datagram.bytes));
   }
-  const view::Counters& counters = node.view->counters();
+  const membership::Counters& counters = node.view->counters();
   node.sent += counters.sent;
   node.received += counters.received;
   node.sent_bytes += counters.sent_bytes;
@@ -226,22 +226,22 @@
 
 void VirtualFleet::After(int member) {
   Node& node = At(member);
-  view::Output output = node.view->Take();
+  membership::Output output = node.view->Take();
   for (auto& datagram : output.datagrams) Datagram(member, datagram.to, std::move(datagram.bytes));
   for (auto& exchange : output.exchanges) Exchange(member, exchange.to, std::move(exchange.bytes));
-  for (const view::Happened& event : output.events) {
+  for (const membership::Happened& event : output.events) {
     ++events_;
-    suspicions_ += event.kind == view::Happened::Kind::kSuspected;
-    refutations_ += event.kind == view::Happened::Kind::kRefuted;
-    healed_ += event.kind == view::Happened::Kind::kHealed;
-    Meet(std::string("fleet_") + view::NameOf(event.kind), event.name);
-    if (event.kind == view::Happened::Kind::kDead)
+    suspicions_ += event.kind == membership::Happened::Kind::kSuspected;
+    refutations_ += event.kind == membership::Happened::Kind::kRefuted;
+    healed_ += event.kind == membership::Happened::Kind::kHealed;
+    Meet(std::string("fleet_") + membership::NameOf(event.kind), event.name);
+    if (event.kind == membership::Happened::Kind::kDead)
       judge_.SaidDead(Seconds(queue_.now()), member, MemberAt(event.name + ":1"));
   }
   Recount(member);
   if (divides_) Place(node);
   const Time next = std::min(node.view->next(), node.positions.next());
-  if (next < Time(lab::kNeverMicros / 4) && next.count() - node.ahead < node.wake) {
+  if (next < Time(simulation::kNeverMicros / 4) && next.count() - node.ahead < node.wake) {
     node.wake = std::max<Micros>(next.count() - node.ahead, queue_.now() + 1);
     queue_.Push(node.wake, Rank::kTimeout, kWake, static_cast<std::uint32_t>(member), node.life);
   }
@@ -361,7 +361,7 @@
         break;
       case FaultKind::kJump:
         At(member).ahead += FromMs(fault.amount * 1000);
-        At(member).wake = lab::kNeverMicros;
+        At(member).wake = simulation::kNeverMicros;
         if (At(member).view && !At(member).stopped) After(member);
         break;
       case FaultKind::kChange:
@@ -397,7 +397,7 @@
 
 void VirtualFleet::Snapshot(bool close) {
   for (Node& node : nodes_) {
-    const view::Counters now = node.view ? node.view->counters() : view::Counters();
+    const membership::Counters now = node.view ? node.view->counters() : membership::Counters();
     const std::uint64_t out = node.sent_bytes + now.sent_bytes + 28 * (node.sent + now.sent);
     const std::uint64_t in = node.received_bytes + now.received_bytes + 28 * (node.received + now.received);
     if (!close) {
@@ -410,14 +410,14 @@
   }
 }
 
-void VirtualFleet::Run(const lab::Due& due) {
+void VirtualFleet::Run(const simulation::Due& due) {
   const auto member = static_cast<int>(due.a);
   switch (due.kind) {
     case kWake: {
       Node& node = At(member);
       if (!node.view || node.life != due.b || node.wake != due.at) return;
       if (node.stopped) return;  // it looks at its timers when it goes on
-      node.wake = lab::kNeverMicros;
+      node.wake = simulation::kNeverMicros;
       if (node.view->next() <= Clock(node)) node.view->OnTick(Clock(node));
       return After(member);
     }
@@ -449,7 +449,7 @@
       for (const auto& [kind, message] : waiting) {
         if (node.view) Deliver(kind, message);
       }
-      node.wake = lab::kNeverMicros;
+      node.wake = simulation::kNeverMicros;
       node.view->OnTick(Clock(node));
       return After(member);
     }
@@ -466,7 +466,7 @@
     if (!node.view) continue;
     std::string wrong;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      const view::Members& members = node.view->members();
+      const membership::Members& members = node.view->members();
       const std::string name = MemberName(static_cast<int>(i));
       const int at = members.Find(name);
       const bool thinks = at >= 0 && members[at].living(), lives = nodes_[i].view != nullptr;
@@ -520,7 +520,7 @@
 
   const Micros end = FromMs(plan_.length_s * 1000);
   while (!queue_.empty()) {
-    const lab::Due due = queue_.Take();
+    const simulation::Due due = queue_.Take();
     if (due.at > end) break;
     Run(due);
   }
@@ -559,4 +559,4 @@
   return VirtualFleet(plan, options).Play();
 }
 
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/src/fleet/count.cpp
+++ b/src/log_analysis/count.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/count.h"
+#include "log_analysis/count.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace copperpoint::fleet {
+namespace copperpoint::log_analysis {
 namespace {
 
 constexpr std::size_t kServersTold = 12;
@@ -240,4 +240,4 @@
   return out;
 }
 
-}  // namespace copperpoint::fleet
+}  // namespace copperpoint::log_analysis
--- a/src/fleet/count.h
+++ b/src/log_analysis/count.h
@@ -4,8 +4,8 @@
 // second; what each server got, and a cold one beside warm ones; connections, calls of discovery, age of the
 // first list. Decides nothing; no I/O. Memory is bounded by seconds times reasons and by servers, not by
 // lines.
-#ifndef COPPERPOINT_FLEET_COUNT_H_
-#define COPPERPOINT_FLEET_COUNT_H_
+#ifndef COPPERPOINT_LOG_ANALYSIS_COUNT_H_
+#define COPPERPOINT_LOG_ANALYSIS_COUNT_H_
 
 #include <cstdint>
 #include <map>
@@ -16,9 +16,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "fleet/record.h"
+#include "log_analysis/record.h"
 
-namespace copperpoint::fleet {
+namespace copperpoint::log_analysis {
 
 using Counts = std::map<std::string, std::int64_t, std::less<>>;
 
@@ -98,6 +98,6 @@
                ejections_ = 0, never_fresh_ = 0, proxies_ = 0;
 };
 
-}  // namespace copperpoint::fleet
+}  // namespace copperpoint::log_analysis
 
-#endif  // COPPERPOINT_FLEET_COUNT_H_
+#endif  // COPPERPOINT_LOG_ANALYSIS_COUNT_H_
--- a/src/fleet/record.cpp
+++ b/src/log_analysis/record.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/record.h"
+#include "log_analysis/record.h"
 
 #include <charconv>
 #include <chrono>
 #include <nlohmann/json.hpp>
 
-namespace copperpoint::fleet {
+namespace copperpoint::log_analysis {
 namespace {
 
 constexpr std::size_t kStampLength = 24;  // 2026-01-31T12:00:00.000Z
@@ -116,4 +116,4 @@
   return ParseText(line);
 }
 
-}  // namespace copperpoint::fleet
+}  // namespace copperpoint::log_analysis
--- a/src/fleet/record.h
+++ b/src/log_analysis/record.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One line of a proxy's log, in the text or the JSON form that src/log writes.
-#ifndef COPPERPOINT_FLEET_RECORD_H_
-#define COPPERPOINT_FLEET_RECORD_H_
+#ifndef COPPERPOINT_LOG_ANALYSIS_RECORD_H_
+#define COPPERPOINT_LOG_ANALYSIS_RECORD_H_
 
 #include <optional>
 #include <string>
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace copperpoint::fleet {
+namespace copperpoint::log_analysis {
 
 struct Record {
   double at_ms = 0;  // Unix time
@@ -24,6 +24,6 @@
 // Nothing if the line is none of ours. What a collector of logs puts before the line is passed over.
 std::optional<Record> ParseLine(std::string_view line);
 
-}  // namespace copperpoint::fleet
+}  // namespace copperpoint::log_analysis
 
-#endif  // COPPERPOINT_FLEET_RECORD_H_
+#endif  // COPPERPOINT_LOG_ANALYSIS_RECORD_H_
--- a/src/view/documents.h
+++ b/src/membership/documents.h
@@ -4,8 +4,8 @@
 // alone. Each message names the versions that its sender holds; whoever holds an older one takes the mark, or
 // fetches the document from the sender. So a version is with all in about as many periods as the logarithm of
 // the members (epidemic pull: Demers and others, 1987), and costs each message a dozen bytes.
-#ifndef COPPERPOINT_VIEW_DOCUMENTS_H_
-#define COPPERPOINT_VIEW_DOCUMENTS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_DOCUMENTS_H_
+#define COPPERPOINT_MEMBERSHIP_DOCUMENTS_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,10 +13,10 @@
 #include <string>
 #include <utility>
 
+#include "membership/options.h"
 #include "message.pb.h"
-#include "view/options.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 // Which part of the program a document, a mark or a letter is for. A number is never used again.
 using Topic = std::uint32_t;
@@ -67,6 +67,6 @@
   Gate gate_;
 };
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_DOCUMENTS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_DOCUMENTS_H_
--- a/src/view/members.cpp
+++ b/src/membership/members.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "view/members.h"
+#include "membership/members.h"
 
 #include <xxhash.h>
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 const char* NameOf(State state) {
   switch (state) {
@@ -164,4 +164,4 @@
   return next;
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/members.h
+++ b/src/membership/members.h
@@ -5,8 +5,8 @@
 //   1. the later incarnation, in serial arithmetic, so that it has no end;
 //   2. of one incarnation in two lives, the greater life;
 //   3. of one life, dead or left before suspect before alive, and of records the later version.
-#ifndef COPPERPOINT_VIEW_MEMBERS_H_
-#define COPPERPOINT_VIEW_MEMBERS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_MEMBERS_H_
+#define COPPERPOINT_MEMBERSHIP_MEMBERS_H_
 
 #include <array>
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -18,10 +18,10 @@
 #include <tuple>
 #include <vector>
 
+#include "membership/options.h"
 #include "message.pb.h"
-#include "view/options.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 enum class State { kStarting = 0, kServing = 1, kDraining = 2, kLeaving = 3 };
 enum class Status { kAlive = 0, kSuspect = 1, kDead = 2, kLeft = 3 };
@@ -110,6 +110,6 @@
 // The same member in another incarnation.
 std::shared_ptr<const Record> WithIncarnation(const Record& record, std::uint32_t incarnation);
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_MEMBERS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_MEMBERS_H_
--- a/src/view/news.cpp
+++ b/src/membership/news.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "view/news.h"
+#include "membership/news.h"
 
 #include <utility>
 #include <vector>
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 namespace {
 
 constexpr std::size_t kFieldBytes = 8;  // tag, length and a longer age, at most
@@ -90,4 +90,4 @@
   return used;
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/news.h
+++ b/src/membership/news.h
@@ -2,8 +2,8 @@
 //
 // What is still to be passed on, each claim a bounded number of times: those told least often go first, and
 // where there is no room the most told are left out. One claim a member: a newer one takes its place.
-#ifndef COPPERPOINT_VIEW_NEWS_H_
-#define COPPERPOINT_VIEW_NEWS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_NEWS_H_
+#define COPPERPOINT_MEMBERSHIP_NEWS_H_
 
 #include <cstddef>
 #include <map>
@@ -11,10 +11,10 @@
 #include <string>
 #include <utility>
 
+#include "membership/options.h"
 #include "message.pb.h"
-#include "view/options.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 class News {
  public:
@@ -50,6 +50,6 @@
   std::set<std::pair<int, Key>> by_told_;
 };
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_NEWS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_NEWS_H_
--- a/src/view/options.h
+++ b/src/membership/options.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // How fast and how patient the view is. docs/view.md has each bound as a formula of these.
-#ifndef COPPERPOINT_VIEW_OPTIONS_H_
-#define COPPERPOINT_VIEW_OPTIONS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_OPTIONS_H_
+#define COPPERPOINT_MEMBERSHIP_OPTIONS_H_
 
 #include <chrono>
 #include <cstddef>
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 // Since an origin of the host's own. No time of one machine is compared with another's.
 using Time = std::chrono::microseconds;
@@ -38,6 +38,6 @@
   bool with_suspicion = true, with_own_time = true, with_helpers = true, with_sync = true;
 };
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_OPTIONS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_OPTIONS_H_
--- a/src/view/prober.h
+++ b/src/membership/prober.h
@@ -4,8 +4,8 @@
 //
 // Turns: all in a shuffled order, then a new order, so that each is probed once in as many periods as there
 // are members and a dead one is met after 1.6 periods in the mean (SWIM).
-#ifndef COPPERPOINT_VIEW_PROBER_H_
-#define COPPERPOINT_VIEW_PROBER_H_
+#ifndef COPPERPOINT_MEMBERSHIP_PROBER_H_
+#define COPPERPOINT_MEMBERSHIP_PROBER_H_
 
 #include <algorithm>
 #include <boost/random/taus88.hpp>
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "view/options.h"
+#include "membership/options.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 class Draw {
  public:
@@ -77,6 +77,6 @@
   std::uint32_t last_id_ = 0;
 };
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_PROBER_H_
+#endif  // COPPERPOINT_MEMBERSHIP_PROBER_H_
--- a/src/view/suspicions.h
+++ b/src/membership/suspicions.h
@@ -8,8 +8,8 @@
 //   dead at  max(since + least_suspicion, heard + silence, judge_since + 4 periods)  where two members
 //   accuse; dead at  max(since + longest * silence, the same)  where nobody confirms;
 // `heard` being the latest sign of life that anybody told of. What speaks is not declared dead.
-#ifndef COPPERPOINT_VIEW_SUSPICIONS_H_
-#define COPPERPOINT_VIEW_SUSPICIONS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_SUSPICIONS_H_
+#define COPPERPOINT_MEMBERSHIP_SUSPICIONS_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -18,9 +18,9 @@
 #include <string_view>
 #include <vector>
 
-#include "view/options.h"
+#include "membership/options.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 struct Suspicion {
   std::uint32_t incarnation = 0;
@@ -82,6 +82,6 @@
   std::map<int, Suspicion> of_;
 };
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_SUSPICIONS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_SUSPICIONS_H_
--- a/src/view/view.cpp
+++ b/src/membership/view.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member's own life: its start, its wakes, what it says of itself, its end.
-#include "view/view.h"
+#include "membership/view.h"
 
 #include <stdexcept>
 #include <utility>
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 namespace {
 
 constexpr Time kNever = Time::max() / 2;
@@ -241,4 +241,4 @@
   }
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/view.h
+++ b/src/membership/view.h
@@ -7,8 +7,8 @@
 // Sources: SWIM (Das, Gupta, Motivala 2002) for probes, suspicion, incarnations and piggyback; Lifeguard
 // (Dadgar, Phillips, Currey 2018) for confirmations and telling a suspect first; push-pull
 // anti-entropy (Demers and others 1987), here by hashes of buckets.
-#ifndef COPPERPOINT_VIEW_VIEW_H_
-#define COPPERPOINT_VIEW_VIEW_H_
+#ifndef COPPERPOINT_MEMBERSHIP_VIEW_H_
+#define COPPERPOINT_MEMBERSHIP_VIEW_H_
 
 #include <array>
 #include <cstdint>
@@ -18,15 +18,15 @@
 #include <unordered_set>
 #include <vector>
 
+#include "membership/documents.h"
+#include "membership/members.h"
+#include "membership/news.h"
+#include "membership/options.h"
+#include "membership/prober.h"
+#include "membership/suspicions.h"
 #include "peers/frame.h"
-#include "view/documents.h"
-#include "view/members.h"
-#include "view/news.h"
-#include "view/options.h"
-#include "view/prober.h"
-#include "view/suspicions.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 // Bytes for an address. An exchange is one frame there and one back, over TCP.
 struct Outgoing {
@@ -214,6 +214,6 @@
   Counters counters_;
 };
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_VIEW_VIEW_H_
+#endif  // COPPERPOINT_MEMBERSHIP_VIEW_H_
--- a/src/view/view_claims.cpp
+++ b/src/membership/view_claims.cpp
@@ -6,9 +6,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "view/view.h"
+#include "membership/view.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 namespace {
 
 constexpr Time kRivalAnswers = std::chrono::seconds(1);
@@ -268,4 +268,4 @@
   retired_order_.pop_front();
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/view_messages.cpp
+++ b/src/membership/view_messages.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "view/view.h"
+#include "membership/view.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 namespace {
 
 constexpr Time kRefusals = std::chrono::seconds(1);  // at most one answer to what we cannot read in so long
@@ -256,4 +256,4 @@
     Sync(members_[at].record->address(), now);
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/view_parts.cpp
+++ b/src/membership/view_parts.cpp
@@ -4,9 +4,9 @@
 // marks that all are to hold in their latest version.
 #include <utility>
 
-#include "view/view.h"
+#include "membership/view.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 bool View::Mail(Time now, const std::string& to, Topic topic, std::string body) {
   if (silent_ || body.size() > options_.most_letter) return false;
@@ -63,4 +63,4 @@
     output_.documents.push_back(message.topic());
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/view_probes.cpp
+++ b/src/membership/view_probes.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "view/view.h"
+#include "membership/view.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 namespace {
 
 constexpr int kJudgeAsks = 2;   // others, each time that a judge asks its suspect
@@ -123,4 +123,4 @@
   Send(std::move(ping), members_[chosen].record->address(), chosen, now);
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/view/view_sync.cpp
+++ b/src/membership/view_sync.cpp
@@ -5,9 +5,9 @@
 #include <unordered_map>
 #include <utility>
 
-#include "view/view.h"
+#include "membership/view.h"
 
-namespace copperpoint::view {
+namespace copperpoint::membership {
 
 void View::Sync(const std::string& address, Time now) {
   if (!options_.with_sync && established_) return;
@@ -105,4 +105,4 @@
   if (push.claims_size() > 0) Exchange(members_[from].record->address(), push);
 }
 
-}  // namespace copperpoint::view
+}  // namespace copperpoint::membership
--- a/src/proxy/control/operator.cpp
+++ b/src/proxy/admin/admin_server.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/control/operator.h"
+#include "proxy/admin/admin_server.h"
 
 #include <algorithm>
 #include <array>
--- a/src/proxy/control/operator.h
+++ b/src/proxy/admin/admin_server.h
@@ -2,8 +2,8 @@
 //
 // The operator address: HTTP/1.1, one call per connection. It reads calls, asks OperatorCalls, and words the
 // answers; it decides nothing and knows no other part of the proxy.
-#ifndef COPPERPOINT_PROXY_CONTROL_OPERATOR_H_
-#define COPPERPOINT_PROXY_CONTROL_OPERATOR_H_
+#ifndef COPPERPOINT_PROXY_ADMIN_ADMIN_SERVER_H_
+#define COPPERPOINT_PROXY_ADMIN_ADMIN_SERVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -78,4 +78,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_CONTROL_OPERATOR_H_
+#endif  // COPPERPOINT_PROXY_ADMIN_ADMIN_SERVER_H_
--- a/src/proxy/config/operating.h
+++ b/src/proxy/config/operating.h
@@ -12,7 +12,7 @@
 
 #include "config/schema.h"
 #include "log/log.h"
-#include "proxy/fleet/settings.h"
+#include "proxy/membership/settings.h"
 
 namespace copperpoint::proxy {
 
--- a/src/proxy/data/clients.cpp
+++ b/src/proxy/downstream/clients.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/data/clients.h"
+#include "proxy/downstream/clients.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
--- a/src/proxy/data/clients.h
+++ b/src/proxy/downstream/clients.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: accepts connections, reads requests, writes the one answer to each.
-#ifndef COPPERPOINT_PROXY_DATA_CLIENTS_H_
-#define COPPERPOINT_PROXY_DATA_CLIENTS_H_
+#ifndef COPPERPOINT_PROXY_DOWNSTREAM_CLIENTS_H_
+#define COPPERPOINT_PROXY_DOWNSTREAM_CLIENTS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -17,7 +17,7 @@
 
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/data/backends.h"
+#include "proxy/upstream/backends.h"
 
 namespace copperpoint::proxy {
 
@@ -105,4 +105,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DATA_CLIENTS_H_
+#endif  // COPPERPOINT_PROXY_DOWNSTREAM_CLIENTS_H_
--- a/src/proxy/data/framing.cpp
+++ b/src/proxy/http/framing.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/data/framing.h"
+#include "proxy/http/framing.h"
 
 #include <algorithm>
 #include <boost/beast/core/string.hpp>
--- a/src/proxy/data/framing.h
+++ b/src/proxy/http/framing.h
@@ -2,8 +2,8 @@
 //
 // What of a message is believed: its framing must leave no room for two readings, and what a request's
 // headers say must fit together.
-#ifndef COPPERPOINT_PROXY_DATA_FRAMING_H_
-#define COPPERPOINT_PROXY_DATA_FRAMING_H_
+#ifndef COPPERPOINT_PROXY_HTTP_FRAMING_H_
+#define COPPERPOINT_PROXY_HTTP_FRAMING_H_
 
 #include <boost/beast/http/fields.hpp>
 #include <boost/beast/http/message.hpp>
@@ -14,7 +14,7 @@
 
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/data/pieces.h"
+#include "proxy/http/pieces.h"
 
 namespace copperpoint::proxy {
 
@@ -52,4 +52,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DATA_FRAMING_H_
+#endif  // COPPERPOINT_PROXY_HTTP_FRAMING_H_
--- a/src/proxy/data/pieces.h
+++ b/src/proxy/http/pieces.h
@@ -2,8 +2,8 @@
 //
 // The rest of a body that is too large to be held whole, passed on a piece at a time. The next piece is asked
 // for once the last one is written: that is all the back-pressure there is, and all that is ever held.
-#ifndef COPPERPOINT_PROXY_DATA_PIECES_H_
-#define COPPERPOINT_PROXY_DATA_PIECES_H_
+#ifndef COPPERPOINT_PROXY_HTTP_PIECES_H_
+#define COPPERPOINT_PROXY_HTTP_PIECES_H_
 
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -73,4 +73,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DATA_PIECES_H_
+#endif  // COPPERPOINT_PROXY_HTTP_PIECES_H_
--- a/src/proxy/fleet/counts.cpp
+++ b/src/proxy/membership/counts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/fleet/counts.h"
+#include "proxy/membership/counts.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
--- a/src/proxy/fleet/counts.h
+++ b/src/proxy/membership/counts.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What this process has served, by class and account, for a change's cohorts to be compared by.
-#ifndef COPPERPOINT_PROXY_FLEET_COUNTS_H_
-#define COPPERPOINT_PROXY_FLEET_COUNTS_H_
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_COUNTS_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_COUNTS_H_
 
 #include <cstdint>
 #include <map>
@@ -32,4 +32,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_FLEET_COUNTS_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_COUNTS_H_
--- a/src/proxy/fleet/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/fleet/host.h"
+#include "proxy/membership/host.h"
 
 #include <sys/stat.h>
 
@@ -10,7 +10,7 @@
 #include "config/read.h"
 #include "log/log.h"
 #include "proxy/config/config.h"
-#include "proxy/fleet/clock.h"
+#include "proxy/membership/clock.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -52,8 +52,8 @@
   return seeds;
 }
 
-view::Record RecordOf(const FleetSettings& settings, const FleetSelf& self) {
-  view::Record record;
+membership::Record RecordOf(const FleetSettings& settings, const FleetSelf& self) {
+  membership::Record record;
   record.set_name(self.name);
   record.set_address(settings.advertise.empty() ? settings.listen : settings.advertise);
   record.set_zone(self.zone);
@@ -62,7 +62,7 @@
   return record;
 }
 
-rollout::Agent::Self AgentOf(const view::View& view, const KeeperLink* keeper) {
+rollout::Agent::Self AgentOf(const membership::View& view, const KeeperLink* keeper) {
   rollout::Agent::Self self{view.self().name(), "", view.self().life(), 0, "", ""};
   if (!keeper) return self;
   const KeeperLink::Known& known = keeper->known();
@@ -88,7 +88,7 @@
       listen_(Listen(settings)),
       cluster_(settings.cluster),
       seeds_(SeedsOf(settings)),
-      view_(view::Options(), SealOf(settings), RecordOf(settings, self), seed, FleetNow()),
+      view_(membership::Options(), SealOf(settings), RecordOf(settings, self), seed, FleetNow()),
       subsets_(settings.subsets),
       on_position_(std::move(on_position)),
       keeper_(KeeperLink::FromEnvironment(io,
@@ -100,7 +100,7 @@
           AgentOf(view_, keeper_.get()),
           [this](const std::string& name) {
             const int at = view_.members().Find(name);
-            return at != view::Members::kNone && view_.members()[at].living();
+            return at != membership::Members::kNone && view_.members()[at].living();
           },
           [this] {
             rollout::wire::Report report = counts_.Report();
@@ -110,7 +110,8 @@
           }),
       began_(FleetNow()),
       timer_(io) {
-  view_.SetGate([this](view::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
+  view_.SetGate(
+      [this](membership::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
   Open();
 } catch (const std::invalid_argument& error) {
   throw BadConfig(std::string("fleet: ") + error.what());
@@ -152,11 +153,11 @@
 void FleetHost::LookAtParts() {
   for (bool more = true; more;) {
     CarryOut(agent_.Take());
-    const view::Output output = view_.Take();
-    for (const view::Letter& letter : output.letters)
+    const membership::Output output = view_.Take();
+    for (const membership::Letter& letter : output.letters)
       if (letter.topic == rollout::kLetterTopic) agent_.OnLetter(FleetNow(), letter.from, letter.body);
-    for (const view::Topic topic : output.documents) {
-      const view::Document* document = view_.document(topic);
+    for (const membership::Topic topic : output.documents) {
+      const membership::Document* document = view_.document(topic);
       if (document) agent_.OnDocument(FleetNow(), topic, document->version, document->body);
     }
     Send(output);
@@ -165,7 +166,7 @@
 }
 
 void FleetHost::CarryOut(rollout::Agent::Output output) {
-  const view::Time now = FleetNow();
+  const membership::Time now = FleetNow();
   for (const auto& document : output.documents)
     view_.Put(now, document.topic, document.version, document.body);
   for (auto& letter : output.letters)
@@ -185,7 +186,7 @@
 std::vector<rollout::Named> FleetHost::Living() const {
   std::vector<rollout::Named> members;
   for (const int at : view_.members().living()) {
-    const view::Record& record = *view_.members()[at].record;
+    const membership::Record& record = *view_.members()[at].record;
     members.push_back({record.name(), record.zone()});
   }
   // The same members make the same change, whoever begins it.
@@ -195,7 +196,7 @@
 
 std::optional<OperatorCalls::Said> FleetHost::Rollout(const std::string& what, bool post,
                                                       const std::string& body) {
-  const view::Time now = FleetNow();
+  const membership::Time now = FleetNow();
   if (!post) {
     if (what == "/history") return OperatorCalls::Said{true, agent_.History(now)};
     if (!what.empty()) return std::nullopt;
@@ -238,14 +239,16 @@
   Arm();
 }
 
-void FleetHost::Send(const view::Output& output) {
+void FleetHost::Send(const membership::Output& output) {
   if (transport_) {
-    for (const view::Outgoing& datagram : output.datagrams) transport_->Send(datagram.to, datagram.bytes);
-    for (const view::Outgoing& exchange : output.exchanges) transport_->Exchange(exchange.to, exchange.bytes);
+    for (const membership::Outgoing& datagram : output.datagrams)
+      transport_->Send(datagram.to, datagram.bytes);
+    for (const membership::Outgoing& exchange : output.exchanges)
+      transport_->Exchange(exchange.to, exchange.bytes);
   }
-  for (const view::Happened& event : output.events) {
-    const std::string name = std::string("fleet_") + view::NameOf(event.kind);
-    const bool grave = event.kind == view::Happened::Kind::kNameTaken;
+  for (const membership::Happened& event : output.events) {
+    const std::string name = std::string("fleet_") + membership::NameOf(event.kind);
+    const bool grave = event.kind == membership::Happened::Kind::kNameTaken;
     log::Global().Write(grave ? log::Level::kError : log::Level::kInfo, name,
                         {{"member", event.name},
                          {"by", event.by},
@@ -264,7 +267,7 @@
   });
 }
 
-void FleetHost::SetState(view::State state) {
+void FleetHost::SetState(membership::State state) {
   view_.SetState(FleetNow(), state);
   Flush();
 }
@@ -278,33 +281,34 @@
 }
 
 std::string FleetHost::Json() const {
-  const view::Record& self = view_.self();
-  const view::Time now = view_.own(FleetNow());
-  const auto millis = [](view::Time time) { return time.count() / 1000; };
+  const membership::Record& self = view_.self();
+  const membership::Time now = view_.own(FleetNow());
+  const auto millis = [](membership::Time time) { return time.count() / 1000; };
   nlohmann::ordered_json json{{"cluster", cluster_},           {"name", self.name()},
                               {"address", self.address()},     {"incarnation", self.incarnation()},
                               {"life", log::Hex(self.life())}, {"speaks", transport_ && !view_.silent()},
                               {"settled", view_.settled()},    {"view", log::Hex(view_.members().hash())}};
   if (turn_) json["position"] = *turn_;
   auto& members = json["members"] = nlohmann::ordered_json::array();
-  view_.members().Each([&](int at, const view::Entry& entry) {
-    const view::Record& record = *entry.record;
+  view_.members().Each([&](int at, const membership::Entry& entry) {
+    const membership::Record& record = *entry.record;
     nlohmann::ordered_json member{{"name", record.name()},
-                                  {"status", view::NameOf(entry.status)},
+                                  {"status", membership::NameOf(entry.status)},
                                   {"status_ms", millis(now - entry.since)},
                                   {"heard_ms", record.name() == self.name() ? 0 : millis(now - entry.heard)},
                                   {"incarnation", record.incarnation()},
                                   {"address", record.address()}};
     if (entry.living()) {
-      member["state"] = view::NameOf(static_cast<view::State>(record.state()));
+      member["state"] = membership::NameOf(static_cast<membership::State>(record.state()));
       member["zone"] = record.zone();
       member["program"] = record.program();
       member["settings"] = record.settings();
     }
-    if (const view::Suspicion* suspicion = view_.suspicion(at)) member["accusers"] = suspicion->accusers;
+    if (const membership::Suspicion* suspicion = view_.suspicion(at))
+      member["accusers"] = suspicion->accusers;
     members.push_back(std::move(member));
   });
-  const view::Counters& counters = view_.counters();
+  const membership::Counters& counters = view_.counters();
   auto& told = json["counters"] = nlohmann::ordered_json{{"sent", counters.sent},
                                                          {"sent_bytes", counters.sent_bytes},
                                                          {"received", counters.received},
--- a/src/proxy/fleet/host.h
+++ b/src/proxy/membership/host.h
@@ -2,8 +2,8 @@
 //
 // Hosts this proxy's view of the fleet: the event loop's time and sockets for it, its events for the log, its
 // state for the operator. It decides nothing.
-#ifndef COPPERPOINT_PROXY_FLEET_HOST_H_
-#define COPPERPOINT_PROXY_FLEET_HOST_H_
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_HOST_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_HOST_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -14,14 +14,14 @@
 #include <string>
 #include <vector>
 
+#include "membership/view.h"
 #include "peers/transport.h"
-#include "proxy/control/operator.h"
-#include "proxy/fleet/counts.h"
-#include "proxy/fleet/keeper_link.h"
-#include "proxy/fleet/settings.h"
+#include "proxy/admin/admin_server.h"
+#include "proxy/membership/counts.h"
+#include "proxy/membership/keeper_link.h"
+#include "proxy/membership/settings.h"
 #include "rollout/agent.h"
-#include "subsets/position.h"
-#include "view/view.h"
+#include "subsetting/position.h"
 
 namespace copperpoint::proxy {
 
@@ -42,7 +42,7 @@
   FleetHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
             std::uint64_t seed, std::function<void(double turn)> on_position);
 
-  void SetState(view::State state);
+  void SetState(membership::State state);
   void Leave();  // says goodbye, and gives its address free
   std::string Json() const;
   // A request's end, for the cohorts of a change.
@@ -56,7 +56,7 @@
 
  private:
   void Open();
-  void Send(const view::Output& output);
+  void Send(const membership::Output& output);
   void LookAtParts();
   void CarryOut(rollout::Agent::Output output);
   std::vector<rollout::Named> Living() const;
@@ -67,15 +67,15 @@
   boost::asio::ip::udp::endpoint listen_;
   std::string cluster_;
   std::vector<std::string> seeds_;
-  view::View view_;
+  membership::View view_;
   const bool subsets_;
-  subsets::Positions positions_;
+  subsetting::Positions positions_;
   std::optional<double> turn_;  // the last position
   std::function<void(double)> on_position_;
   Counts counts_;
   std::unique_ptr<KeeperLink> keeper_;
   rollout::Agent agent_;
-  view::Time began_{};
+  membership::Time began_{};
   bool heard_ = false, ready_ = false;
   std::unique_ptr<peers::Transport> transport_;
   boost::asio::steady_timer timer_;
@@ -84,4 +84,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_FLEET_HOST_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_HOST_H_
--- a/src/proxy/fleet/keeper_link.cpp
+++ b/src/proxy/membership/keeper_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/fleet/keeper_link.h"
+#include "proxy/membership/keeper_link.h"
 
 #include <fcntl.h>
 
--- a/src/proxy/fleet/keeper_link.h
+++ b/src/proxy/membership/keeper_link.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The line to the keeper that began this process (src/keep), if one did.
-#ifndef COPPERPOINT_PROXY_FLEET_KEEPER_LINK_H_
-#define COPPERPOINT_PROXY_FLEET_KEEPER_LINK_H_
+// The line to the keeper that began this process (src/supervisor), if one did.
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_KEEPER_LINK_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_KEEPER_LINK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
@@ -42,4 +42,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_FLEET_KEEPER_LINK_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_KEEPER_LINK_H_
--- a/src/proxy/fleet/settings.cpp
+++ b/src/proxy/membership/settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/fleet/settings.h"
+#include "proxy/membership/settings.h"
 
 #include "peers/transport.h"
 
--- a/src/proxy/fleet/settings.h
+++ b/src/proxy/membership/settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The keys of `[fleet]` in the operator's file: whether and how this proxy talks to others.
-#ifndef COPPERPOINT_PROXY_FLEET_SETTINGS_H_
-#define COPPERPOINT_PROXY_FLEET_SETTINGS_H_
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_H_
 
 #include <string>
 #include <vector>
@@ -27,4 +27,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_FLEET_SETTINGS_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_H_
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -165,12 +165,12 @@
   if (!fleet_) return;
   switch (lifecycle_.state()) {
     case Lifecycle::State::kStarting:
-      return fleet_->SetState(view::State::kStarting);
+      return fleet_->SetState(membership::State::kStarting);
     case Lifecycle::State::kReady:
       fleet_->Ready();
-      return fleet_->SetState(view::State::kServing);
+      return fleet_->SetState(membership::State::kServing);
     case Lifecycle::State::kDrained:
-      return fleet_->SetState(view::State::kDraining);
+      return fleet_->SetState(membership::State::kDraining);
     case Lifecycle::State::kStopping:
       return;  // it has left
   }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -18,17 +18,17 @@
 #include <vector>
 
 #include "copperpoint/balancer.h"
+#include "proxy/admin/admin_server.h"
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
 #include "proxy/control/disabled.h"
 #include "proxy/control/handover.h"
 #include "proxy/control/lifecycle.h"
-#include "proxy/control/operator.h"
-#include "proxy/data/backends.h"
-#include "proxy/data/clients.h"
 #include "proxy/discovery/discovery.h"
 #include "proxy/discovery/members.h"
-#include "proxy/fleet/host.h"
+#include "proxy/downstream/clients.h"
+#include "proxy/membership/host.h"
+#include "proxy/upstream/backends.h"
 
 namespace copperpoint::proxy {
 
--- a/src/proxy/data/backends.cpp
+++ b/src/proxy/upstream/backends.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/data/backends.h"
+#include "proxy/upstream/backends.h"
 
 #include <algorithm>
 #include <array>
@@ -18,7 +18,7 @@
 
 #include "log/log.h"
 #include "proxy/clock.h"
-#include "proxy/data/outcome.h"
+#include "proxy/upstream/outcome.h"
 
 namespace copperpoint::proxy {
 namespace {
--- a/src/proxy/data/backends.h
+++ b/src/proxy/upstream/backends.h
@@ -2,8 +2,8 @@
 //
 // Attempts at backends and the pool of connections that carries them. It decides nothing: each Send is one
 // attempt on one connection and ends in exactly one result.
-#ifndef COPPERPOINT_PROXY_DATA_BACKENDS_H_
-#define COPPERPOINT_PROXY_DATA_BACKENDS_H_
+#ifndef COPPERPOINT_PROXY_UPSTREAM_BACKENDS_H_
+#define COPPERPOINT_PROXY_UPSTREAM_BACKENDS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "copperpoint/balancer.h"
-#include "proxy/data/framing.h"
+#include "proxy/http/framing.h"
 
 namespace copperpoint::proxy {
 
@@ -101,4 +101,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DATA_BACKENDS_H_
+#endif  // COPPERPOINT_PROXY_UPSTREAM_BACKENDS_H_
--- a/src/proxy/data/outcome.cpp
+++ b/src/proxy/upstream/outcome.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/data/outcome.h"
+#include "proxy/upstream/outcome.h"
 
 namespace copperpoint::proxy {
 
--- a/src/proxy/data/outcome.h
+++ b/src/proxy/upstream/outcome.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a backend's whole answer says of its attempt.
-#ifndef COPPERPOINT_PROXY_DATA_OUTCOME_H_
-#define COPPERPOINT_PROXY_DATA_OUTCOME_H_
+#ifndef COPPERPOINT_PROXY_UPSTREAM_OUTCOME_H_
+#define COPPERPOINT_PROXY_UPSTREAM_OUTCOME_H_
 
 #include "copperpoint/balancer.h"
-#include "proxy/data/framing.h"
+#include "proxy/http/framing.h"
 
 namespace copperpoint::proxy {
 
@@ -13,4 +13,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DATA_OUTCOME_H_
+#endif  // COPPERPOINT_PROXY_UPSTREAM_OUTCOME_H_
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "config/schema.h"
-#include "view/options.h"
+#include "membership/options.h"
 
 namespace copperpoint::rollout {
 
-using view::Time;
+using membership::Time;
 
 struct Stage {
   // How many members have changed when it is over: the most of these three.
--- a/src/lab/core/queue.h
+++ b/src/simulation/core/queue.h
@@ -5,15 +5,15 @@
 // Order: by time, then by rank, then by the order of Push. The ranks settle what happens first within one
 // microsecond: news and faults, then what a backend sends, then what a client sends, then time-outs. So an
 // answer that arrives in the microsecond of its time-out is an answer.
-#ifndef COPPERPOINT_LAB_CORE_QUEUE_H_
-#define COPPERPOINT_LAB_CORE_QUEUE_H_
+#ifndef COPPERPOINT_SIMULATION_CORE_QUEUE_H_
+#define COPPERPOINT_SIMULATION_CORE_QUEUE_H_
 
 #include <algorithm>
 #include <boost/heap/d_ary_heap.hpp>
 #include <cstdint>
 #include <limits>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 using Micros = std::int64_t;
 constexpr Micros kNeverMicros = std::numeric_limits<Micros>::max();
@@ -64,6 +64,6 @@
   std::uint64_t pushed_ = 0, taken_ = 0;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_CORE_QUEUE_H_
+#endif  // COPPERPOINT_SIMULATION_CORE_QUEUE_H_
--- a/src/lab/core/random.h
+++ b/src/simulation/core/random.h
@@ -2,8 +2,8 @@
 //
 // Random streams: one for each part of the world, so that what one part draws does not move another's draws.
 // Boost's engines and distributions give the same numbers on every platform.
-#ifndef COPPERPOINT_LAB_CORE_RANDOM_H_
-#define COPPERPOINT_LAB_CORE_RANDOM_H_
+#ifndef COPPERPOINT_SIMULATION_CORE_RANDOM_H_
+#define COPPERPOINT_SIMULATION_CORE_RANDOM_H_
 
 #include <xxhash.h>
 
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Random {
  public:
@@ -65,6 +65,6 @@
   return weights;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_CORE_RANDOM_H_
+#endif  // COPPERPOINT_SIMULATION_CORE_RANDOM_H_
--- a/src/lab/policies/gates.cpp
+++ b/src/simulation/policies/gates.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/policies/gates.h"
+#include "simulation/policies/gates.h"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 // How long answers waited: the time beyond what their work takes at the best, which is learnt as the least
@@ -172,4 +172,4 @@
 
 std::vector<std::string> GateNames() { return {"gradient", "codel", "dagor", "breakwater"}; }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/policies/gates.h
+++ b/src/simulation/policies/gates.h
@@ -3,8 +3,8 @@
 // Ways to admit requests under overload, each from its published description, to be put before a rival's
 // pick. A gate sees arrivals and answers of one proxy and decides who is refused on arrival. What a request
 // waited in queues is taken as its time beyond the least that its work took of late.
-#ifndef COPPERPOINT_LAB_POLICIES_GATES_H_
-#define COPPERPOINT_LAB_POLICIES_GATES_H_
+#ifndef COPPERPOINT_SIMULATION_POLICIES_GATES_H_
+#define COPPERPOINT_SIMULATION_POLICIES_GATES_H_
 
 #include <cstdint>
 #include <memory>
@@ -13,7 +13,7 @@
 
 #include "copperpoint/balancer.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Gate {
  public:
@@ -36,6 +36,6 @@
 std::unique_ptr<Gate> MakeGate(const std::string& name, const Settings& settings);
 std::vector<std::string> GateNames();
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_POLICIES_GATES_H_
+#endif  // COPPERPOINT_SIMULATION_POLICIES_GATES_H_
--- a/src/lab/policies/pickers.cpp
+++ b/src/simulation/policies/pickers.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/policies/pickers.h"
+#include "simulation/policies/pickers.h"
 
 #include <algorithm>
 #include <cmath>
 #include <deque>
 #include <map>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 bool Among(const std::vector<int>& tried, int index) {
@@ -298,4 +298,4 @@
   return names;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/policies/pickers.h
+++ b/src/simulation/policies/pickers.h
@@ -2,17 +2,17 @@
 //
 // How rivals choose a backend: each from its published description. They know their own proxy's traffic
 // only. Repeats are not theirs: see repeater.h.
-#ifndef COPPERPOINT_LAB_POLICIES_PICKERS_H_
-#define COPPERPOINT_LAB_POLICIES_PICKERS_H_
+#ifndef COPPERPOINT_SIMULATION_POLICIES_PICKERS_H_
+#define COPPERPOINT_SIMULATION_POLICIES_PICKERS_H_
 
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "lab/core/random.h"
-#include "lab/policies/policy.h"
+#include "simulation/core/random.h"
+#include "simulation/policies/policy.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // A backend as a rival sees it.
 struct Candidate {
@@ -40,6 +40,6 @@
                                    std::function<void(int)> probe);
 std::vector<std::string> PickerNames();
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_POLICIES_PICKERS_H_
+#endif  // COPPERPOINT_SIMULATION_POLICIES_PICKERS_H_
--- a/src/lab/policies/policies.cpp
+++ b/src/simulation/policies/policies.cpp
@@ -7,11 +7,11 @@
 #include <unordered_map>
 #include <utility>
 
-#include "lab/policies/gates.h"
-#include "lab/policies/pickers.h"
-#include "lab/policies/policy.h"
+#include "simulation/policies/gates.h"
+#include "simulation/policies/pickers.h"
+#include "simulation/policies/policy.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 class Ours : public Policy {
@@ -274,4 +274,4 @@
 
 std::vector<std::string> RivalNames() { return PickerNames(); }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/policies/policy.h
+++ b/src/simulation/policies/policy.h
@@ -2,8 +2,8 @@
 //
 // What the emulator hosts in each proxy: the program's own decision module or a rival, behind the module's
 // own events and actions. A policy hears only what its proxy hears; the oracle alone is given more.
-#ifndef COPPERPOINT_LAB_POLICIES_POLICY_H_
-#define COPPERPOINT_LAB_POLICIES_POLICY_H_
+#ifndef COPPERPOINT_SIMULATION_POLICIES_POLICY_H_
+#define COPPERPOINT_SIMULATION_POLICIES_POLICY_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 
 #include "copperpoint/balancer.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Policy {
  public:
@@ -44,6 +44,6 @@
 std::unique_ptr<Policy> MakePolicy(const std::string& name, PolicyContext context);
 std::vector<std::string> RivalNames();  // without the suffixes
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_POLICIES_POLICY_H_
+#endif  // COPPERPOINT_SIMULATION_POLICIES_POLICY_H_
--- a/src/lab/report/metrics.cpp
+++ b/src/simulation/report/metrics.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/report/metrics.h"
+#include "simulation/report/metrics.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kLeastMs = 0.01, kMostMs = 1e6;
@@ -173,4 +173,4 @@
   return json;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/report/metrics.h
+++ b/src/simulation/report/metrics.h
@@ -2,19 +2,19 @@
 //
 // What a run is worth and how long its answers took. Worth counts by work: a request's class worth times its
 // work, less where its account is beyond its share. A client's repeats belong to its first try.
-#ifndef COPPERPOINT_LAB_REPORT_METRICS_H_
-#define COPPERPOINT_LAB_REPORT_METRICS_H_
+#ifndef COPPERPOINT_SIMULATION_REPORT_METRICS_H_
+#define COPPERPOINT_SIMULATION_REPORT_METRICS_H_
 
 #include <boost/histogram.hpp>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "lab/core/queue.h"
-#include "lab/report/recovery.h"
-#include "lab/scenario/scenario.h"
+#include "simulation/core/queue.h"
+#include "simulation/report/recovery.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // Latencies from 10 us to 1000 s, to about 1%.
 class Latency {
@@ -85,6 +85,6 @@
   Latency latency_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_REPORT_METRICS_H_
+#endif  // COPPERPOINT_SIMULATION_REPORT_METRICS_H_
--- a/src/lab/report/plot.cpp
+++ b/src/simulation/report/plot.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/report/plot.h"
+#include "simulation/report/plot.h"
 
 #include <fmt/format.h>
 
@@ -17,7 +17,7 @@
 #include <stdexcept>
 #include <tuple>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 namespace fs = std::filesystem;
@@ -350,4 +350,4 @@
   return path.string();
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/report/plot.h
+++ b/src/simulation/report/plot.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Pictures of results: SVG by gnuplot, and one HTML page that holds them all and needs nothing else.
-#ifndef COPPERPOINT_LAB_REPORT_PLOT_H_
-#define COPPERPOINT_LAB_REPORT_PLOT_H_
+#ifndef COPPERPOINT_SIMULATION_REPORT_PLOT_H_
+#define COPPERPOINT_SIMULATION_REPORT_PLOT_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // A curve over x; points of one curve are joined.
 struct Curve {
@@ -44,6 +44,6 @@
 std::string WriteCharts(const std::vector<Chart>& charts, const std::string& title, const std::string& table,
                         const std::string& folder);
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_REPORT_PLOT_H_
+#endif  // COPPERPOINT_SIMULATION_REPORT_PLOT_H_
--- a/src/lab/report/proxy_logs.cpp
+++ b/src/simulation/report/proxy_logs.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/report/proxy_logs.h"
+#include "simulation/report/proxy_logs.h"
 
 #include <chrono>
 #include <filesystem>
 #include <stdexcept>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 ProxyLogs::ProxyLogs(const std::string& folder, log::Format format, std::size_t proxies) : format_(format) {
   std::error_code ignored;  // what could not be made cannot be written to
@@ -24,4 +24,4 @@
   files_[proxy] << log::FormatLine(format_, at, log::Level::kDebug, event, fields) << '\n';
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/report/proxy_logs.h
+++ b/src/simulation/report/proxy_logs.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The logs that the emulated proxies would have written, a file each, for `copperpoint fleet count`.
-#ifndef COPPERPOINT_LAB_REPORT_PROXY_LOGS_H_
-#define COPPERPOINT_LAB_REPORT_PROXY_LOGS_H_
+#ifndef COPPERPOINT_SIMULATION_REPORT_PROXY_LOGS_H_
+#define COPPERPOINT_SIMULATION_REPORT_PROXY_LOGS_H_
 
 #include <cstdint>
 #include <fstream>
@@ -13,7 +13,7 @@
 
 #include "log/log.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class ProxyLogs {
  public:
@@ -29,6 +29,6 @@
   std::vector<std::ofstream> files_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_REPORT_PROXY_LOGS_H_
+#endif  // COPPERPOINT_SIMULATION_REPORT_PROXY_LOGS_H_
--- a/src/lab/report/recovery.cpp
+++ b/src/simulation/report/recovery.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/report/recovery.h"
+#include "simulation/report/recovery.h"
 
 #include <algorithm>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 double Share(const std::vector<Stretch>& line, double from_s, double to_s) {
@@ -40,4 +40,4 @@
   return r;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/report/recovery.h
+++ b/src/simulation/report/recovery.h
@@ -2,15 +2,15 @@
 //
 // How service went through a trouble and came back: goodput before, meanwhile, and right after, and how long
 // after the trouble's end it took to be as good as before.
-#ifndef COPPERPOINT_LAB_REPORT_RECOVERY_H_
-#define COPPERPOINT_LAB_REPORT_RECOVERY_H_
+#ifndef COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
+#define COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
 
 #include <optional>
 #include <vector>
 
-#include "lab/scenario/scenario.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // One window of the time line.
 struct Stretch {
@@ -31,6 +31,6 @@
 // Nothing if there is no trouble that ends early enough to tell, or it begins before policies have learnt.
 std::optional<Recovery> RecoveryOf(const Scenario& scenario, const std::vector<Stretch>& line);
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_REPORT_RECOVERY_H_
+#endif  // COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
--- a/src/lab/run/compare.cpp
+++ b/src/simulation/run/compare.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/run/compare.h"
+#include "simulation/run/compare.h"
 
 #include <fmt/format.h>
 
@@ -10,7 +10,7 @@
 #include <mutex>
 #include <thread>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 std::string Row(const nlohmann::ordered_json& run, double share) {
@@ -88,4 +88,4 @@
   return comparison;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/run/compare.h
+++ b/src/simulation/run/compare.h
@@ -2,8 +2,8 @@
 //
 // Several policies on the same arrivals, side by side, and a sweep of keys over ranges. Runs go in parallel
 // on threads of their own; results are in the order of the policies or points, whatever finished first.
-#ifndef COPPERPOINT_LAB_RUN_COMPARE_H_
-#define COPPERPOINT_LAB_RUN_COMPARE_H_
+#ifndef COPPERPOINT_SIMULATION_RUN_COMPARE_H_
+#define COPPERPOINT_SIMULATION_RUN_COMPARE_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/run/run.h"
+#include "simulation/run/run.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // Ours, the oracle, and each rival with no repeats, three, and a budget of them.
 std::vector<std::string> AllPolicies();
@@ -33,6 +33,6 @@
 // ended.
 void InParallel(std::size_t n, unsigned threads, const std::function<void(std::size_t)>& job);
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_RUN_COMPARE_H_
+#endif  // COPPERPOINT_SIMULATION_RUN_COMPARE_H_
--- a/src/lab/run/run.cpp
+++ b/src/simulation/run/run.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/run/run.h"
+#include "simulation/run/run.h"
 
 #include <algorithm>
 #include <chrono>
 #include <utility>
 
-#include "lab/world/crowd.h"
-#include "lab/world/fates.h"
-#include "lab/world/news.h"
-#include "lab/world/service.h"
-#include "lab/world/state.h"
-#include "lab/world/views.h"
+#include "simulation/world/crowd.h"
+#include "simulation/world/fates.h"
+#include "simulation/world/news.h"
+#include "simulation/world/service.h"
+#include "simulation/world/state.h"
+#include "simulation/world/views.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 class Runner {
@@ -189,4 +189,4 @@
   return result;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/run/run.h
+++ b/src/simulation/run/run.h
@@ -2,8 +2,8 @@
 //
 // One run: a scenario, a seed and a policy in virtual time. The same three give the same result, to the byte,
 // on any machine and whatever else runs beside it.
-#ifndef COPPERPOINT_LAB_RUN_RUN_H_
-#define COPPERPOINT_LAB_RUN_RUN_H_
+#ifndef COPPERPOINT_SIMULATION_RUN_RUN_H_
+#define COPPERPOINT_SIMULATION_RUN_RUN_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/policies/policy.h"
-#include "lab/scenario/scenario.h"
 #include "log/log.h"
+#include "simulation/policies/policy.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 using MakePolicyFn = std::function<std::unique_ptr<Policy>(const std::string& name, PolicyContext context)>;
 
@@ -44,6 +44,6 @@
 // Run, and where a rule is broken run it once more to tell the story of the request.
 RunResult RunAndTell(const Scenario& scenario, RunOptions options);
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_RUN_RUN_H_
+#endif  // COPPERPOINT_SIMULATION_RUN_RUN_H_
--- a/src/lab/run/sweep.cpp
+++ b/src/simulation/run/sweep.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/run/sweep.h"
+#include "simulation/run/sweep.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -19,11 +19,11 @@
 
 #include "config/edit.h"
 #include "config/read.h"
-#include "lab/report/recovery.h"
-#include "lab/run/compare.h"
-#include "lab/run/run.h"
+#include "simulation/report/recovery.h"
+#include "simulation/run/compare.h"
+#include "simulation/run/run.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 namespace fs = std::filesystem;
@@ -288,4 +288,4 @@
   return table + RecoveryTable(results, policies);
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/run/sweep.h
+++ b/src/simulation/run/sweep.h
@@ -3,8 +3,8 @@
 // A sweep: every combination of the varied keys' values, of policies and of seeds, each a run whose result is
 // a file of its own. A sweep that was killed goes on where it stopped; a file that is torn is noticed by its
 // checksum and done anew.
-#ifndef COPPERPOINT_LAB_RUN_SWEEP_H_
-#define COPPERPOINT_LAB_RUN_SWEEP_H_
+#ifndef COPPERPOINT_SIMULATION_RUN_SWEEP_H_
+#define COPPERPOINT_SIMULATION_RUN_SWEEP_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // "load.rate=100:1000:100" (first, last, step) or "clients.retry=none,fixed". Throws std::invalid_argument.
 struct Varied {
@@ -50,6 +50,6 @@
 // of that time.
 std::string SweepTable(const std::vector<nlohmann::ordered_json>& results);
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_RUN_SWEEP_H_
+#endif  // COPPERPOINT_SIMULATION_RUN_SWEEP_H_
--- a/src/lab/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/scenario/scenario.h"
+#include "simulation/scenario/scenario.h"
 
 #include <algorithm>
 
 #include "config/read.h"
 #include "config/show.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 void Load::Describe(config::Visitor& v) {
   v.Number("rate", rate,
@@ -256,4 +256,4 @@
   return config::ShowReference([&](config::Visitor& v) { defaults.Describe(v); });
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/scenario/scenario.h
+++ b/src/simulation/scenario/scenario.h
@@ -2,8 +2,8 @@
 //
 // A scenario: what is emulated, for how long, and what goes wrong when. Read from TOML (docs/lab.md tells
 // each model); every field is described once, in scenario.cpp, for the reader, the writer and the reference.
-#ifndef COPPERPOINT_LAB_SCENARIO_SCENARIO_H_
-#define COPPERPOINT_LAB_SCENARIO_SCENARIO_H_
+#ifndef COPPERPOINT_SIMULATION_SCENARIO_SCENARIO_H_
+#define COPPERPOINT_SIMULATION_SCENARIO_SCENARIO_H_
 
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
 
 #include "config/schema.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // All times in the file are milliseconds unless the key ends in `_s`.
 
@@ -211,6 +211,6 @@
 // The reference of all keys, in Markdown.
 std::string ScenarioReference();
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_SCENARIO_SCENARIO_H_
+#endif  // COPPERPOINT_SIMULATION_SCENARIO_SCENARIO_H_
--- a/src/lab/world/arrivals.cpp
+++ b/src/simulation/world/arrivals.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/arrivals.h"
+#include "simulation/world/arrivals.h"
 
 #include <algorithm>
 #include <boost/algorithm/string/classification.hpp>
@@ -11,7 +11,7 @@
 
 #include "config/read.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 template <typename Items>
@@ -169,4 +169,4 @@
   return wish;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/arrivals.h
+++ b/src/simulation/world/arrivals.h
@@ -2,19 +2,19 @@
 //
 // What clients wish for and when: drawn ahead of everything else from a stream of its own, so that every
 // policy meets the same wishes. Open loop: nobody waits for an answer before the next wish.
-#ifndef COPPERPOINT_LAB_WORLD_ARRIVALS_H_
-#define COPPERPOINT_LAB_WORLD_ARRIVALS_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_ARRIVALS_H_
+#define COPPERPOINT_SIMULATION_WORLD_ARRIVALS_H_
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "lab/core/queue.h"
-#include "lab/core/random.h"
-#include "lab/scenario/scenario.h"
-#include "lab/world/day.h"
+#include "simulation/core/queue.h"
+#include "simulation/core/random.h"
+#include "simulation/scenario/scenario.h"
+#include "simulation/world/day.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 struct Wish {
   Micros at = 0;
@@ -51,6 +51,6 @@
   double tokens_at_s_ = 0;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_ARRIVALS_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_ARRIVALS_H_
--- a/src/lab/world/backend.cpp
+++ b/src/simulation/world/backend.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/backend.h"
+#include "simulation/world/backend.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kPressSlack = 3;  // mean-sized requests that chance may add to the cold budget
@@ -208,4 +208,4 @@
   return true;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/backend.h
+++ b/src/simulation/world/backend.h
@@ -3,8 +3,8 @@
 // A backend as a queue: slots, a waiting room, crowding, cold start and fall-over, keys that are warm,
 // connections, freezes. It has no clock and schedules nothing: each call says what time it is, and returns
 // when the work that began will end.
-#ifndef COPPERPOINT_LAB_WORLD_BACKEND_H_
-#define COPPERPOINT_LAB_WORLD_BACKEND_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_BACKEND_H_
+#define COPPERPOINT_SIMULATION_WORLD_BACKEND_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -13,10 +13,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/core/queue.h"
-#include "lab/scenario/scenario.h"
+#include "simulation/core/queue.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 struct Job {
   std::uint32_t try_slot = 0;
@@ -117,6 +117,6 @@
   std::deque<Pressed> pressed_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_BACKEND_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_BACKEND_H_
--- a/src/lab/world/crowd.cpp
+++ b/src/simulation/world/crowd.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/crowd.h"
+#include "simulation/world/crowd.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kAtOnceMs = 5;         // until who has no patience comes again
@@ -157,4 +157,4 @@
   return FromMs(ms);
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/crowd.h
+++ b/src/simulation/world/crowd.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Clients and the front that spreads them over the proxies: first tries, what becomes of them, repeats.
-#ifndef COPPERPOINT_LAB_WORLD_CROWD_H_
-#define COPPERPOINT_LAB_WORLD_CROWD_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_CROWD_H_
+#define COPPERPOINT_SIMULATION_WORLD_CROWD_H_
 
 #include <functional>
 #include <optional>
 
-#include "lab/world/state.h"
+#include "simulation/world/state.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 enum class Final { kServed, kRefused, kFailed, kLost };
 
@@ -48,6 +48,6 @@
   std::vector<std::vector<std::uint32_t>> listed_;  // by zone: the proxies that the front believes in
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_CROWD_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_CROWD_H_
--- a/src/lab/world/day.cpp
+++ b/src/simulation/world/day.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/day.h"
+#include "simulation/world/day.h"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 
-#include "lab/core/random.h"
+#include "simulation/core/random.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kLeastSpeed = 0.05;      // of the kind's mean
@@ -122,4 +122,4 @@
   return s;
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/day.h
+++ b/src/simulation/world/day.h
@@ -2,17 +2,17 @@
 //
 // One draw from a scenario: which backends there are and how fast, where the proxies stand, whom each
 // trouble befalls. The same scenario and seed give the same day whatever the policy.
-#ifndef COPPERPOINT_LAB_WORLD_DAY_H_
-#define COPPERPOINT_LAB_WORLD_DAY_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_DAY_H_
+#define COPPERPOINT_SIMULATION_WORLD_DAY_H_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <vector>
 
 #include "copperpoint/balancer.h"
-#include "lab/scenario/scenario.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 struct DrawnBackend {
   int machine = 0, zone = 0, cell = 0;
@@ -34,6 +34,6 @@
 // What a proxy of this scenario is told of it.
 Settings SettingsOf(const Scenario& scenario, const Day& day, int proxy);
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_DAY_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_DAY_H_
--- a/src/lab/world/fates.cpp
+++ b/src/simulation/world/fates.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/fates.h"
+#include "simulation/world/fates.h"
 
 #include <algorithm>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kRestartMs = 2000;     // of a process that crashed or is replaced
@@ -191,4 +191,4 @@
   s_.queue.Push(s_.now() + FromMs(kFrontLeavesMs), Rank::kNews, kFrontNotices, proxy, 1);
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/fates.h
+++ b/src/simulation/world/fates.h
@@ -2,16 +2,16 @@
 //
 // What goes wrong, and what operators do: the troubles of the scenario, carried out. Troubles may overlap: a
 // machine that is silent stays so until its own trouble ends, and one that is down is not frozen.
-#ifndef COPPERPOINT_LAB_WORLD_FATES_H_
-#define COPPERPOINT_LAB_WORLD_FATES_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_FATES_H_
+#define COPPERPOINT_SIMULATION_WORLD_FATES_H_
 
-#include "lab/world/crowd.h"
-#include "lab/world/news.h"
-#include "lab/world/service.h"
-#include "lab/world/state.h"
-#include "lab/world/views.h"
+#include "simulation/world/crowd.h"
+#include "simulation/world/news.h"
+#include "simulation/world/service.h"
+#include "simulation/world/state.h"
+#include "simulation/world/views.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Fates {
  public:
@@ -44,6 +44,6 @@
   Views& views_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_FATES_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_FATES_H_
--- a/src/lab/world/network.h
+++ b/src/simulation/world/network.h
@@ -2,17 +2,17 @@
 //
 // Delays between the zones. What is lost is sent again after a while, as TCP does; what meets a cut arrives
 // when the cut is over, if anyone still waits for it then.
-#ifndef COPPERPOINT_LAB_WORLD_NETWORK_H_
-#define COPPERPOINT_LAB_WORLD_NETWORK_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_NETWORK_H_
+#define COPPERPOINT_SIMULATION_WORLD_NETWORK_H_
 
 #include <algorithm>
 #include <vector>
 
-#include "lab/core/queue.h"
-#include "lab/core/random.h"
-#include "lab/scenario/scenario.h"
+#include "simulation/core/queue.h"
+#include "simulation/core/random.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Network {
  public:
@@ -53,6 +53,6 @@
   Random random_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_NETWORK_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_NETWORK_H_
--- a/src/lab/world/news.cpp
+++ b/src/simulation/world/news.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/news.h"
+#include "simulation/world/news.h"
 
 #include <algorithm>
 #include <set>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 News::News(State& state, std::uint64_t seed, std::function<void(std::uint32_t, Event)> feed)
     : s_(state), random_(seed, "news"), feed_(std::move(feed)), known_(state.backends.size()) {}
@@ -164,4 +164,4 @@
   }
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/news.h
+++ b/src/simulation/world/news.h
@@ -2,15 +2,15 @@
 //
 // Discovery: one service that learns of changes late, tells them to the proxies later still, answers calls
 // one after the other, and can be down.
-#ifndef COPPERPOINT_LAB_WORLD_NEWS_H_
-#define COPPERPOINT_LAB_WORLD_NEWS_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_NEWS_H_
+#define COPPERPOINT_SIMULATION_WORLD_NEWS_H_
 
 #include <functional>
 #include <vector>
 
-#include "lab/world/state.h"
+#include "simulation/world/state.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class News {
  public:
@@ -60,6 +60,6 @@
   bool down_ = false;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_NEWS_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_NEWS_H_
--- a/src/lab/world/observer.cpp
+++ b/src/simulation/world/observer.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/observer.h"
+#include "simulation/world/observer.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kGuiltyShare = 2.0 / 3;  // of the work that pushed a cold backend over
@@ -74,4 +74,4 @@
                      100 * told_share)});
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/observer.h
+++ b/src/simulation/world/observer.h
@@ -6,17 +6,17 @@
 //   2. what is unsafe to repeat is not sent again, nor refused, once it may have run;
 //   3. nothing new goes to a backend later than the grace after the news that it drains or is gone;
 //   4. no cold backend is pushed over by proxies that knew of its start.
-#ifndef COPPERPOINT_LAB_WORLD_OBSERVER_H_
-#define COPPERPOINT_LAB_WORLD_OBSERVER_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_OBSERVER_H_
+#define COPPERPOINT_SIMULATION_WORLD_OBSERVER_H_
 
 #include <boost/unordered/unordered_flat_map.hpp>
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "lab/core/queue.h"
+#include "simulation/core/queue.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 enum class Rule : int { kOneAnswer = 1, kRunOnce = 2, kDrain = 3, kCold = 4 };
 
@@ -65,6 +65,6 @@
   std::int64_t count_ = 0;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_OBSERVER_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_OBSERVER_H_
--- a/src/lab/world/recognition.h
+++ b/src/simulation/world/recognition.h
@@ -2,15 +2,15 @@
 //
 // How well repeats are recognised by what clients say the same of in each try: what overload::Repeats makes
 // of one proxy's requests, held against the truth, which only the emulator knows. It changes nothing.
-#ifndef COPPERPOINT_LAB_WORLD_RECOGNITION_H_
-#define COPPERPOINT_LAB_WORLD_RECOGNITION_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_RECOGNITION_H_
+#define COPPERPOINT_SIMULATION_WORLD_RECOGNITION_H_
 
 #include <cstdint>
 
-#include "lab/report/metrics.h"
 #include "overload/repeats.h"
+#include "simulation/report/metrics.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // What is known of one try; held with it.
 struct Recognised {
@@ -41,6 +41,6 @@
   overload::Repeats repeats_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_RECOGNITION_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_RECOGNITION_H_
--- a/src/lab/world/service.cpp
+++ b/src/simulation/world/service.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/service.h"
+#include "simulation/world/service.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 #include "decision/words.h"
 #include "overload/repeats.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kProbeWorkMs = 0.03;  // on a core of speed 1, beside the queue
@@ -579,4 +579,4 @@
   return 2 * there + b.DoneIn(s_.now(), work, key) / std::max(0.2, cold);
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/service.h
+++ b/src/simulation/world/service.h
@@ -2,17 +2,17 @@
 //
 // Requests and their attempts: what a proxy's policy decides is carried out here as the real proxy does, over
 // connections and the network, at the backends and back.
-#ifndef COPPERPOINT_LAB_WORLD_SERVICE_H_
-#define COPPERPOINT_LAB_WORLD_SERVICE_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_SERVICE_H_
+#define COPPERPOINT_SIMULATION_WORLD_SERVICE_H_
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "lab/world/crowd.h"
-#include "lab/world/state.h"
+#include "simulation/world/crowd.h"
+#include "simulation/world/state.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Service : public Truth {
  public:
@@ -101,6 +101,6 @@
   double lost_answers_ = 0, resets_ = 0;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_SERVICE_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_SERVICE_H_
--- a/src/lab/world/state.cpp
+++ b/src/simulation/world/state.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/state.h"
+#include "simulation/world/state.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 State::State(const Scenario& s, std::uint64_t seed)
     : scenario(s),
@@ -38,4 +38,4 @@
   if (--tries[slot].holds == 0) free_tries.push_back(slot);
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/state.h
+++ b/src/simulation/world/state.h
@@ -3,8 +3,8 @@
 // What the parts of a run share: the day, the queue of what is due, backends, proxies and requests. The parts
 // are Crowd (clients), Service (requests and attempts), News (discovery) and Fates (troubles); Run drives
 // them. Each part names its own kinds of what is due, below.
-#ifndef COPPERPOINT_LAB_WORLD_STATE_H_
-#define COPPERPOINT_LAB_WORLD_STATE_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_STATE_H_
+#define COPPERPOINT_SIMULATION_WORLD_STATE_H_
 
 #include <fmt/format.h>
 
@@ -17,19 +17,19 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/core/queue.h"
-#include "lab/core/random.h"
-#include "lab/policies/policy.h"
-#include "lab/report/metrics.h"
-#include "lab/report/proxy_logs.h"
-#include "lab/world/arrivals.h"
-#include "lab/world/backend.h"
-#include "lab/world/day.h"
-#include "lab/world/network.h"
-#include "lab/world/observer.h"
-#include "lab/world/recognition.h"
+#include "simulation/core/queue.h"
+#include "simulation/core/random.h"
+#include "simulation/policies/policy.h"
+#include "simulation/report/metrics.h"
+#include "simulation/report/proxy_logs.h"
+#include "simulation/world/arrivals.h"
+#include "simulation/world/backend.h"
+#include "simulation/world/day.h"
+#include "simulation/world/network.h"
+#include "simulation/world/observer.h"
+#include "simulation/world/recognition.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // a and b of a Due: what the comment says.
 enum DueKind : std::uint32_t {
@@ -162,6 +162,6 @@
   static constexpr Duration kOrigin{1e9};  // of the policies' clock: an origin of 0 would mean long ago
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_STATE_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_STATE_H_
--- a/src/lab/world/views.cpp
+++ b/src/simulation/world/views.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/views.h"
+#include "simulation/world/views.h"
 
 #include <string>
 
-#include "subsets/position.h"
+#include "subsetting/position.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 constexpr double kSampleMs = 1000;
@@ -31,8 +31,9 @@
 }
 
 void Views::OnTold() {
-  const auto keep = std::chrono::duration_cast<std::chrono::microseconds>(subsets::Positions::Options().keep);
-  std::vector<subsets::Peer> peers;
+  const auto keep =
+      std::chrono::duration_cast<std::chrono::microseconds>(subsetting::Positions::Options().keep);
+  std::vector<subsetting::Peer> peers;
   for (std::uint32_t p = 0; p < seen_.size(); ++p) {
     Seen& seen = seen_[p];
     if (Serves(p)) {
@@ -46,7 +47,7 @@
   }
   for (std::uint32_t p = 0; p < seen_.size(); ++p) {
     if (!s_.proxies[p].alive) continue;
-    const auto turn = subsets::TurnAmong(peers, fmt::format("proxy-{}", p));
+    const auto turn = subsetting::TurnAmong(peers, fmt::format("proxy-{}", p));
     if (!turn || (said_[p].life == s_.proxies[p].life && said_[p].turn == *turn)) continue;
     said_[p] = {s_.proxies[p].life, *turn};
     feed_(p, SubsetPosition{*turn});
@@ -67,4 +68,4 @@
     s_.queue.Push(s_.now() + FromMs(kSampleMs), Rank::kNews, kSample, 0, 0);
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/src/lab/world/views.h
+++ b/src/simulation/world/views.h
@@ -3,16 +3,16 @@
 // What proxies know of each other where they keep a view (docs/view.md), as far as the service feels it:
 // their positions among those of their zone, told some time after each change. The protocol itself is played
 // by `copperpoint rig`. And how evenly the proxies' connections lie on the backends.
-#ifndef COPPERPOINT_LAB_WORLD_VIEWS_H_
-#define COPPERPOINT_LAB_WORLD_VIEWS_H_
+#ifndef COPPERPOINT_SIMULATION_WORLD_VIEWS_H_
+#define COPPERPOINT_SIMULATION_WORLD_VIEWS_H_
 
 #include <functional>
 #include <optional>
 #include <vector>
 
-#include "lab/world/state.h"
+#include "simulation/world/state.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 class Views {
  public:
@@ -41,6 +41,6 @@
   std::vector<Said> said_;
 };
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
-#endif  // COPPERPOINT_LAB_WORLD_VIEWS_H_
+#endif  // COPPERPOINT_SIMULATION_WORLD_VIEWS_H_
--- a/src/subsets/position.cpp
+++ b/src/subsetting/position.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsets/position.h"
+#include "subsetting/position.h"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-namespace copperpoint::subsets {
+namespace copperpoint::subsetting {
 
 std::optional<double> TurnAmong(const std::vector<Peer>& peers, const std::string& name) {
   const auto me = std::find_if(peers.begin(), peers.end(), [&](const Peer& p) { return p.name == name; });
@@ -30,13 +30,13 @@
   return (rank + zone / static_cast<double>(zones.size())) / of_zone;
 }
 
-bool Positions::Serves(const view::Members& members, int at) {
+bool Positions::Serves(const membership::Members& members, int at) {
   // One that drains takes no more clients: it keeps its place like one that went.
-  return at != view::Members::kNone && members[at].living() &&
-         members[at].record->state() <= static_cast<std::uint32_t>(view::State::kServing);
+  return at != membership::Members::kNone && members[at].living() &&
+         members[at].record->state() <= static_cast<std::uint32_t>(membership::State::kServing);
 }
 
-std::optional<double> Positions::Look(const view::View& view, view::Time now) {
+std::optional<double> Positions::Look(const membership::View& view, membership::Time now) {
   const bool changed = view.members().hash() != seen_;
   if (!view.established() || view.silent() || (!changed && now < next_)) return std::nullopt;
   seen_ = view.members().hash();
@@ -59,11 +59,11 @@
   return turn_ = turn;
 }
 
-void Positions::CountPlaces(const view::Members& members, view::Time now) {
+void Positions::CountPlaces(const membership::Members& members, membership::Time now) {
   for (const int at : members.living()) {
     if (Serves(members, at)) places_[members[at].record->name()] = {members[at].record->zone(), kHere};
   }
-  next_ = view::Time::max();
+  next_ = membership::Time::max();
   for (auto of = places_.begin(); of != places_.end();) {
     auto& [name, place] = *of;
     if (place.until == kHere && !Serves(members, members.Find(name))) place.until = now + options_.keep;
@@ -72,4 +72,4 @@
   }
 }
 
-}  // namespace copperpoint::subsets
+}  // namespace copperpoint::subsetting
--- a/src/subsets/position.h
+++ b/src/subsetting/position.h
@@ -6,17 +6,17 @@
 //
 // What it rests on: positions only make connections even. Two proxies that disagree, or one that goes by an
 // old view, hold subsets as wide and as healthy as ever.
-#ifndef COPPERPOINT_SUBSETS_POSITION_H_
-#define COPPERPOINT_SUBSETS_POSITION_H_
+#ifndef COPPERPOINT_SUBSETTING_POSITION_H_
+#define COPPERPOINT_SUBSETTING_POSITION_H_
 
 #include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include "view/view.h"
+#include "membership/view.h"
 
-namespace copperpoint::subsets {
+namespace copperpoint::subsetting {
 
 struct Peer {
   std::string name, zone;
@@ -31,10 +31,10 @@
 class Positions {
  public:
   struct Options {
-    view::Time hold = std::chrono::seconds(2);       // between two moves
-    view::Time patience = std::chrono::seconds(10);  // a view that will not settle is taken as it is
+    membership::Time hold = std::chrono::seconds(2);       // between two moves
+    membership::Time patience = std::chrono::seconds(10);  // a view that will not settle is taken as it is
     // One that went keeps its place for so long: a restart, as in a rolling change, moves nobody.
-    view::Time keep = std::chrono::seconds(10);
+    membership::Time keep = std::chrono::seconds(10);
   };
 
   Positions() = default;
@@ -42,26 +42,26 @@
 
   // The new position, if it is another one than was said last. To be called after anything happened to the
   // view, and at next(). `now` is the host's.
-  std::optional<double> Look(const view::View& view, view::Time now);
-  view::Time next() const { return next_; }
+  std::optional<double> Look(const membership::View& view, membership::Time now);
+  membership::Time next() const { return next_; }
 
  private:
-  static constexpr view::Time kHere = view::Time::max();
+  static constexpr membership::Time kHere = membership::Time::max();
   struct Place {
     std::string zone;
-    view::Time until = kHere;  // of one that went: it is given up then
+    membership::Time until = kHere;  // of one that went: it is given up then
   };
-  static bool Serves(const view::Members& members, int at);
-  void CountPlaces(const view::Members& members, view::Time now);
+  static bool Serves(const membership::Members& members, int at);
+  void CountPlaces(const membership::Members& members, membership::Time now);
 
   Options options_;
   std::unordered_map<std::string, Place> places_;
   std::uint64_t seen_ = 0;  // the view's hash at the last look
   bool pending_ = false;    // something changed, and the position was not looked at anew since
-  view::Time changed_{}, moved_{}, next_ = view::Time::max();
+  membership::Time changed_{}, moved_{}, next_ = membership::Time::max();
   std::optional<double> turn_;
 };
 
-}  // namespace copperpoint::subsets
+}  // namespace copperpoint::subsetting
 
-#endif  // COPPERPOINT_SUBSETS_POSITION_H_
+#endif  // COPPERPOINT_SUBSETTING_POSITION_H_
--- a/src/keep/host.cpp
+++ b/src/supervisor/host.cpp
@@ -23,12 +23,12 @@
 #include <memory>
 #include <system_error>
 
-#include "keep/settings.h"
 #include "log/log.h"
+#include "supervisor/settings.h"
 
 extern char** environ;
 
-namespace copperpoint::keep {
+namespace copperpoint::supervisor {
 namespace {
 
 namespace asio = boost::asio;
@@ -239,4 +239,4 @@
 
 int Keep(const Settings& settings) { return Host(settings).Run(); }
 
-}  // namespace copperpoint::keep
+}  // namespace copperpoint::supervisor
--- a/src/keep/keeper.cpp
+++ b/src/supervisor/keeper.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "keep/keeper.h"
+#include "supervisor/keeper.h"
 
 #include <algorithm>
 
-namespace copperpoint::keep {
+namespace copperpoint::supervisor {
 
 Keeper::Keeper(const Limits& limits, std::string version) : limits_(limits), version_(std::move(version)) {}
 
@@ -154,4 +154,4 @@
   return due;
 }
 
-}  // namespace copperpoint::keep
+}  // namespace copperpoint::supervisor
--- a/src/keep/keeper.h
+++ b/src/supervisor/keeper.h
@@ -4,8 +4,8 @@
 // ends by itself; another version is brought up beside it and takes over its listener; what does not come up,
 // ends again and again, or never hears its fleet is taken back. No I/O, no clock: what happens in, what to do
 // out.
-#ifndef COPPERPOINT_KEEP_KEEPER_H_
-#define COPPERPOINT_KEEP_KEEPER_H_
+#ifndef COPPERPOINT_SUPERVISOR_KEEPER_H_
+#define COPPERPOINT_SUPERVISOR_KEEPER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-namespace copperpoint::keep {
+namespace copperpoint::supervisor {
 
 using Time = std::chrono::milliseconds;  // since an origin of the host's own
 
@@ -85,6 +85,6 @@
   Output output_;
 };
 
-}  // namespace copperpoint::keep
+}  // namespace copperpoint::supervisor
 
-#endif  // COPPERPOINT_KEEP_KEEPER_H_
+#endif  // COPPERPOINT_SUPERVISOR_KEEPER_H_
--- a/src/keep/settings.cpp
+++ b/src/supervisor/settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "keep/settings.h"
+#include "supervisor/settings.h"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 #include "config/read.h"
 #include "log/log.h"
 
-namespace copperpoint::keep {
+namespace copperpoint::supervisor {
 
 void Version::Describe(config::Visitor& v) {
   v.Word("name", name, {}, {.text = "as a plan names it"});
@@ -54,4 +54,4 @@
   return log::Hex(XXH64(program.data(), program.size(), XXH64(settings.data(), settings.size(), 0)));
 }
 
-}  // namespace copperpoint::keep
+}  // namespace copperpoint::supervisor
--- a/src/keep/settings.h
+++ b/src/supervisor/settings.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The keeper's file.
-#ifndef COPPERPOINT_KEEP_SETTINGS_H_
-#define COPPERPOINT_KEEP_SETTINGS_H_
+#ifndef COPPERPOINT_SUPERVISOR_SETTINGS_H_
+#define COPPERPOINT_SUPERVISOR_SETTINGS_H_
 
 #include <string>
 #include <vector>
 
 #include "config/schema.h"
-#include "keep/keeper.h"
+#include "supervisor/keeper.h"
 
-namespace copperpoint::keep {
+namespace copperpoint::supervisor {
 
 // A program with the operator's file that it runs with.
 struct Version {
@@ -38,6 +38,6 @@
 // Runs until the child has ended for good or a signal ends both; returns the exit status.
 int Keep(const Settings& settings);
 
-}  // namespace copperpoint::keep
+}  // namespace copperpoint::supervisor
 
-#endif  // COPPERPOINT_KEEP_SETTINGS_H_
+#endif  // COPPERPOINT_SUPERVISOR_SETTINGS_H_
--- a/tests/decision/recorded_replies_test.cpp
+++ b/tests/decision/recorded_replies_test.cpp
@@ -20,8 +20,8 @@
 
 #include "adapter/codec.h"
 #include "copperpoint/balancer.h"
-#include "lab/run/run.h"
-#include "lab/scenario/scenario.h"
+#include "simulation/run/run.h"
+#include "simulation/scenario/scenario.h"
 
 namespace copperpoint {
 namespace {
@@ -33,9 +33,9 @@
 constexpr double kMaxLengthSeconds = 12;  // of a scenario: a test has to end
 
 // Hosts the decision module as the simulator does, and hashes each reply into one sum of all proxies.
-class RecordingPolicy : public lab::Policy {
+class RecordingPolicy : public simulation::Policy {
  public:
-  RecordingPolicy(lab::PolicyContext context, XXH3_state_t* sum)
+  RecordingPolicy(simulation::PolicyContext context, XXH3_state_t* sum)
       : balancer_(std::move(context.settings), context.seed), sum_(sum) {}
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) override {
@@ -55,16 +55,16 @@
 };
 
 std::string HashOfReplies(const std::string& name, std::uint64_t seed) {
-  lab::Scenario scenario = lab::ReadScenario(SOURCE_DIR "/lab/scenarios/" + name + ".toml");
+  simulation::Scenario scenario = simulation::ReadScenario(SOURCE_DIR "/lab/scenarios/" + name + ".toml");
   scenario.length_s = std::min(scenario.length_s, kMaxLengthSeconds);
   const std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> sum(XXH3_createState(), &XXH3_freeState);
   XXH3_64bits_reset(sum.get());
-  lab::RunOptions options;
+  simulation::RunOptions options;
   options.seed = seed;
-  options.make = [&](const std::string&, lab::PolicyContext context) {
+  options.make = [&](const std::string&, simulation::PolicyContext context) {
     return std::make_unique<RecordingPolicy>(std::move(context), sum.get());
   };
-  lab::Run(scenario, options);
+  simulation::Run(scenario, options);
   return std::to_string(XXH3_64bits_digest(sum.get()));
 }
 
--- a/tests/rig/change_test.cpp
+++ b/tests/fault_testing/change_test.cpp
@@ -7,10 +7,10 @@
 
 #include <string>
 
-#include "keep/keeper.h"
 #include "run_program.h"
+#include "supervisor/keeper.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 using testing_support::Finished;
@@ -69,9 +69,9 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
 
-namespace copperpoint::keep {
+namespace copperpoint::supervisor {
 namespace {
 
 struct Play {
@@ -157,4 +157,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::keep
+}  // namespace copperpoint::supervisor
--- a/tests/rig/harmful_outcome.cpp
+++ b/tests/fault_testing/harmful_outcome.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// In place of src/proxy/data/outcome.cpp in the program that is worse, for rolling changes to stop: one
+// In place of src/proxy/upstream/outcome.cpp in the program that is worse, for rolling changes to stop: one
 // request in four fails, whichever backend has answered it.
-#include "proxy/data/outcome.h"
 #include "proxy/discovery/members.h"
+#include "proxy/upstream/outcome.h"
 
 namespace copperpoint::proxy {
 
--- a/tests/rig/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -8,12 +8,12 @@
 #include <nlohmann/json.hpp>
 
 #include "config/read.h"
-#include "rig/plan.h"
-#include "rig/processes/service.h"
-#include "rig/virtual.h"
+#include "fault_testing/plan.h"
+#include "fault_testing/processes/service.h"
+#include "fault_testing/virtual.h"
 #include "run_program.h"
 
-namespace copperpoint::rig {
+namespace copperpoint::fault_testing {
 namespace {
 
 using testing_support::Finished;
@@ -256,4 +256,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::rig
+}  // namespace copperpoint::fault_testing
--- a/tests/fleet/count_test.cpp
+++ b/tests/log_analysis/count_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What is counted over the logs of a fleet, against the emulator's own figures of the same run.
-#include "fleet/count.h"
+#include "log_analysis/count.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -11,7 +11,7 @@
 
 #include "lab_testing.h"
 
-namespace copperpoint::fleet {
+namespace copperpoint::log_analysis {
 namespace {
 
 class Folder {
@@ -26,8 +26,8 @@
 
 // Some of everything: time-outs, resets, errors, failed connections, refusals, restarts, discovery
 // overbooked.
-lab::Scenario Busy() {
-  lab::Scenario s = lab::Plain();
+simulation::Scenario Busy() {
+  simulation::Scenario s = simulation::Plain();
   s.length_s = 8;
   s.load.of_capacity = 1.1;
   s.load.hint_error = 0.2;
@@ -35,7 +35,7 @@
   s.classes[0].work_cv = 0.5;
   s.classes[0].distribution = "lognormal";
   s.classes[0].aim_ms = 200;
-  s.clients.retry = lab::Retry::kFixed;
+  s.clients.retry = simulation::Retry::kFixed;
   s.fleet = {12, 20, 2, 0, 4};
   s.network = {0.5, 0.3, 2, 0.1, 0, 200, 1, 200, 60};
   s.discovery.ask = true;
@@ -45,14 +45,14 @@
   s.machines[0].error_rate = 0.02;
   s.machines[0].slow_start_min_capacity = 0.2;
   s.machines[0].warm_up_s = 5;
-  const auto trouble = [&](lab::TroubleKind kind, double at, double length, double part, double size) {
-    lab::Trouble t;
+  const auto trouble = [&](simulation::TroubleKind kind, double at, double length, double part, double size) {
+    simulation::Trouble t;
     t.kind = kind, t.at_s = at, t.for_s = length, t.part = part, t.size = size;
     s.troubles.push_back(t);
   };
-  trouble(lab::TroubleKind::kVanish, 2, 2, 0.25, 1);
-  trouble(lab::TroubleKind::kRelease, 4, 1, 0.3, 4);
-  trouble(lab::TroubleKind::kDiscoveryDown, 1, 1, 1, 1);
+  trouble(simulation::TroubleKind::kVanish, 2, 2, 0.25, 1);
+  trouble(simulation::TroubleKind::kRelease, 4, 1, 0.3, 4);
+  trouble(simulation::TroubleKind::kDiscoveryDown, 1, 1, 1, 1);
   return s;
 }
 
@@ -76,12 +76,12 @@
 
 TEST_P(CountedRun, EqualsTheEmulatorsOwnFigures) {
   const Folder folder;
-  lab::RunOptions options;
+  simulation::RunOptions options;
   options.logs = folder.path;
   options.log_format = GetParam();
-  const lab::RunResult run = lab::Run(Busy(), options);
+  const simulation::RunResult run = simulation::Run(Busy(), options);
   const Counter counted = CountOf(folder.path);
-  const auto truth = [&](const char* name) { return lab::Count(run, name); };
+  const auto truth = [&](const char* name) { return simulation::Count(run, name); };
   EXPECT_EQ(counted.unreadable(), 0);
   EXPECT_EQ(Of(counted.Requests(), "refused"), truth("refused"));
   EXPECT_EQ(Of(counted.Requests(), "failed"), truth("failed"));
@@ -106,9 +106,9 @@
 
 TEST(Count, TellsColdServersFromWarmOnes) {
   const Folder folder;
-  lab::RunOptions options;
+  simulation::RunOptions options;
   options.logs = folder.path;
-  lab::Run(Busy(), options);
+  simulation::Run(Busy(), options);
   const auto cold_sent = [&](double cold_for_ms) {
     Options count;
     count.cold_for_ms = cold_for_ms;
@@ -195,4 +195,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::fleet
+}  // namespace copperpoint::log_analysis
--- a/tests/view/frame_test.cpp
+++ b/tests/membership/frame_test.cpp
@@ -67,7 +67,7 @@
   View& a = net.Add("a", {});
   const std::string newer = Seal("c", kKey).Close(Sample().SerializeAsString(), 9, 2);
   for (int i = 0; i < 100; ++i) a.OnDatagram(net.now, "stranger", newer);
-  const view::Output output = a.Take();
+  const membership::Output output = a.Take();
   EXPECT_EQ(output.datagrams.size(), 1u);
   EXPECT_EQ(a.counters().refused[static_cast<std::size_t>(Refusal::kTooNew)], 100u);
   ASSERT_EQ(output.events.size(), 1u);
@@ -102,7 +102,7 @@
 
 // Datagrams as version 1 wrote them, kept for ever: each line is one, in hexadecimal.
 TEST(Frame, RecordedDatagramsOfVersionOneAreRead) {
-  std::ifstream file(std::string(SOURCE_DIR) + "/tests/view/datagrams_v1.txt");
+  std::ifstream file(std::string(SOURCE_DIR) + "/tests/membership/datagrams_v1.txt");
   ASSERT_TRUE(file.is_open());
   const Seal seal("recorded", "the key of the recording");
   int read = 0;
--- a/tests/view/fuzz_frame.cpp
+++ b/tests/membership/fuzz_frame.cpp
@@ -9,14 +9,14 @@
 #include <string>
 #include <string_view>
 
-#include "view/view.h"
+#include "membership/view.h"
 
 namespace {
 
+using copperpoint::membership::Record;
+using copperpoint::membership::Time;
+using copperpoint::membership::View;
 using copperpoint::peers::Seal;
-using copperpoint::view::Record;
-using copperpoint::view::Time;
-using copperpoint::view::View;
 
 constexpr char kKey[] = "sixteen bytes or more";
 
@@ -24,7 +24,8 @@
   Record self;
   self.set_name(name);
   self.set_address(name);
-  return std::make_unique<View>(copperpoint::view::Options(), Seal("c", kKey), self, 7, Time(1'000'000));
+  return std::make_unique<View>(copperpoint::membership::Options(), Seal("c", kKey), self, 7,
+                                Time(1'000'000));
 }
 
 void Require(bool holds) {
--- a/tests/view/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The view's rules one by one. Each test that a named defect would break says which.
-#include "view/view.h"
+#include "membership/view.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 namespace copperpoint::testing {
 namespace {
 
-wire::Claim ClaimOn(const view::Record& of, wire::Status status, std::uint32_t incarnation,
+wire::Claim ClaimOn(const membership::Record& of, wire::Status status, std::uint32_t incarnation,
                     std::uint32_t age_ms = 0) {
   wire::Claim claim;
   claim.set_status(status);
@@ -107,8 +107,8 @@
 }
 
 TEST(View, TheIncarnationHasNoEnd) {
-  EXPECT_TRUE(view::Later(0, 0xffffffffu));
-  EXPECT_FALSE(view::Later(0xffffffffu, 0));
+  EXPECT_TRUE(membership::Later(0, 0xffffffffu));
+  EXPECT_FALSE(membership::Later(0xffffffffu, 0));
   Net net;
   for (const char* name : {"a", "b"}) net.Add(name);
   net.Run(1000);
@@ -126,7 +126,7 @@
   Net net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
   net.Run(2000);
-  const view::Record of_d = net.views["d"]->self();
+  const membership::Record of_d = net.views["d"]->self();
   net.stopped["d"] = true;
   net.Run(4000);
   ASSERT_EQ(net.StatusAt("a", "d"), Status::kDead);
@@ -158,7 +158,7 @@
   std::size_t taken = 0;
   while (a.Publish(net.now, std::string(1, static_cast<char>('a' + taken)), "v")) ++taken;
   EXPECT_EQ(taken, net.options.most_bag);
-  view::Record large;
+  membership::Record large;
   large.set_name(std::string(net.options.most_name + 1, 'n'));
   EXPECT_THROW(View(net.options, peers::Seal("c", kKey), large, 1, net.now), std::invalid_argument);
 }
@@ -221,7 +221,7 @@
 
 // A storm of events is told at a bounded rate, and probes go on meanwhile.
 TEST(View, AStormOfEventsIsToldAtABoundedRate) {
-  view::Options options;
+  membership::Options options;
   options.most_told = 2 * 1024;
   Net net(options);
   constexpr int kMembers = 60;
@@ -247,7 +247,7 @@
   for (const char* name : {"a", "b", "c"}) net.Add(name);
   net.Run(1500);
   // The second of them answers at another address.
-  view::Record again;
+  membership::Record again;
   again.set_name("c");
   again.set_address("c2");
   net.views["c2"] = std::make_unique<View>(net.options, peers::Seal("c", kKey), again, 99, net.now);
--- a/tests/view/view_testing.h
+++ b/tests/membership/view_testing.h
@@ -10,24 +10,24 @@
 #include <string>
 #include <vector>
 
-#include "view/view.h"
+#include "membership/view.h"
 
 namespace copperpoint::testing {
 
+using membership::Happened;
+using membership::Status;
+using membership::Time;
+using membership::View;
 using std::chrono::milliseconds;
-using view::Happened;
-using view::Status;
-using view::Time;
-using view::View;
 
 inline const char kKey[] = "sixteen bytes or more";
 
 class Net {
  public:
-  explicit Net(view::Options options = {}) : options(options) {}
+  explicit Net(membership::Options options = {}) : options(options) {}
 
   View& Add(const std::string& name, const std::vector<std::string>& seeds = {"a"}, std::uint64_t seed = 0) {
-    view::Record self;
+    membership::Record self;
     self.set_name(name);
     self.set_address(name);
     views[name] = std::make_unique<View>(options, peers::Seal("c", kKey), self, seed ? seed : ++seeds_, now);
@@ -46,7 +46,7 @@
     }
   }
   void Flush(const std::string& name) {
-    view::Output output = views[name]->Take();
+    membership::Output output = views[name]->Take();
     for (const auto& event : output.events) happened[name].push_back(event);
     for (const auto& d : output.datagrams) {
       if (tap) tap(name, d.to, d.bytes);
@@ -88,7 +88,7 @@
     return true;
   }
 
-  view::Options options;
+  membership::Options options;
   Time now{milliseconds(1000)};
   std::map<std::string, std::unique_ptr<View>> views;
   std::map<std::string, bool> stopped;
--- a/tests/operation_test.cpp
+++ b/tests/operation_test.cpp
@@ -8,9 +8,9 @@
 #include <sstream>
 
 #include "loopback.h"
+#include "proxy/admin/admin_server.h"
 #include "proxy/control/disabled.h"
 #include "proxy/control/lifecycle.h"
-#include "proxy/control/operator.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -8,7 +8,7 @@
 #include <functional>
 #include <optional>
 
-#include "proxy/data/backends.h"
+#include "proxy/upstream/backends.h"
 #include "scripted.h"
 
 namespace copperpoint::testing {
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -10,10 +10,10 @@
 #include <random>
 
 #include "config/read.h"
-#include "lab/core/random.h"
-#include "rig/trial.h"
+#include "fault_testing/trial.h"
 #include "rollout/agent.h"
 #include "run_program.h"
+#include "simulation/core/random.h"
 
 namespace copperpoint::rollout {
 namespace {
@@ -139,7 +139,7 @@
         boost::random::binomial_distribution<int>(asked, std::min(1.0, missed))(random.engine())));
     return stratum;
   }
-  lab::Random random;
+  simulation::Random random;
 };
 
 // Whether a change is ever taken for worse in `looks` looks at `members`, the first of which has changed.
@@ -447,20 +447,20 @@
 
 // ---- whole changes in virtual time -----------------------------------------------------------------------
 
-rig::TrialResult Play(rig::TrialOptions options) {
+fault_testing::TrialResult Play(fault_testing::TrialOptions options) {
   options.members = 9;
   options.classes = 2;
   options.accounts = 1;
-  return rig::TryChange(kPlan, "plan", options);
+  return fault_testing::TryChange(kPlan, "plan", options);
 }
 
 TEST(Trial, WhatIsPromisedHoldsWhateverFails) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    rig::TrialOptions options;
+    fault_testing::TrialOptions options;
     options.seed = seed;
     options.faults = true;
     options.length_s = 400;
-    const rig::TrialResult result = Play(options);
+    const fault_testing::TrialResult result = Play(options);
     std::string told;
     for (const std::string& line : result.story) told += line + "\n";
     EXPECT_TRUE(result.holds) << "seed " << seed << "\n" << told;
@@ -468,13 +468,14 @@
 }
 
 TEST(Trial, HardHarmsAreStoppedInTheFirstStage) {
-  for (const rig::Harm harm : {rig::Harm::kNoStart, rig::Harm::kEnds, rig::Harm::kDeaf}) {
+  for (const fault_testing::Harm harm :
+       {fault_testing::Harm::kNoStart, fault_testing::Harm::kEnds, fault_testing::Harm::kDeaf}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      rig::TrialOptions options;
+      fault_testing::TrialOptions options;
       options.seed = seed;
       options.harm = harm;
       options.amount = 5;
-      const rig::TrialResult result = Play(options);
+      const fault_testing::TrialResult result = Play(options);
       EXPECT_TRUE(result.stopped && !result.done) << static_cast<int>(harm) << " seed " << seed;
       EXPECT_LE(result.ever, 1) << seed;
     }
--- a/tests/lab/lab_testing.h
+++ b/tests/simulation/lab_testing.h
@@ -13,10 +13,10 @@
 #include <vector>
 
 #include "config/read.h"
-#include "lab/run/run.h"
-#include "lab/scenario/scenario.h"
+#include "simulation/run/run.h"
+#include "simulation/scenario/scenario.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 
 // One zone, one proxy, one backend of speed 1, no jitter, no repeats: what a test does not set is exact.
 inline Scenario Plain(const std::string& more = "") {
@@ -81,6 +81,6 @@
   return result.json["counts"][name].get<std::int64_t>();
 }
 
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
 
 #endif  // COPPERPOINT_TESTS_LAB_LAB_TESTING_H_
--- a/tests/lab/models_test.cpp
+++ b/tests/simulation/models_test.cpp
@@ -7,15 +7,15 @@
 #include <map>
 #include <memory>
 
-#include "lab/core/queue.h"
-#include "lab/core/random.h"
-#include "lab/report/metrics.h"
-#include "lab/world/arrivals.h"
-#include "lab/world/backend.h"
-#include "lab/world/day.h"
 #include "lab_testing.h"
-
-namespace copperpoint::lab {
+#include "simulation/core/queue.h"
+#include "simulation/core/random.h"
+#include "simulation/report/metrics.h"
+#include "simulation/world/arrivals.h"
+#include "simulation/world/backend.h"
+#include "simulation/world/day.h"
+
+namespace copperpoint::simulation {
 namespace {
 
 TEST(Queue, IsOrderedByTimeThenRankThenPush) {
@@ -63,7 +63,7 @@
   RunOptions options;
   options.policy = "round_robin";
   options.seed = 7;
-  return lab::Run(s, options).json["mean_ms"].get<double>();
+  return simulation::Run(s, options).json["mean_ms"].get<double>();
 }
 
 TEST(Models, AnMM1QueueIsWithin3Percent) {
@@ -223,4 +223,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/tests/lab/overload_lab_test.cpp
+++ b/tests/simulation/overload_lab_test.cpp
@@ -6,12 +6,12 @@
 #include <string>
 
 #include "config/read.h"
-#include "lab/policies/gates.h"
-#include "lab/policies/policy.h"
-#include "lab/report/recovery.h"
-#include "lab/run/run.h"
+#include "simulation/policies/gates.h"
+#include "simulation/policies/policy.h"
+#include "simulation/report/recovery.h"
+#include "simulation/run/run.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 // Four backends of two cores; what is asked is a share of what they can do.
@@ -98,4 +98,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/tests/lab/rules_observer_test.cpp
+++ b/tests/simulation/rules_observer_test.cpp
@@ -7,7 +7,7 @@
 
 #include "lab_testing.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 TEST(RulesObserver, APolicyThatKeepsThemIsNotAccused) {
@@ -119,4 +119,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/tests/lab/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Sweeps that stop and go on, scenario files with faults, and pictures.
-#include "lab/run/sweep.h"
+#include "simulation/run/sweep.h"
 
 #include <gtest/gtest.h>
 
@@ -10,12 +10,12 @@
 #include <fstream>
 
 #include "config/edit.h"
-#include "lab/report/plot.h"
-#include "lab/run/compare.h"
 #include "lab_testing.h"
 #include "run_program.h"
+#include "simulation/report/plot.h"
+#include "simulation/run/compare.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 using testing_support::Finished;
@@ -131,7 +131,7 @@
   RunOptions options;
   options.policy = "p3c";
   try {
-    lab::Run(Plain(), options);
+    simulation::Run(Plain(), options);
     FAIL();
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("prequal"), std::string::npos);
@@ -193,4 +193,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/tests/lab/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -6,12 +6,12 @@
 #include <algorithm>
 #include <filesystem>
 
-#include "lab/run/compare.h"
-#include "lab/world/day.h"
 #include "lab_testing.h"
 #include "run_program.h"
+#include "simulation/run/compare.h"
+#include "simulation/world/day.h"
 
-namespace copperpoint::lab {
+namespace copperpoint::simulation {
 namespace {
 
 // An attempt of 10 ms work on a network of 1 ms each way is back after 12 ms on a connection that is open.
@@ -37,10 +37,10 @@
       "[fleet]\nbackends = 5\nproxies = 2\n[clients]\nretry = \"exponential\"\n[[trouble]]\nkind = "
       "\"pauses\"\n");
   RunOptions options;
-  const std::string first = lab::Run(s, options).json.dump();
-  EXPECT_EQ(lab::Run(s, options).json.dump(), first);
+  const std::string first = simulation::Run(s, options).json.dump();
+  EXPECT_EQ(simulation::Run(s, options).json.dump(), first);
   options.seed = 2;
-  EXPECT_NE(lab::Run(s, options).json.dump(), first);
+  EXPECT_NE(simulation::Run(s, options).json.dump(), first);
 }
 
 TEST(World, ResultsDoNotDependOnTheNumberOfThreads) {
@@ -56,7 +56,7 @@
   for (const std::string& policy : AllPolicies()) {
     RunOptions options;
     options.policy = policy;
-    const RunResult result = lab::Run(s, options);
+    const RunResult result = simulation::Run(s, options);
     if (wishes < 0) wishes = Count(result, "first_tries");
     EXPECT_EQ(Count(result, "first_tries"), wishes) << policy;
   }
@@ -201,7 +201,7 @@
       folder.Write("arrivals.csv",
                    "5,lookup,all,0,10\n1,lookup,all,0,10\n6,nothing,all,0,10\n7,lookup,all,x,10\n8,lookup\n");
   try {
-    lab::Run(s, RunOptions{});
+    simulation::Run(s, RunOptions{});
     FAIL();
   } catch (const config::BadFile& error) {
     std::vector<int> lines;
@@ -302,4 +302,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::lab
+}  // namespace copperpoint::simulation
--- a/tests/subsets/position_test.cpp
+++ b/tests/subsetting/position_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsets/position.h"
+#include "subsetting/position.h"
 
 #include <gtest/gtest.h>
 
@@ -12,9 +12,9 @@
 namespace copperpoint::testing {
 namespace {
 
-using subsets::Peer;
-using subsets::Positions;
-using subsets::TurnAmong;
+using subsetting::Peer;
+using subsetting::Positions;
+using subsetting::TurnAmong;
 
 std::vector<Peer> Fleet(int proxies, int zones) {
   std::vector<Peer> peers;
@@ -70,7 +70,7 @@
  public:
   Followed() {
     for (const char* name : {"a", "b", "c", "d", "e"}) net.Add(name);
-    for (auto& [name, v] : net.views) v->SetState(net.now, view::State::kServing), net.Flush(name);
+    for (auto& [name, v] : net.views) v->SetState(net.now, membership::State::kServing), net.Flush(name);
   }
   void Run(int ms) {
     for (int passed = 0; passed < ms; passed += 50) {
@@ -118,7 +118,7 @@
     f.Run(3000);
     f.net.views.erase(name);
     f.net.Add(name);
-    f.net.views[name]->SetState(f.net.now, view::State::kServing);
+    f.net.views[name]->SetState(f.net.now, membership::State::kServing);
     f.net.Flush(name);
     f.positions[name] = Positions();
     f.turns.erase(name);
