--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -10,7 +10,7 @@
 
 #include "cli/commands.h"
 #include "cli/fleet_view.h"
-#include "log_analysis/count.h"
+#include "log_analysis/log_counter.h"
 #include "simulation/report/plot.h"
 
 namespace copperpoint::cli {
--- a/src/log_analysis/count.cpp
+++ b/src/log_analysis/log_counter.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "log_analysis/count.h"
+#include "log_analysis/log_counter.h"
 
 #include <fmt/format.h>
 
--- a/src/log_analysis/count.h
+++ b/src/log_analysis/log_counter.h
@@ -4,8 +4,8 @@
 // second; what each server got, and a cold one beside warm ones; connections, calls of discovery, age of the
 // first list. Decides nothing; no I/O. Memory is bounded by seconds times reasons and by servers, not by
 // lines.
-#ifndef COPPERPOINT_LOG_ANALYSIS_COUNT_H_
-#define COPPERPOINT_LOG_ANALYSIS_COUNT_H_
+#ifndef COPPERPOINT_LOG_ANALYSIS_LOG_COUNTER_H_
+#define COPPERPOINT_LOG_ANALYSIS_LOG_COUNTER_H_
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "log_analysis/record.h"
+#include "log_analysis/log_record.h"
 
 namespace copperpoint::log_analysis {
 
@@ -100,4 +100,4 @@
 
 }  // namespace copperpoint::log_analysis
 
-#endif  // COPPERPOINT_LOG_ANALYSIS_COUNT_H_
+#endif  // COPPERPOINT_LOG_ANALYSIS_LOG_COUNTER_H_
--- a/src/log_analysis/record.cpp
+++ b/src/log_analysis/log_record.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "log_analysis/record.h"
+#include "log_analysis/log_record.h"
 
 #include <charconv>
 #include <chrono>
--- a/src/log_analysis/record.h
+++ b/src/log_analysis/log_record.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One line of a proxy's log, in the text or the JSON form that src/log writes.
-#ifndef COPPERPOINT_LOG_ANALYSIS_RECORD_H_
-#define COPPERPOINT_LOG_ANALYSIS_RECORD_H_
+#ifndef COPPERPOINT_LOG_ANALYSIS_LOG_RECORD_H_
+#define COPPERPOINT_LOG_ANALYSIS_LOG_RECORD_H_
 
 #include <optional>
 #include <string>
@@ -26,4 +26,4 @@
 
 }  // namespace copperpoint::log_analysis
 
-#endif  // COPPERPOINT_LOG_ANALYSIS_RECORD_H_
+#endif  // COPPERPOINT_LOG_ANALYSIS_LOG_RECORD_H_
--- a/tests/log_analysis/count_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What is counted over the logs of a fleet, against the emulator's own figures of the same run.
-#include "log_analysis/count.h"
+#include "log_analysis/log_counter.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
