--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -11,6 +11,7 @@
 #include "cli/commands.h"
 #include "cli/fleet_view.h"
 #include "log_analysis/log_counter.h"
+#include "log_analysis/log_report.h"
 #include "simulation/report/plot.h"
 
 namespace copperpoint::cli {
@@ -18,7 +19,7 @@
 
 struct FleetOptions {
   std::string folder, json, plots;
-  log_analysis::Options count;
+  log_analysis::CountOptions count;
 };
 
 std::vector<std::filesystem::path> LogsOf(const std::string& folder) {
@@ -31,12 +32,12 @@
   return files;
 }
 
-std::vector<simulation::Chart> Charts(const log_analysis::Counter& counter) {
+std::vector<simulation::Chart> Charts(const log_analysis::LogCounter& counter) {
   simulation::Chart ends{"requests", "How requests ended", "second", "a second", {}, {}};
   simulation::Chart attempts{"attempts", "How attempts ended", "second", "a second", {}, {}};
-  simulation::Chart load{"load", "Sent to each server", "second", "requests a second", {}, {}};
+  simulation::Chart load{"load", "Sent to each backend", "second", "requests a second", {}, {}};
   const auto draw = [&](simulation::Chart& chart, const log_analysis::Counts& names,
-                        log_analysis::Counts log_analysis::Second::*of) {
+                        log_analysis::Counts log_analysis::SecondCounts::*of) {
     for (const auto& [name, all] : names) {
       simulation::Curve curve{name, {}};
       for (const auto& [at, second] : counter.seconds()) {
@@ -47,20 +48,22 @@
       chart.curves.push_back(std::move(curve));
     }
   };
-  draw(ends, counter.Requests(), &log_analysis::Second::requests);
-  draw(attempts, counter.Attempts(), &log_analysis::Second::attempts);
-  simulation::Curve warm{"warm", {}}, cold{"cold", {}};
-  for (const auto& [at, s] : counter.seconds()) {
-    const double x = static_cast<double>(at - counter.seconds().begin()->first);
-    if (!s.warm_servers.empty())
-      warm.points.emplace_back(x,
-                               static_cast<double>(s.warm_sent) / static_cast<double>(s.warm_servers.size()));
-    if (!s.cold_servers.empty())
-      cold.points.emplace_back(x,
-                               static_cast<double>(s.cold_sent) / static_cast<double>(s.cold_servers.size()));
+  draw(ends, counter.Requests(), &log_analysis::SecondCounts::requests);
+  draw(attempts, counter.Attempts(), &log_analysis::SecondCounts::attempts);
+  simulation::Curve warm{"warm", {}}, slow_start{"warming up", {}};
+  const auto add = [](simulation::Curve& curve, double second, const log_analysis::LoadCounts& counts) {
+    if (counts.backends.empty()) return;
+    curve.points.emplace_back(
+        second, static_cast<double>(counts.attempts) / static_cast<double>(counts.backends.size()));
+  };
+  for (const auto& [at, counts] : counter.seconds()) {
+    const auto second = static_cast<double>(at - counter.seconds().begin()->first);
+    add(warm, second, counts.warm);
+    add(slow_start, second, counts.slow_start);
+  }
+  for (simulation::Curve* curve : {&warm, &slow_start}) {
+    if (!curve->points.empty()) load.curves.push_back(std::move(*curve));
   }
-  if (!warm.points.empty()) load.curves.push_back(std::move(warm));
-  if (!cold.points.empty()) load.curves.push_back(std::move(cold));
   std::vector<simulation::Chart> charts;
   for (simulation::Chart* chart : {&ends, &attempts, &load}) {
     if (!chart->curves.empty()) charts.push_back(std::move(*chart));
@@ -69,27 +72,27 @@
 }
 
 int Count(const FleetOptions& options) {
-  log_analysis::Counter counter(options.count);
+  log_analysis::LogCounter counter(options.count);
   for (const auto& file : LogsOf(options.folder)) {
     std::ifstream in(file, std::ios::binary);
     if (!in) throw std::invalid_argument(file.string() + ": cannot be read");
-    counter.Begin(file.stem().string());
-    for (std::string line; std::getline(in, line);) counter.Add(line);
+    counter.StartProxy(file.stem().string());
+    for (std::string line; std::getline(in, line);) counter.AddLine(line);
   }
   if (counter.lines() == counter.unreadable())
     throw std::invalid_argument(options.folder + ": no line of it is one of a proxy's log");
-  if (!options.json.empty()) Write(options.json, counter.Json().dump(1) + '\n');
+  if (!options.json.empty()) Write(options.json, JsonReport(counter).dump(1) + '\n');
   if (!options.plots.empty())
     std::cout << simulation::WriteCharts(Charts(counter), "A fleet, counted over its logs", "", options.plots)
               << '\n';
   if (options.count.request.empty()) {
-    std::cout << counter.Table();
+    std::cout << TableReport(counter);
     return kDone;
   }
-  const auto story = counter.Story();
-  for (const std::string& line : story) std::cout << line << '\n';
-  if (story.empty()) std::cerr << "copperpoint: " << options.count.request << ": in none of these logs\n";
-  return story.empty() ? kFault : kDone;
+  const auto trace = counter.Trace();
+  for (const std::string& line : trace) std::cout << line << '\n';
+  if (trace.empty()) std::cerr << "copperpoint: " << options.count.request << ": in none of these logs\n";
+  return trace.empty() ? kFault : kDone;
 }
 
 }  // namespace
@@ -104,9 +107,12 @@
   count->add_option("LOGDIR", options->folder, "A folder of logs of level debug, text or JSON")
       ->required()
       ->check(CLI::ExistingDirectory);
-  count->add_option("--request", options->count.request,
-                    "Tell the story of this Req-Id, or of all tries of this wish, through every proxy");
-  count->add_option("--cold-for-ms", options->count.cold_for_ms, "Age below which a server counts as cold")
+  count->add_option(
+      "--request", options->count.request,
+      "Print the lines about this Req-Id, or about this fingerprint of a logical request, of every proxy");
+  count
+      ->add_option("--cold-for-ms", options->count.slow_start_ms,
+                   "Age below which a backend counts as warming up")
       ->check(CLI::NonNegativeNumber);
   count->add_option("--json", options->json, "Write all that was counted here");
   count->add_option("--plot", options->plots, "Draw it into this folder: SVG, and one HTML page");
--- a/src/log_analysis/log_record.cpp
+++ b/src/log_analysis/log_record.cpp
@@ -5,12 +5,14 @@
 #include <chrono>
 #include <nlohmann/json.hpp>
 
+#include "log_analysis/old_names.h"
+
 namespace copperpoint::log_analysis {
 namespace {
 
-constexpr std::size_t kStampLength = 24;  // 2026-01-31T12:00:00.000Z
+constexpr std::size_t kTimestampLength = 24;  // 2026-01-31T12:00:00.000Z
 
-std::optional<int> Digits(std::string_view text, std::size_t from, std::size_t count) {
+std::optional<int> ParseDigits(std::string_view text, std::size_t from, std::size_t count) {
   int value = 0;
   const char* begin = text.data() + from;
   const auto parsed = std::from_chars(begin, begin + count, value);
@@ -18,12 +20,13 @@
   return value;
 }
 
-std::optional<double> UnixMs(std::string_view s) {
-  if (s.size() < kStampLength || s[4] != '-' || s[7] != '-' || s[10] != 'T' || s[13] != ':' || s[16] != ':' ||
-      s[19] != '.' || s[23] != 'Z')
+std::optional<double> ParseUnixMs(std::string_view s) {
+  if (s.size() < kTimestampLength || s[4] != '-' || s[7] != '-' || s[10] != 'T' || s[13] != ':' ||
+      s[16] != ':' || s[19] != '.' || s[23] != 'Z')
     return std::nullopt;
-  const auto year = Digits(s, 0, 4), month = Digits(s, 5, 2), day = Digits(s, 8, 2), hour = Digits(s, 11, 2),
-             minute = Digits(s, 14, 2), second = Digits(s, 17, 2), ms = Digits(s, 20, 3);
+  const auto year = ParseDigits(s, 0, 4), month = ParseDigits(s, 5, 2), day = ParseDigits(s, 8, 2),
+             hour = ParseDigits(s, 11, 2), minute = ParseDigits(s, 14, 2), second = ParseDigits(s, 17, 2),
+             ms = ParseDigits(s, 20, 3);
   if (!year || !month || !day || !hour || !minute || !second || !ms) return std::nullopt;
   const std::chrono::year_month_day date{std::chrono::year(*year),
                                          std::chrono::month(static_cast<unsigned>(*month)),
@@ -37,11 +40,11 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-std::optional<Record> ParseJson(std::string_view line) {
+std::optional<LogRecord> ParseJson(std::string_view line) {
   const auto json = nlohmann::json::parse(line, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object() || !json.contains("time") || !json.contains("event")) return std::nullopt;
-  Record record;
-  const auto at = UnixMs(TextOf(json["time"]));
+  LogRecord record;
+  const auto at = ParseUnixMs(TextOf(json["time"]));
   if (!at) return std::nullopt;
   record.at_ms = *at;
   record.event = TextOf(json["event"]);
@@ -51,17 +54,17 @@
   return record;
 }
 
-// The word up to the next space, less it and the space.
-std::string_view Word(std::string_view& rest) {
+// Removes the word up to the next space, and that space, from `rest`.
+std::string_view TakeWord(std::string_view& rest) {
   const std::size_t end = std::min(rest.find(' '), rest.size());
   const std::string_view word = rest.substr(0, end);
   rest.remove_prefix(std::min(end + 1, rest.size()));
   return word;
 }
 
-// A value in quotation marks is text as JSON writes it.
-std::optional<std::string> Value(std::string_view& rest) {
-  if (rest.empty() || rest.front() != '"') return std::string(Word(rest));
+// Removes a value from `rest`; one in quotation marks is text as JSON writes it.
+std::optional<std::string> TakeValue(std::string_view& rest) {
+  if (rest.empty() || rest.front() != '"') return std::string(TakeWord(rest));
   std::size_t end = 1;
   while (end < rest.size() && rest[end] != '"') end += rest[end] == '\\' ? 2 : 1;
   if (end >= rest.size()) return std::nullopt;
@@ -71,20 +74,20 @@
   return text.get<std::string>();
 }
 
-std::optional<Record> ParseText(std::string_view line) {
-  Record record;
+std::optional<LogRecord> ParseText(std::string_view line) {
+  LogRecord record;
   std::optional<double> at;
-  while (!line.empty() && !at) at = UnixMs(Word(line));
+  while (!line.empty() && !at) at = ParseUnixMs(TakeWord(line));
   if (!at) return std::nullopt;
   record.at_ms = *at;
-  Word(line);  // the level
-  record.event = Word(line);
+  TakeWord(line);  // the level
+  record.event = TakeWord(line);
   while (!line.empty()) {
     const std::size_t equals = line.find('=');
     if (equals == std::string_view::npos) return std::nullopt;
     const std::string name(line.substr(0, equals));
     line.remove_prefix(equals + 1);
-    auto value = Value(line);
+    auto value = TakeValue(line);
     if (!value) return std::nullopt;
     record.fields.emplace_back(name, std::move(*value));
   }
@@ -94,26 +97,28 @@
 
 }  // namespace
 
-std::string_view Record::Text(std::string_view name) const {
+std::string_view LogRecord::Text(std::string_view name) const {
   for (const auto& [key, value] : fields) {
     if (key == name) return value;
   }
   return {};
 }
 
-double Record::Number(std::string_view name, double otherwise) const {
+double LogRecord::Number(std::string_view name, double fallback) const {
   const std::string_view text = Text(name);
   double value = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
-  return parsed.ec == std::errc() && parsed.ptr == text.data() + text.size() ? value : otherwise;
+  return parsed.ec == std::errc() && parsed.ptr == text.data() + text.size() ? value : fallback;
 }
 
-std::optional<Record> ParseLine(std::string_view line) {
+std::optional<LogRecord> ParseLine(std::string_view line) {
   while (!line.empty() && (line.back() == '\r' || line.back() == '\n')) line.remove_suffix(1);
-  if (const std::size_t brace = line.find('{'); brace != std::string_view::npos) {
-    if (auto record = ParseJson(line.substr(brace))) return record;
-  }
-  return ParseText(line);
+  std::optional<LogRecord> record;
+  if (const std::size_t brace = line.find('{'); brace != std::string_view::npos)
+    record = ParseJson(line.substr(brace));
+  if (!record) record = ParseText(line);
+  if (record) UseCurrentNames(&*record);
+  return record;
 }
 
 }  // namespace copperpoint::log_analysis
--- a/src/log_analysis/log_record.h
+++ b/src/log_analysis/log_record.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One line of a proxy's log, in the text or the JSON form that src/log writes.
+// One line of a proxy's log, parsed from the text or the JSON form that src/log writes.
 #ifndef COPPERPOINT_LOG_ANALYSIS_LOG_RECORD_H_
 #define COPPERPOINT_LOG_ANALYSIS_LOG_RECORD_H_
 
@@ -12,17 +12,20 @@
 
 namespace copperpoint::log_analysis {
 
-struct Record {
+struct LogRecord {
   double at_ms = 0;  // Unix time
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
 
-  std::string_view Text(std::string_view name) const;  // empty if there is none
-  double Number(std::string_view name, double otherwise = 0) const;
+  // The value of a field; empty if there is none.
+  std::string_view Text(std::string_view name) const;
+  // The value of a field as a number; `fallback` if there is none or it is no number.
+  double Number(std::string_view name, double fallback = 0) const;
 };
 
-// Nothing if the line is none of ours. What a collector of logs puts before the line is passed over.
-std::optional<Record> ParseLine(std::string_view line);
+// Nothing if the line is not one of a proxy's log. What a collector of logs puts before the line is skipped.
+// Lines of older versions come with today's names.
+std::optional<LogRecord> ParseLine(std::string_view line);
 
 }  // namespace copperpoint::log_analysis
 
--- /dev/null
+++ b/src/log_analysis/log_report.h
@@ -0,0 +1,22 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// What a LogCounter has counted, as a table for people and as JSON for programs.
+#ifndef COPPERPOINT_LOG_ANALYSIS_LOG_REPORT_H_
+#define COPPERPOINT_LOG_ANALYSIS_LOG_REPORT_H_
+
+#include <nlohmann/json.hpp>
+#include <string>
+
+#include "log_analysis/log_counter.h"
+
+namespace copperpoint::log_analysis {
+
+// The names of the JSON's members are those of every version.
+nlohmann::ordered_json JsonReport(const LogCounter& counter);
+
+// A line a second, then the sums and the backends with the most failed attempts.
+std::string TableReport(const LogCounter& counter);
+
+}  // namespace copperpoint::log_analysis
+
+#endif  // COPPERPOINT_LOG_ANALYSIS_LOG_REPORT_H_
--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -56,12 +56,12 @@
   return s;
 }
 
-Counter CountOf(const std::string& folder, Options options = {}) {
-  Counter counter(std::move(options));
+LogCounter CountOf(const std::string& folder, CountOptions options = {}) {
+  LogCounter counter(std::move(options));
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     std::ifstream in(entry.path());
-    counter.Begin(entry.path().stem().string());
-    for (std::string line; std::getline(in, line);) counter.Add(line);
+    counter.StartProxy(entry.path().stem().string());
+    for (std::string line; std::getline(in, line);) counter.AddLine(line);
   }
   return counter;
 }
@@ -80,26 +80,26 @@
   options.logs = folder.path;
   options.log_format = GetParam();
   const simulation::RunResult run = simulation::Run(Busy(), options);
-  const Counter counted = CountOf(folder.path);
+  const LogCounter counted = CountOf(folder.path);
   const auto truth = [&](const char* name) { return simulation::Count(run, name); };
   EXPECT_EQ(counted.unreadable(), 0);
-  EXPECT_EQ(Of(counted.Requests(), "refused"), truth("refused"));
+  EXPECT_EQ(Of(counted.Requests(), "rejected"), truth("refused"));
   EXPECT_EQ(Of(counted.Requests(), "failed"), truth("failed"));
   EXPECT_EQ(Of(counted.Attempts(), "timeout"), truth("timeouts"));
-  EXPECT_EQ(Of(counted.Attempts(), "connect_failed"), truth("connect_failed"));
-  EXPECT_EQ(Of(counted.Attempts(), "reset"), truth("resets"));
-  EXPECT_EQ(Of(counted.Attempts(), "error"), truth("errors"));
+  EXPECT_EQ(Of(counted.Attempts(), "connect_failure"), truth("connect_failed"));
+  EXPECT_EQ(Of(counted.Attempts(), "connection_reset"), truth("resets"));
+  EXPECT_EQ(Of(counted.Attempts(), "server_error"), truth("errors"));
   EXPECT_EQ(counted.connections(), truth("connections"));
-  EXPECT_EQ(counted.discovery_calls(), truth("discovery_calls"));
+  EXPECT_EQ(counted.discovery_polls(), truth("discovery_calls"));
   std::int64_t sent = 0, ended = 0;
-  for (const auto& [name, server] : counted.servers()) sent += server.sent;
+  for (const auto& [name, backend] : counted.backends()) sent += backend.attempts;
   for (const auto& [name, n] : counted.Attempts()) ended += n;
   EXPECT_EQ(sent, truth("attempts"));
   EXPECT_EQ(ended, sent) << "each attempt ends once";
   for (const char* name : {"refused", "timeouts", "connect_failed", "resets", "errors"})
     EXPECT_GT(truth(name), 0) << name << ": the run says nothing of it";
   EXPECT_GT(counted.discovery_failures(), 0);
-  EXPECT_EQ(counted.fresh_after_ms().size() + static_cast<std::size_t>(counted.never_fresh()), 20u);
+  EXPECT_EQ(counted.first_list_after_ms().size() + static_cast<std::size_t>(counted.without_list()), 20u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Forms, CountedRun, ::testing::Values(log::Format::kText, log::Format::kJson));
@@ -109,12 +109,12 @@
   simulation::RunOptions options;
   options.logs = folder.path;
   simulation::Run(Busy(), options);
-  const auto cold_sent = [&](double cold_for_ms) {
-    Options count;
-    count.cold_for_ms = cold_for_ms;
-    const Counter counter = CountOf(folder.path, count);
+  const auto cold_sent = [&](double slow_start_ms) {
+    CountOptions count;
+    count.slow_start_ms = slow_start_ms;
+    const LogCounter counter = CountOf(folder.path, count);
     std::int64_t sent = 0;
-    for (const auto& [at, second] : counter.seconds()) sent += second.cold_sent;
+    for (const auto& [at, second] : counter.seconds()) sent += second.slow_start.attempts;
     return sent;
   };
   const std::int64_t cold = cold_sent(5000), none = cold_sent(0);
@@ -125,17 +125,17 @@
 std::string Line(const std::string& rest) { return "2026-01-31T12:00:00." + rest; }
 
 TEST(Count, TellsTheStoryOfAWishThroughEveryProxy) {
-  Counter counter({.request = "00000000000000aa"});
-  counter.Begin("n1");
-  counter.Add(Line("100Z debug request_taken request=7 id=x1 wish=00000000000000aa class=0 work_ms=5"));
-  counter.Add(Line("101Z debug attempt_sent request=7 attempt=0 server=3 work_ms=5"));
-  counter.Add(Line("102Z debug request_taken request=8 id=x2 wish=00000000000000bb class=0 work_ms=5"));
-  counter.Add(Line("103Z debug attempt_sent request=8 attempt=0 server=3 work_ms=5"));
-  counter.Add(Line("300Z debug request_ended request=7 class=0 how=refused why=no_repeat attempts=1"));
-  counter.Add(Line("301Z debug attempt_sent request=7 attempt=0 server=9 work_ms=5"));
-  counter.Begin("n0");
-  counter.Add(Line("050Z debug request_taken request=7 id=x0 wish=00000000000000aa class=0 work_ms=5"));
-  const auto story = counter.Story();
+  LogCounter counter({.request = "00000000000000aa"});
+  counter.StartProxy("n1");
+  counter.AddLine(Line("100Z debug request_taken request=7 id=x1 wish=00000000000000aa class=0 work_ms=5"));
+  counter.AddLine(Line("101Z debug attempt_sent request=7 attempt=0 server=3 work_ms=5"));
+  counter.AddLine(Line("102Z debug request_taken request=8 id=x2 wish=00000000000000bb class=0 work_ms=5"));
+  counter.AddLine(Line("103Z debug attempt_sent request=8 attempt=0 server=3 work_ms=5"));
+  counter.AddLine(Line("300Z debug request_ended request=7 class=0 how=refused why=no_repeat attempts=1"));
+  counter.AddLine(Line("301Z debug attempt_sent request=7 attempt=0 server=9 work_ms=5"));
+  counter.StartProxy("n0");
+  counter.AddLine(Line("050Z debug request_taken request=7 id=x0 wish=00000000000000aa class=0 work_ms=5"));
+  const auto story = counter.Trace();
   ASSERT_EQ(story.size(), 4u);
   EXPECT_TRUE(story[0].starts_with("n0  ")) << "by time, whichever log it was in";
   EXPECT_NE(story[2].find("server=3"), std::string::npos);
@@ -147,14 +147,14 @@
       ParseLine("0.244 2026-01-31T12:00:00.250Z info decision text=\"server 5 ejected: 3 of 3 \\\"x\\\"\"");
   ASSERT_TRUE(text.has_value());
   EXPECT_EQ(text->event, "decision");
-  EXPECT_EQ(text->Text("text"), "server 5 ejected: 3 of 3 \"x\"");
+  EXPECT_EQ(text->Text("text"), "backend 5 ejected: 3 of 3 \"x\"");
   EXPECT_DOUBLE_EQ(text->at_ms, 1769860800250.0);
   const auto json = ParseLine(
       R"([0.3] {"time":"2026-01-31T12:00:00.250Z","level":"debug","event":"attempt_ended","took_ms":3.5,"server":4})");
   ASSERT_TRUE(json.has_value());
-  EXPECT_EQ(json->event, "attempt_ended");
-  EXPECT_DOUBLE_EQ(json->Number("took_ms"), 3.5);
-  EXPECT_EQ(json->Text("server"), "4");
+  EXPECT_EQ(json->event, "attempt_completed");
+  EXPECT_DOUBLE_EQ(json->Number("duration_ms"), 3.5);
+  EXPECT_EQ(json->Text("backend"), "4");
   EXPECT_EQ(json->at_ms, text->at_ms);
 }
 
@@ -162,36 +162,36 @@
 TEST(Count, WhatIsNoLineOfOursIsCountedAndChangesNothing) {
   const std::string whole =
       Line("100Z debug attempt_ended request=7 attempt=0 server=3 outcome=ok text=\"a b\"");
-  Counter counter({});
-  counter.Begin("n1");
-  for (std::size_t cut = 0; cut < 25; ++cut) counter.Add(whole.substr(0, cut));
-  counter.Add("{\"time\":7,\"event\":\"request_ended\"}");
-  counter.Add("{\"time\":\"2026-13-31T12:00:00.250Z\",\"event\":\"request_ended\"}");
-  counter.Add("terminate called after throwing");
-  counter.Add(whole.substr(0, whole.size() - 1));
+  LogCounter counter({});
+  counter.StartProxy("n1");
+  for (std::size_t cut = 0; cut < 25; ++cut) counter.AddLine(whole.substr(0, cut));
+  counter.AddLine("{\"time\":7,\"event\":\"request_ended\"}");
+  counter.AddLine("{\"time\":\"2026-13-31T12:00:00.250Z\",\"event\":\"request_ended\"}");
+  counter.AddLine("terminate called after throwing");
+  counter.AddLine(whole.substr(0, whole.size() - 1));
   EXPECT_EQ(counter.lines(), 29);
   EXPECT_EQ(counter.unreadable(), 29);
   EXPECT_TRUE(counter.Attempts().empty());
-  counter.Add(whole);
-  EXPECT_EQ(Of(counter.Attempts(), "ok"), 1);
+  counter.AddLine(whole);
+  EXPECT_EQ(Of(counter.Attempts(), "success"), 1);
 }
 
 TEST(Count, EjectionsAreOfProxiesAndAProcessWithoutAListIsTold) {
-  Counter counter({});
+  LogCounter counter({});
   for (const char* proxy : {"n1", "n2"}) {
-    counter.Begin(proxy);
-    counter.Add(Line("100Z debug list_taken kind=cached revision=0 members=3"));
-    counter.Add(Line("200Z info decision text=\"server 5 ejected: 3 of 3 attempts failed\""));
-    counter.Add(Line("300Z info decision text=\"server 5 returns to service\""));
+    counter.StartProxy(proxy);
+    counter.AddLine(Line("100Z debug list_taken kind=cached revision=0 members=3"));
+    counter.AddLine(Line("200Z info decision text=\"server 5 ejected: 3 of 3 attempts failed\""));
+    counter.AddLine(Line("300Z info decision text=\"server 5 returns to service\""));
   }
-  counter.Add(Line("400Z debug list_taken kind=delta revision=4 members=3"));
-  counter.Add(Line("500Z debug list_taken kind=cached revision=0 members=3"));
-  counter.Begin("n3");
+  counter.AddLine(Line("400Z debug list_taken kind=delta revision=4 members=3"));
+  counter.AddLine(Line("500Z debug list_taken kind=cached revision=0 members=3"));
+  counter.StartProxy("n3");
   EXPECT_EQ(counter.ejections(), 2);
-  EXPECT_EQ(counter.servers().at("5").ejected_by.size(), 2u);
-  EXPECT_EQ(counter.never_fresh(), 2) << "n1's only process, and n2's second";
-  ASSERT_EQ(counter.fresh_after_ms().size(), 1u);
-  EXPECT_DOUBLE_EQ(counter.fresh_after_ms()[0], 300);
+  EXPECT_EQ(counter.backends().at("5").ejected_by.size(), 2u);
+  EXPECT_EQ(counter.without_list(), 2) << "n1's only process, and n2's second";
+  ASSERT_EQ(counter.first_list_after_ms().size(), 1u);
+  EXPECT_DOUBLE_EQ(counter.first_list_after_ms()[0], 300);
 }
 
 }  // namespace
