--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -7,36 +7,16 @@
 #include <type_traits>
 #include <utility>
 
+#include "adapter/wire_names.h"
+
 namespace copperpoint::adapter {
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
               "the wire is little-endian; fields are copied as is");
 
-enum EventCode : std::uint8_t {
-  kCreate = 16,
-  kDiscovery = 17,
-  kSubmit = 18,
-  kOpened = 19,
-  kAttemptEnd = 20,
-  kAborted = 21,
-  kElapsed = 22,
-  kProbed = 23,
-  kHeard = 24,
-  kCrashNow = 25,
-};
-enum ActionCode : std::uint8_t {
-  kAbort = 16,
-  kStreamChanges = 18,
-  kShutIdle = 19,
-  kSayNo = 20,
-  kInternalError = 21,
-  kRecord = 22,
-  kWakeMe = 25,
-  kDispatch = 27,
-};
-constexpr std::uint32_t kEntryBytes = 23;
-constexpr std::uint16_t kFlagHint = 1, kFlagRepeat = 2;
+using wire::ActionCode;
+using wire::EventCode;
 
 class Reader {
  public:
@@ -51,124 +31,123 @@
   }
   std::string_view Bytes(std::size_t n) {
     if (n > rest_.size()) throw MalformedInput("a length or field overruns its record");
-    std::string_view taken = rest_.substr(0, n);
+    const std::string_view bytes = rest_.substr(0, n);
     rest_.remove_prefix(n);
-    return taken;
+    return bytes;
   }
-  std::size_t left() const { return rest_.size(); }
+  std::size_t remaining() const { return rest_.size(); }
 
  private:
   std::string_view rest_;
 };
 
-Duration Millis(double ms) { return Duration(ms); }
-TimePoint At(double ms) { return TimePoint(Duration(ms)); }
+TimePoint TimeAt(double ms) { return TimePoint(Duration(ms)); }
 
 AttemptOutcome OutcomeOf(std::uint16_t status) {
   switch (status) {
-    case 200:
+    case wire::kStatusSuccess:
       return AttemptOutcome::kSuccess;
-    case 500:
+    case wire::kStatusServerError:
       return AttemptOutcome::kServerError;
-    case 503:
+    case wire::kStatusBackendRejected:
       return AttemptOutcome::kBackendRejected;
-    case 504:
+    case wire::kStatusTimeout:
       return AttemptOutcome::kTimeout;
-    case 502:
+    case wire::kStatusConnectFailure:
       return AttemptOutcome::kConnectFailure;
-    case 598:
+    case wire::kStatusConnectionReset:
       return AttemptOutcome::kConnectionReset;
-    case 499:
+    case wire::kStatusCancelled:
       return AttemptOutcome::kCancelled;
-    case 410:
+    case wire::kStatusNotSent:
       return AttemptOutcome::kNotSent;
     default:
       return AttemptOutcome::kUnknown;
   }
 }
 
-EndpointUpdate ReadDiscovery(Reader& in) {
+EndpointUpdate ReadEndpointUpdate(Reader& in) {
   EndpointUpdate update;
-  const auto how = in.Get<std::uint8_t>();
-  if (how > 3) throw MalformedInput("a list of an unknown kind");
-  update.kind = static_cast<EndpointUpdateKind>(how);
+  const auto kind = in.Get<std::uint8_t>();
+  if (kind > wire::kMaxUpdateKind) throw MalformedInput("a list of an unknown kind");
+  update.kind = static_cast<EndpointUpdateKind>(kind);
   in.Get<std::uint32_t>();  // version: lists come in order and without gaps
   const auto count = in.Get<std::uint32_t>();
-  if (count > in.left() / kEntryBytes) throw MalformedInput("a list overruns its record");
-  Reader entries(in.Bytes(std::size_t{count} * kEntryBytes));
+  if (count > in.remaining() / wire::kEndpointBytes) throw MalformedInput("a list overruns its record");
+  Reader fields(in.Bytes(std::size_t{count} * wire::kEndpointBytes));
   for (std::uint32_t i = 0; i < count; ++i) {
-    Endpoint entry;
-    entry.backend = entries.Get<std::uint32_t>();
-    entry.zone = entries.Get<std::uint16_t>();
-    entry.kind = entries.Get<std::uint16_t>();
-    entry.cell = entries.Get<std::uint16_t>();
-    const auto state = entries.Get<std::uint8_t>();
-    if (state > 2) throw MalformedInput("a list entry of an unknown state");
-    entry.state = static_cast<EndpointState>(state);
-    entry.weight = entries.Get<float>();
-    entry.up_since = At(entries.Get<double>());
-    update.endpoints.push_back(entry);
+    Endpoint endpoint;
+    endpoint.backend = fields.Get<std::uint32_t>();
+    endpoint.zone = fields.Get<std::uint16_t>();
+    endpoint.kind = fields.Get<std::uint16_t>();
+    endpoint.cell = fields.Get<std::uint16_t>();
+    const auto state = fields.Get<std::uint8_t>();
+    if (state > wire::kMaxEndpointState) throw MalformedInput("a list entry of an unknown state");
+    endpoint.state = static_cast<EndpointState>(state);
+    endpoint.weight = fields.Get<float>();
+    endpoint.up_since = TimeAt(fields.Get<double>());
+    update.endpoints.push_back(endpoint);
   }
   return update;
 }
 
-RequestReceived ReadSubmit(Reader& in) {
-  RequestReceived submit;
-  submit.request = in.Get<std::uint64_t>();
-  submit.deadline = At(in.Get<double>());
-  submit.tenant = in.Get<std::uint16_t>();
+RequestReceived ReadRequestReceived(Reader& in) {
+  RequestReceived request;
+  request.request = in.Get<std::uint64_t>();
+  request.deadline = TimeAt(in.Get<double>());
+  request.tenant = in.Get<std::uint16_t>();
   const auto flags = in.Get<std::uint16_t>();
-  submit.has_work_estimate = (flags & kFlagHint) != 0;
-  submit.client_retry = (flags & kFlagRepeat) != 0;
-  submit.key = in.Get<std::uint64_t>();
-  submit.request_class = in.Get<std::uint16_t>();
-  submit.estimated_work_ms = in.Get<double>();
-  return submit;
+  request.has_work_estimate = (flags & wire::kFlagWorkEstimate) != 0;
+  request.client_retry = (flags & wire::kFlagClientRetry) != 0;
+  request.key = in.Get<std::uint64_t>();
+  request.request_class = in.Get<std::uint16_t>();
+  request.estimated_work_ms = in.Get<double>();
+  return request;
 }
 
-AttemptCompleted ReadAttemptEnd(Reader& in) {
-  AttemptCompleted end;
-  end.request = in.Get<std::uint64_t>();
-  end.request_completed = in.Get<std::uint8_t>() != 0;
-  end.backend = in.Get<std::uint32_t>();
-  end.attempt = in.Get<std::uint8_t>();
-  end.outcome = OutcomeOf(in.Get<std::uint16_t>());
-  end.duration = Millis(in.Get<double>());
+AttemptCompleted ReadAttemptCompleted(Reader& in) {
+  AttemptCompleted completed;
+  completed.request = in.Get<std::uint64_t>();
+  completed.request_completed = in.Get<std::uint8_t>() != 0;
+  completed.backend = in.Get<std::uint32_t>();
+  completed.attempt = in.Get<std::uint8_t>();
+  completed.outcome = OutcomeOf(in.Get<std::uint16_t>());
+  completed.duration = Duration(in.Get<double>());
   in.Bytes(sizeof(float) * in.Get<std::uint8_t>());  // load reports decide nothing
-  return end;
+  return completed;
 }
 
 Message ReadMessage(std::uint8_t code, Reader& in) {
-  switch (code) {
-    case kCreate: {
-      Create create;
+  switch (static_cast<EventCode>(code)) {
+    case EventCode::kCreateInstance: {
+      CreateInstance create;
       create.seed = in.Get<std::uint64_t>();
       create.config = in.Bytes(in.Get<std::uint32_t>());
       return create;
     }
-    case kDiscovery:
-      return Event(ReadDiscovery(in));
-    case kSubmit:
-      return Event(ReadSubmit(in));
-    case kOpened: {
+    case EventCode::kEndpointUpdate:
+      return Event(ReadEndpointUpdate(in));
+    case EventCode::kRequestReceived:
+      return Event(ReadRequestReceived(in));
+    case EventCode::kResponseStarted: {
       ResponseStarted started;
       started.request = in.Get<std::uint64_t>();
       started.attempt = in.Get<std::uint8_t>();
       return Event(started);
     }
-    case kAttemptEnd:
-      return Event(ReadAttemptEnd(in));
-    case kAborted:
+    case EventCode::kAttemptCompleted:
+      return Event(ReadAttemptCompleted(in));
+    case EventCode::kClientDisconnected:
       return Event(ClientDisconnected{in.Get<std::uint64_t>()});
-    case kElapsed:
+    case EventCode::kTimerFired:
       return Event(TimerFired{in.Get<std::uint64_t>()});
-    case kCrashNow:
-      return Crash{};
-    case kProbed:
-    case kHeard:
-      return Unknown{code, true};  // never asked for here
+    case EventCode::kCrash:
+      return CrashInstance{};
+    case EventCode::kHealthCheckCompleted:
+    case EventCode::kPeerMessage:
+      return IgnoredEvent{code, true};  // this program requests none
     default:
-      return Unknown{code, false};
+      return IgnoredEvent{code, false};
   }
 }
 
@@ -190,42 +169,42 @@
 struct Encoder {
   std::string& out;
 
-  std::uint8_t operator()(const StartAttempt& a) const {
+  ActionCode operator()(const StartAttempt& a) const {
     Put(out, a.request);
     Put(out, a.timeout.count());
     Put(out, a.backend);
-    return kDispatch;
+    return ActionCode::kStartAttempt;
   }
-  std::uint8_t operator()(const RejectRequest& a) const {
+  ActionCode operator()(const RejectRequest& a) const {
     Put(out, a.request);
     Put(out, a.retry_after.count());
-    return kSayNo;
+    return ActionCode::kRejectRequest;
   }
-  std::uint8_t operator()(const FailRequest& a) const {
+  ActionCode operator()(const FailRequest& a) const {
     Put(out, a.request);
-    return kAbort;
+    return ActionCode::kFailRequest;
   }
-  std::uint8_t operator()(const SetTimer& a) const {
+  ActionCode operator()(const SetTimer& a) const {
     Put(out, a.at.time_since_epoch().count());
     Put(out, a.token);
-    return kWakeMe;
+    return ActionCode::kSetTimer;
   }
-  std::uint8_t operator()(const PollEndpoints&) const {
+  ActionCode operator()(const PollEndpoints&) const {
     Put(out, std::uint8_t{1});
-    return kStreamChanges;
+    return ActionCode::kPollEndpoints;
   }
-  std::uint8_t operator()(const CloseIdleConnections& a) const {
+  ActionCode operator()(const CloseIdleConnections& a) const {
     Put(out, a.backend);
-    return kShutIdle;
+    return ActionCode::kCloseIdleConnections;
   }
-  std::uint8_t operator()(const Log& a) const {
+  ActionCode operator()(const Log& a) const {
     PutText(out, a.text);
-    return kRecord;
+    return ActionCode::kLog;
   }
 };
 
-void PutRecord(std::string& body, std::uint8_t code, std::uint32_t instance, std::string_view fields) {
-  Put(body, code);
+void PutRecord(std::string& body, ActionCode code, std::uint32_t instance, std::string_view fields) {
+  Put(body, static_cast<std::uint8_t>(code));
   Put(body, static_cast<std::uint32_t>(sizeof instance + fields.size()));
   Put(body, instance);
   body.append(fields);
@@ -241,13 +220,13 @@
     const auto code = in.Get<std::uint8_t>();
     Reader fields(in.Bytes(in.Get<std::uint32_t>()));
     Record record;
-    const bool known = code >= kCreate && code <= kCrashNow;
-    // The fields of an unknown code are not ours to read; known ones may have grown at their end.
+    const bool known = code >= wire::kFirstEventCode && code <= wire::kLastEventCode;
+    // The fields of an unknown code cannot be read; those of a known one may have more at their end.
     if (known) record.instance = fields.Get<std::uint32_t>();
     record.message = ReadMessage(code, fields);
     batch.records.push_back(std::move(record));
   }
-  if (in.left() != 0) throw MalformedInput("bytes are left over behind the records of a frame");
+  if (in.remaining() != 0) throw MalformedInput("bytes are left over behind the records of a frame");
   return batch;
 }
 
@@ -257,7 +236,7 @@
   if (in.gcount() == 0) return std::nullopt;
   if (in.gcount() != sizeof header) throw MalformedInput("input ends inside the header of a frame");
   Reader fields(std::string_view(header, sizeof header));
-  const TimePoint now = At(fields.Get<double>());
+  const TimePoint now = TimeAt(fields.Get<double>());
   const auto length = fields.Get<std::uint32_t>();
   const auto count = fields.Get<std::uint32_t>();
   // The stated length covers the count, too. Read in pieces: a wild length must not allocate gigabytes.
@@ -276,14 +255,14 @@
 
 void ReplyWriter::Add(std::uint32_t instance, const Action& action) {
   std::string fields;
-  const std::uint8_t code = std::visit(Encoder{fields}, action);
+  const ActionCode code = std::visit(Encoder{fields}, action);
   PutRecord(body_, code, instance, fields);
 }
 
 void ReplyWriter::AddInternalError(std::uint32_t instance, std::string_view text) {
   std::string fields;
   PutText(fields, text);
-  PutRecord(body_, kInternalError, instance, fields);
+  PutRecord(body_, ActionCode::kInternalError, instance, fields);
 }
 
 std::string ReplyWriter::Take() {
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -23,22 +23,27 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Create {
+// Starts an instance, or starts it anew.
+struct CreateInstance {
   std::uint64_t seed = 0;
   std::string config;
 };
-struct Crash {};
-struct Unknown {  // an event of no use here, or of a code that this build does not know
+// The instance ends without notice.
+struct CrashInstance {};
+// An event that this program has no use for, or whose code it does not know.
+struct IgnoredEvent {
   std::uint8_t code = 0;
   bool known_code = false;
 };
-using Message = std::variant<Create, Crash, Unknown, Event>;
+using Message = std::variant<CreateInstance, CrashInstance, IgnoredEvent, Event>;
 
+// One event for one instance.
 struct Record {
   std::uint32_t instance = 0;
   Message message;
 };
 
+// The records of one frame, all at the same time.
 struct Batch {
   TimePoint now{};
   std::vector<Record> records;
@@ -50,11 +55,13 @@
 // Decodes the body of a frame: `count` records filling `body`.
 Batch DecodeBatch(TimePoint now, std::uint32_t count, std::string_view body);
 
+// Collects the actions of a batch and writes them as one frame.
 class ReplyWriter {
  public:
   void Add(std::uint32_t instance, const Action& action);
   void AddInternalError(std::uint32_t instance, std::string_view text);
-  std::string Take();  // the whole frame; the writer is empty again
+  // The complete frame; the writer is empty again.
+  std::string Take();
 
  private:
   std::string body_;
--- a/src/adapter/host.h
+++ b/src/adapter/instance_host.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Hosts one Balancer per live instance and carries events and actions between them and the wire.
-#ifndef COPPERPOINT_ADAPTER_HOST_H_
-#define COPPERPOINT_ADAPTER_HOST_H_
+#ifndef COPPERPOINT_ADAPTER_INSTANCE_HOST_H_
+#define COPPERPOINT_ADAPTER_INSTANCE_HOST_H_
 
 #include <iosfwd>
 #include <map>
@@ -14,23 +14,23 @@
 
 namespace copperpoint::adapter {
 
-class Host {
+class InstanceHost {
  public:
-  explicit Host(std::ostream& complaints) : complaints_(complaints) {}
+  explicit InstanceHost(std::ostream& diagnostics) : diagnostics_(diagnostics) {}
 
   // The reply frame to a batch.
-  std::string Answer(const Batch& batch);
+  std::string HandleBatch(const Batch& batch);
 
  private:
   void Handle(TimePoint now, const Record& record);
-  void TellOnce(const std::string& what);
+  void ReportOnce(const std::string& what);
 
-  std::ostream& complaints_;
-  std::map<std::uint32_t, Balancer> live_;
-  std::set<std::string> told_;
+  std::ostream& diagnostics_;
+  std::map<std::uint32_t, Balancer> instances_;
+  std::set<std::string> reported_;
   ReplyWriter reply_;
 };
 
 }  // namespace copperpoint::adapter
 
-#endif  // COPPERPOINT_ADAPTER_HOST_H_
+#endif  // COPPERPOINT_ADAPTER_INSTANCE_HOST_H_
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -3,15 +3,15 @@
 #include <iostream>
 
 #include "adapter/codec.h"
-#include "adapter/host.h"
+#include "adapter/instance_host.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  copperpoint::adapter::Host host(std::cerr);
+  copperpoint::adapter::InstanceHost host(std::cerr);
   try {
     while (const auto batch = copperpoint::adapter::ReadBatch(std::cin)) {
-      std::cout << host.Answer(*batch) << std::flush;
+      std::cout << host.HandleBatch(*batch) << std::flush;
     }
   } catch (const std::exception& error) {
     std::cerr << "copperpoint_adapter: " << error.what() << '\n';
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -8,15 +8,21 @@
 #include <optional>
 #include <string>
 
+#include "adapter/wire_names.h"
+
 namespace copperpoint::adapter {
 namespace {
 
-constexpr double kMost = 1e12;            // no count, time or rate of a deployment is larger
-constexpr double kMostListItems = 65536;  // indices of classes and tenants have 16 bits on the wire
+namespace keys = wire::keys;
+namespace words = wire::words;
+
+constexpr double kMaxValue = 1e12;       // of any count, time or rate of a deployment
+constexpr double kMaxListItems = 65536;  // indices of classes and tenants have 16 bits on the wire
 
-class Pairs {
+// The path=value lines of the settings.
+class PathValueLines {
  public:
-  explicit Pairs(std::string_view text) {
+  explicit PathValueLines(std::string_view text) {
     while (!text.empty()) {
       const std::size_t end = text.find('\n');
       std::string_view line = text.substr(0, end);
@@ -27,23 +33,23 @@
     }
   }
 
-  double Number(const std::string& key, double least = 0, double most = kMost) const {
+  double Number(const std::string& key, double min = 0, double max = kMaxValue) const {
     const auto found = values_.find(key);
     if (found == values_.end()) throw BadSettings("setting absent: " + key);
-    return Checked(key, found->second, least, most);
+    return Checked(key, found->second, min, max);
   }
-  double NumberOr(const std::string& key, double otherwise, double least = 0, double most = kMost) const {
-    return values_.count(key) ? Number(key, least, most) : otherwise;
+  double NumberOr(const std::string& key, double fallback, double min = 0, double max = kMaxValue) const {
+    return values_.count(key) ? Number(key, min, max) : fallback;
   }
-  int Whole(const std::string& key, double least, double most) const {
-    const double value = Number(key, least, most);
+  int Integer(const std::string& key, double min, double max) const {
+    const double value = Number(key, min, max);
     if (value != std::floor(value)) throw BadSettings("setting not a whole number: " + key);
     return static_cast<int>(value);
   }
   Duration Time(const std::string& key) const { return Duration(Number(key)); }
-  std::string_view Word(const std::string& key, std::string_view otherwise) const {
+  std::string_view Word(const std::string& key, std::string_view fallback) const {
     const auto found = values_.find(key);
-    return found == values_.end() ? otherwise : found->second;
+    return found == values_.end() ? fallback : found->second;
   }
   std::string_view Word(const std::string& key) const {
     const auto found = values_.find(key);
@@ -52,87 +58,88 @@
   }
 
  private:
-  static double Checked(const std::string& key, std::string_view text, double least, double most) {
+  static double Checked(const std::string& key, std::string_view text, double min, double max) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
       throw BadSettings("setting not a number: " + key);
-    if (value < least || value > most) throw BadSettings("setting out of range: " + key);
+    if (value < min || value > max) throw BadSettings("setting out of range: " + key);
     return value;
   }
 
   std::map<std::string_view, std::string_view, std::less<>> values_;
 };
 
-Idempotency EffectOf(const Pairs& pairs, const std::string& key) {
-  const std::string_view word = pairs.Word(key);
-  if (word == "read_like") return Idempotency::kIdempotent;
-  if (word == "idempotency_key") return Idempotency::kIdempotencyKey;
-  if (word == "non_idempotent") return Idempotency::kNonIdempotent;
+Idempotency IdempotencyOf(const PathValueLines& lines, const std::string& key) {
+  const std::string_view word = lines.Word(key);
+  if (word == words::kIdempotent) return Idempotency::kIdempotent;
+  if (word == words::kIdempotencyKey) return Idempotency::kIdempotencyKey;
+  if (word == words::kNonIdempotent) return Idempotency::kNonIdempotent;
   throw BadSettings("setting of unknown meaning: " + key);
 }
 
-DeduplicationScope GroupOf(const Pairs& pairs, const std::string& key) {
-  const std::string_view word = pairs.Word(key);
-  if (word == "all") return DeduplicationScope::kAll;
-  if (word == "zone") return DeduplicationScope::kZone;
-  if (word == "cell") return DeduplicationScope::kCell;
+DeduplicationScope DeduplicationScopeOf(const PathValueLines& lines, const std::string& key) {
+  const std::string_view word = lines.Word(key);
+  if (word == words::kScopeAll) return DeduplicationScope::kAll;
+  if (word == words::kScopeZone) return DeduplicationScope::kZone;
+  if (word == words::kScopeCell) return DeduplicationScope::kCell;
   throw BadSettings("setting of unknown meaning: " + key);
 }
 
 }  // namespace
 
 Settings ParseSettings(std::string_view text) {
-  const Pairs pairs(text);
+  const PathValueLines lines(text);
   Settings settings;
-  settings.proxy_count = pairs.Whole("balancers", 1, kMostListItems);
-  settings.proxy_index = static_cast<int>(pairs.NumberOr("me", 0, 0, kMostListItems));
-  settings.zone = pairs.Whole("zone", 0, kMostListItems);
+  settings.proxy_count = lines.Integer(keys::kProxyCount, 1, kMaxListItems);
+  settings.proxy_index = static_cast<int>(lines.NumberOr(keys::kProxyIndex, 0, 0, kMaxListItems));
+  settings.zone = lines.Integer(keys::kZone, 0, kMaxListItems);
 
-  const int classes = pairs.Whole("classes.count", 1, kMostListItems);
+  const int classes = lines.Integer(keys::kClassCount, 1, kMaxListItems);
   for (int i = 0; i < classes; ++i) {
     const std::string at = "classes." + std::to_string(i) + ".";
     ClassSettings c;
-    c.idempotency = EffectOf(pairs, at + "effect");
+    c.idempotency = IdempotencyOf(lines, at + keys::kIdempotency);
     if (c.idempotency == Idempotency::kIdempotencyKey) {
-      c.deduplication_scope = GroupOf(pairs, at + "group");
-      c.deduplication_window = pairs.Time(at + "windowMs");
+      c.deduplication_scope = DeduplicationScopeOf(lines, at + keys::kDeduplicationScope);
+      c.deduplication_window = lines.Time(at + keys::kDeduplicationWindow);
     }
-    c.latency_objective = pairs.Time(at + "goalTimeMs");
-    c.deadline = pairs.Time(at + "deadlineMs");
-    c.priority_weight = pairs.NumberOr(at + "worth", 1);
-    c.late_weight_fraction = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
+    c.latency_objective = lines.Time(at + keys::kLatencyObjective);
+    c.deadline = lines.Time(at + keys::kDeadline);
+    c.priority_weight = lines.NumberOr(at + keys::kPriorityWeight, 1);
+    c.late_weight_fraction = lines.NumberOr(at + keys::kLateWeightFraction, 0, 0, 1);
     settings.classes.push_back(c);
   }
 
-  const int tenants = static_cast<int>(pairs.NumberOr("tenants.count", 0, 0, kMostListItems));
+  const int tenants = static_cast<int>(lines.NumberOr(keys::kTenantCount, 0, 0, kMaxListItems));
   for (int i = 0; i < tenants; ++i) {
     const std::string at = "tenants." + std::to_string(i) + ".";
     TenantSettings tenant;
-    tenant.quota_per_s = pairs.NumberOr(at + "quotaPerS", 0);
+    tenant.quota_per_s = lines.NumberOr(at + keys::kQuotaPerSecond, 0);
     settings.tenants.push_back(tenant);
   }
 
-  settings.service_objective.overall = pairs.NumberOr("goal.whole", 1, 0, 1);
-  settings.service_objective.worst_class = pairs.NumberOr("goal.worstClass", 0, 0, 1);
-  settings.service_objective.worst_tenant = pairs.NumberOr("goal.worstTenant", 0, 0, 1);
-  settings.over_quota_weight = pairs.NumberOr("overShareWorth", 1, 0, 1);
-  settings.cross_zone_cost = pairs.NumberOr("deductions.crossZone", 0);
-  settings.key_affinity = pairs.Word("specifics.warmKeys", "false") == "true";
-
-  const std::string_view mode = pairs.Word("registryMode", "push");
-  if (mode != "push" && mode != "ask") throw BadSettings("setting of unknown meaning: registryMode");
-  settings.polls_endpoints = mode == "ask";
-  if (settings.polls_endpoints) settings.max_poll_interval = pairs.Time("rules.mustAskInMs");
-  settings.max_attempts = pairs.Whole("permissions.maxAttempts", 1, 255);
-  if (pairs.Word("permissions.retryAfter", "false") == "true")
-    settings.max_retry_after = Duration(pairs.NumberOr("permissions.maxRetryAfterMs", 0));
-  settings.tick = Duration(pairs.NumberOr("periodMs", 1));
-
-  settings.slow_start_min_capacity = pairs.Number("rules.coldFrom", 0, 1);
-  settings.slow_start_window = pairs.Time("rules.warmUpMs");
-  settings.overload_factor = pairs.Number("rules.fallMultiple");
-  settings.overload_window = pairs.Time("rules.overloadForMs");
+  settings.service_objective.overall = lines.NumberOr(keys::kObjectiveOverall, 1, 0, 1);
+  settings.service_objective.worst_class = lines.NumberOr(keys::kObjectiveWorstClass, 0, 0, 1);
+  settings.service_objective.worst_tenant = lines.NumberOr(keys::kObjectiveWorstTenant, 0, 0, 1);
+  settings.over_quota_weight = lines.NumberOr(keys::kOverQuotaWeight, 1, 0, 1);
+  settings.cross_zone_cost = lines.NumberOr(keys::kCrossZoneCost, 0);
+  settings.key_affinity = lines.Word(keys::kKeyAffinity, words::kFalse) == words::kTrue;
+
+  const std::string_view mode = lines.Word(keys::kDiscoveryMode, words::kDiscoveryPushes);
+  if (mode != words::kDiscoveryPushes && mode != words::kDiscoveryIsPolled)
+    throw BadSettings(std::string("setting of unknown meaning: ") + keys::kDiscoveryMode);
+  settings.polls_endpoints = mode == words::kDiscoveryIsPolled;
+  if (settings.polls_endpoints) settings.max_poll_interval = lines.Time(keys::kMaxPollInterval);
+  settings.max_attempts = lines.Integer(keys::kMaxAttempts, 1, 255);
+  if (lines.Word(keys::kRetryAfterAllowed, words::kFalse) == words::kTrue)
+    settings.max_retry_after = Duration(lines.NumberOr(keys::kMaxRetryAfter, 0));
+  settings.tick = Duration(lines.NumberOr(keys::kTick, 1));
+
+  settings.slow_start_min_capacity = lines.Number(keys::kSlowStartMinCapacity, 0, 1);
+  settings.slow_start_window = lines.Time(keys::kSlowStartWindow);
+  settings.overload_factor = lines.Number(keys::kOverloadFactor);
+  settings.overload_window = lines.Time(keys::kOverloadWindow);
   return settings;
 }
 
--- a/src/config/read.cpp
+++ b/src/config/read.cpp
@@ -178,7 +178,7 @@
   return fmt::format("{}: {}", text, fault.what);
 }
 
-BadFile::BadFile(std::string file, std::vector<Fault> faults)
+BadFile::BadFile(const std::string& file, std::vector<Fault> faults)
     : std::runtime_error(Lines(file, faults)), faults_(std::move(faults)) {}
 
 void ReadText(std::string_view text, const std::string& file, const std::function<void(Visitor&)>& describe) {
--- a/src/config/read.h
+++ b/src/config/read.h
@@ -27,7 +27,7 @@
 // All faults of one file, in the order of their lines; what() has one line for each.
 class BadFile : public std::runtime_error {
  public:
-  BadFile(std::string file, std::vector<Fault> faults);
+  BadFile(const std::string& file, std::vector<Fault> faults);
   const std::vector<Fault>& faults() const { return faults_; }
 
  private:
--- a/src/peers/frame.h
+++ b/src/peers/frame.h
@@ -26,7 +26,7 @@
 extern const std::uint8_t kLeastVersion;  // that a reader of our messages has to know
 inline constexpr std::size_t kHeader = 24;
 inline constexpr std::size_t kMostDatagram = 1200;  // bytes, header and all
-inline constexpr std::size_t kMostFrame = 8 * 1024 * 1024;
+inline constexpr std::size_t kMostFrame = std::size_t{8} * 1024 * 1024;
 
 // Why a message was not taken.
 enum class Refusal {
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -111,7 +111,7 @@
 
   // Room is made as the bytes come: a length alone costs nothing.
   void ReadBody(std::size_t size) {
-    constexpr std::size_t kPiece = 64 * 1024;
+    constexpr std::size_t kPiece = std::size_t{64} * 1024;
     const std::size_t have = in_.size();
     in_.resize(std::min(size, have + kPiece));
     asio::async_read(socket_, asio::buffer(in_.data() + have, in_.size() - have),
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -67,11 +67,11 @@
 
 TEST(Codec, CreateAndCrash) {
   const Batch created = One(Hex("10 17000000 03000000 0102000000000000 07000000") + "a=1\nb=2");
-  const auto& create = std::get<Create>(created.records.at(0).message);
+  const auto& create = std::get<CreateInstance>(created.records.at(0).message);
   EXPECT_EQ(create.seed, 0x0201u);
   EXPECT_EQ(create.config, "a=1\nb=2");
   const Batch crashed = One(Hex("19 04000000 03000000"));
-  EXPECT_TRUE(std::holds_alternative<Crash>(crashed.records.at(0).message));
+  EXPECT_TRUE(std::holds_alternative<CrashInstance>(crashed.records.at(0).message));
 }
 
 TEST(Codec, Discovery) {
@@ -133,8 +133,8 @@
                "63 02000000 ffff"
                "19 04000000 03000000"));
   ASSERT_EQ(batch.records.size(), 2u);
-  EXPECT_EQ(std::get<Unknown>(batch.records[0].message).code, 0x63);
-  EXPECT_TRUE(std::holds_alternative<Crash>(batch.records[1].message));
+  EXPECT_EQ(std::get<IgnoredEvent>(batch.records[0].message).code, 0x63);
+  EXPECT_TRUE(std::holds_alternative<CrashInstance>(batch.records[1].message));
 }
 
 TEST(Codec, Actions) {
