--- a/tests/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -11,8 +11,8 @@
 #include <sstream>
 #include <string>
 
-#include "hex.h"
-#include "sample_settings.h"
+#include "support/hex.h"
+#include "support/sample_settings.h"
 
 namespace copperpoint {
 namespace {
--- a/tests/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <string>
 
-#include "hex.h"
+#include "support/hex.h"
 
 namespace copperpoint::adapter {
 namespace {
--- a/tests/settings_test.cpp
+++ b/tests/adapter/settings_test.cpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "sample_settings.h"
+#include "support/sample_settings.h"
 
 namespace copperpoint::adapter {
 namespace {
--- a/tests/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "run_program.h"
+#include "support/run_program.h"
 
 namespace copperpoint {
 namespace {
--- a/tests/balancer_test.cpp
+++ b/tests/decision/balancer_test.cpp
@@ -16,7 +16,7 @@
 #include <tuple>
 #include <vector>
 
-#include "harness.h"
+#include "support/balancer_fixture.h"
 
 namespace copperpoint {
 namespace {
--- a/tests/evidence_test.cpp
+++ b/tests/decision/evidence_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <vector>
 
-#include "harness.h"
+#include "support/balancer_fixture.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/large_fleet_test.cpp
+++ b/tests/decision/large_fleet_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-#include "harness.h"
+#include "support/balancer_fixture.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/overload_test.cpp
+++ b/tests/decision/overload_test.cpp
@@ -4,10 +4,10 @@
 #include <gtest/gtest.h>
 
 #include "copperpoint/balancer.h"
-#include "harness.h"
 #include "overload/priority.h"
 #include "overload/repeats.h"
 #include "overload/state.h"
+#include "support/balancer_fixture.h"
 
 namespace copperpoint::overload {
 namespace {
--- a/tests/fault_testing/change_test.cpp
+++ b/tests/fault_testing/change_test.cpp
@@ -7,8 +7,8 @@
 
 #include <string>
 
-#include "run_program.h"
 #include "supervisor/keeper.h"
+#include "support/run_program.h"
 
 namespace copperpoint::fault_testing {
 namespace {
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -11,7 +11,7 @@
 #include "fault_testing/plan.h"
 #include "fault_testing/processes/service.h"
 #include "fault_testing/virtual.h"
-#include "run_program.h"
+#include "support/run_program.h"
 
 namespace copperpoint::fault_testing {
 namespace {
--- a/tests/membership/frame_test.cpp
+++ b/tests/membership/frame_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <random>
 
-#include "run_program.h"
+#include "support/run_program.h"
 #include "view_testing.h"
 
 namespace copperpoint::testing {
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 
 #include "proxy/upstream/backends.h"
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/proxy/client_gone_test.cpp
+++ b/tests/proxy/client_gone_test.cpp
@@ -3,7 +3,7 @@
 // Clients that leave: nothing begins for them, whatever they had sent and wherever their request stood.
 #include <gtest/gtest.h>
 
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/proxy/closing_test.cpp
+++ b/tests/proxy/closing_test.cpp
@@ -3,7 +3,7 @@
 // Connections that the proxy ends while bytes are on their way, and its own end with requests in flight.
 #include <gtest/gtest.h>
 
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/operation_test.cpp
+++ b/tests/proxy/operation_test.cpp
@@ -7,10 +7,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "loopback.h"
 #include "proxy/admin/admin_server.h"
 #include "proxy/control/disabled.h"
 #include "proxy/control/lifecycle.h"
+#include "support/loopback.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -12,7 +12,7 @@
 #include <fstream>
 #include <map>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -7,7 +7,7 @@
 
 #include <set>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/proxy/watch_test.cpp
+++ b/tests/proxy/watch_test.cpp
@@ -8,7 +8,7 @@
 
 #include "proxy/discovery/discovery.h"
 #include "proxy/discovery/messages.h"
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -12,8 +12,8 @@
 #include "config/read.h"
 #include "fault_testing/trial.h"
 #include "rollout/agent.h"
-#include "run_program.h"
 #include "simulation/core/random.h"
+#include "support/run_program.h"
 
 namespace copperpoint::rollout {
 namespace {
--- a/tests/simulation/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -11,9 +11,9 @@
 
 #include "config/edit.h"
 #include "lab_testing.h"
-#include "run_program.h"
 #include "simulation/report/plot.h"
 #include "simulation/run/compare.h"
+#include "support/run_program.h"
 
 namespace copperpoint::simulation {
 namespace {
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -7,9 +7,9 @@
 #include <filesystem>
 
 #include "lab_testing.h"
-#include "run_program.h"
 #include "simulation/run/compare.h"
 #include "simulation/world/day.h"
+#include "support/run_program.h"
 
 namespace copperpoint::simulation {
 namespace {
--- a/tests/harness.h
+++ b/tests/support/balancer_fixture.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A Balancer under test, its clock, and short ways to say what happens.
-#ifndef COPPERPOINT_TESTS_HARNESS_H_
-#define COPPERPOINT_TESTS_HARNESS_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
+#define COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 
 #include <map>
 #include <optional>
@@ -129,4 +129,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_HARNESS_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
--- a/tests/hex.h
+++ b/tests/support/hex.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef COPPERPOINT_TESTS_HEX_H_
-#define COPPERPOINT_TESTS_HEX_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_HEX_H_
+#define COPPERPOINT_TESTS_SUPPORT_HEX_H_
 
 #include <string>
 #include <string_view>
@@ -21,4 +21,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_HEX_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_HEX_H_
--- a/tests/loopback.h
+++ b/tests/support/loopback.h
@@ -2,8 +2,8 @@
 //
 // A proxy on loopback sockets with backends and a discovery that do as the test says. Everything waits for
 // events; the only time limit is the one after which a test is given up.
-#ifndef COPPERPOINT_TESTS_LOOPBACK_H_
-#define COPPERPOINT_TESTS_LOOPBACK_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_LOOPBACK_H_
+#define COPPERPOINT_TESTS_SUPPORT_LOOPBACK_H_
 
 #include <stdlib.h>
 
@@ -441,4 +441,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_LOOPBACK_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_LOOPBACK_H_
--- a/tests/run_program.h
+++ b/tests/support/run_program.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Runs a program to its end and keeps what it wrote.
-#ifndef COPPERPOINT_TESTS_RUN_PROGRAM_H_
-#define COPPERPOINT_TESTS_RUN_PROGRAM_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_RUN_PROGRAM_H_
+#define COPPERPOINT_TESTS_SUPPORT_RUN_PROGRAM_H_
 
 #include <stdlib.h>
 #include <sys/wait.h>
@@ -54,4 +54,4 @@
 
 }  // namespace copperpoint::testing_support
 
-#endif  // COPPERPOINT_TESTS_RUN_PROGRAM_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_RUN_PROGRAM_H_
--- a/tests/sample_settings.h
+++ b/tests/support/sample_settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef COPPERPOINT_TESTS_SAMPLE_SETTINGS_H_
-#define COPPERPOINT_TESTS_SAMPLE_SETTINGS_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_SAMPLE_SETTINGS_H_
+#define COPPERPOINT_TESTS_SUPPORT_SAMPLE_SETTINGS_H_
 
 namespace copperpoint::testing {
 
@@ -42,4 +42,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_SAMPLE_SETTINGS_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_SAMPLE_SETTINGS_H_
--- a/tests/proxy/scripted.h
+++ b/tests/support/scripted.h
@@ -2,8 +2,8 @@
 //
 // Peers on real sockets that hold, write a part, or end on command, and an event loop stepped by hand, so
 // that what a test is about is made to happen and not hoped for.
-#ifndef COPPERPOINT_TESTS_PROXY_SCRIPTED_H_
-#define COPPERPOINT_TESTS_PROXY_SCRIPTED_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_SCRIPTED_H_
+#define COPPERPOINT_TESTS_SUPPORT_SCRIPTED_H_
 
 #include <sys/socket.h>
 
@@ -12,7 +12,7 @@
 #include <thread>
 #include <utility>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace copperpoint::testing {
 
@@ -90,4 +90,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_PROXY_SCRIPTED_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_SCRIPTED_H_
