--- a/src/decision/ring.h
+++ b/src/decision/backend_ring.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Servers in an order that all proxies share: by a hash of their ids. Bookkeeping, no decisions.
-#ifndef COPPERPOINT_DECISION_RING_H_
-#define COPPERPOINT_DECISION_RING_H_
+#ifndef COPPERPOINT_DECISION_BACKEND_RING_H_
+#define COPPERPOINT_DECISION_BACKEND_RING_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -11,6 +11,7 @@
 
 #include "copperpoint/balancer.h"
 #include "decision/measures.h"
+#include "decision/random.h"
 
 namespace copperpoint {
 
@@ -57,4 +58,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_RING_H_
+#endif  // COPPERPOINT_DECISION_BACKEND_RING_H_
--- a/src/decision/balance.cpp
+++ b/src/decision/balance.cpp
@@ -4,7 +4,7 @@
 //
 // The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the servers in service, a
 // pick of the one with the least hinted work of this proxy's own in flight. Whatever departs from that is
-// marked "Exception" with the condition under which it acts. What overload is measured by is in src/overload.
+// marked "Exception" with the condition under which it acts.
 #include <algorithm>
 #include <array>
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -14,11 +14,14 @@
 #include <utility>
 
 #include "copperpoint/balancer.h"
-#include "decision/asking.h"
+#include "decision/backend_ring.h"
+#include "decision/client_retry_detector.h"
+#include "decision/endpoint_poller.h"
 #include "decision/measures.h"
-#include "decision/ring.h"
-#include "overload/priority.h"
-#include "overload/state.h"
+#include "decision/overload_monitor.h"
+#include "decision/random.h"
+#include "decision/request_priority.h"
+#include "decision/running_mean.h"
 
 namespace copperpoint {
 namespace {
@@ -204,7 +207,7 @@
       : settings_(std::move(settings)),
         random_(seed),
         priority_(settings_),
-        asking_(settings_.max_poll_interval) {
+        poller_(settings_.max_poll_interval) {
     classes_.resize(settings_.classes.size());
     tenant_tokens_.resize(settings_.tenants.size(), 1);
   }
@@ -541,7 +544,7 @@
     } else {
       out_->push_back(FailRequest{r.id, reason});
     }
-    ++counts_.refused;
+    ++counts_.rejected;
     Settle(r, may.refuse || settings_.classes[r.cls].idempotency == Idempotency::kIdempotent);
   }
 
@@ -562,9 +565,9 @@
     r.finished = true;
     const Duration deadline = settings_.classes[r.cls].deadline;
     if (may_return) {
-      repeats_.Unserved(r.fingerprint, r.wish, r.wish.since + deadline);
+      repeats_.OnUnserved(r.fingerprint, r.wish, r.wish.first_received + deadline);
     } else {
-      repeats_.Final(r.fingerprint, now_ + deadline);
+      repeats_.OnServed(r.fingerprint, now_ + deadline);
     }
   }
 
@@ -573,7 +576,7 @@
   // late doubled its work on every site. Zero also where no repeat is permitted or would come in time.
   Duration TimeoutFor(const Request& r, const Server& s) const {
     const ClassSettings& c = settings_.classes[r.cls];
-    const Spread& seen = classes_[r.cls].latency;
+    const RunningMean& seen = classes_[r.cls].latency;
     if (c.idempotency == Idempotency::kNonIdempotent || seen.samples < 10 || s.own_count == 0 ||
         retry_tokens_ < 1)
       return Duration(0);
@@ -651,19 +654,19 @@
       return;
     outcomes_ = std::min(kYoung, outcomes_ + 1);
     last_answer_ = now_;
-    counts_.answered += ok;
+    counts_.succeeded += ok;
     if (ok || e.outcome == AttemptOutcome::kServerError || e.outcome == AttemptOutcome::kBackendRejected)
       HeardOf(s);
     if (e.outcome == AttemptOutcome::kConnectFailure) SilenceOf(s);
     if (ok) served_work_ += r.work, ++answered_;
     if (ok && WarmShare(s) >= 1) kinds_.Served(s.entry.kind, r.work);
-    if (ok && now_ <= r.wish.since + settings_.classes[r.cls].latency_objective)
-      priority_.InTime(r.cls, r.tenant, r.work, r.wish.within_share);
+    if (ok && now_ <= r.wish.first_received + settings_.classes[r.cls].latency_objective)
+      priority_.OnServedInTime(r.cls, r.tenant, r.work, r.wish.within_quota);
     const double took = e.duration.count();
     LearnZone(r, s, ok && now_ <= r.arrived + settings_.classes[r.cls].latency_objective, ok);
     const bool timed = ok || e.outcome == AttemptOutcome::kTimeout;
     if (timed && std::isfinite(took) && took >= 0) {
-      Spread& seen = classes_[r.cls].latency;
+      RunningMean& seen = classes_[r.cls].latency;
       seen.Add(took / WorkScale(r));
       const double relative = std::min(kMostSlowness, took / WorkScale(r) / std::max(seen.mean, 1e-9));
       s.slowness = SlownessOf(s);
@@ -728,7 +731,7 @@
   // held all of the places that FitsProxy gives, and half of the requests were refused by an idle fleet.
   void FindOverdue() {
     for (auto& [id, r] : requests_) {
-      const Spread& seen = classes_[r.cls].latency;
+      const RunningMean& seen = classes_[r.cls].latency;
       if (seen.samples < 10) continue;
       const Duration unlikely((seen.mean + kDeviations * seen.deviation) * WorkScale(r));
       for (Attempt& a : r.attempts) {
@@ -801,11 +804,11 @@
     }
     r.cls = e.request_class;
     const ClassSettings& c = settings_.classes[r.cls];
-    r.fingerprint = overload::FingerprintOf(e);
-    r.wish = repeats_.Arrived(r.fingerprint, now_);
-    ++counts_.arrived;
-    counts_.repeats += r.wish.tries > 1 || e.client_retry;
-    const Duration aim = c.latency_objective - std::max(Elapsed(e), now_ - r.wish.since);
+    r.fingerprint = FingerprintOf(e);
+    r.wish = repeats_.OnReceived(r.fingerprint, now_);
+    ++counts_.received;
+    counts_.client_retries += r.wish.client_attempts > 1 || e.client_retry;
+    const Duration aim = c.latency_objective - std::max(Elapsed(e), now_ - r.wish.first_received);
     r.hinted = e.has_work_estimate && std::isfinite(e.estimated_work_ms) && e.estimated_work_ms > 0;
     r.work = r.hinted                    ? std::min(e.estimated_work_ms, kMostWork)
              : request_work_.samples > 0 ? request_work_.mean
@@ -817,11 +820,11 @@
     mean_aim_.Add(c.latency_objective.count());
     asked_work_ += r.work;
     r.tenant = e.tenant;
-    if (r.wish.tries == 1) {
-      r.wish.within_share = WithinShare(e.tenant);
-      priority_.Asked(r.cls, r.tenant, r.work, r.wish.within_share);
+    if (r.wish.client_attempts == 1) {
+      r.wish.within_quota = WithinShare(e.tenant);
+      priority_.OnOffered(r.cls, r.tenant, r.work, r.wish.within_quota);
     }
-    r.value = c.priority_weight * (r.wish.within_share ? 1 : settings_.over_quota_weight);
+    r.value = c.priority_weight * (r.wish.within_quota ? 1 : settings_.over_quota_weight);
     // What is too large to be in time is worth little, or nothing: it must not take the place of others. Each
     // such finding weakens the next: a slow spell must not shut a class out for good.
     const bool at_ease = fleet_.thin && Pressure() < kAtEase;  // it takes nobody's place, and may be lucky
@@ -846,7 +849,7 @@
   Duration StayAway(const Request& r) {
     const Duration deadline = settings_.classes[r.cls].deadline, most = settings_.max_retry_after;
     if (most >= deadline || most <= Duration(0)) return std::min(most, deadline);
-    return most * std::min(1.0, 0.9 + 0.1 * (random_.Unit() + r.wish.tries - 1));
+    return most * std::min(1.0, 0.9 + 0.1 * (random_.Unit() + r.wish.client_attempts - 1));
   }
 
   // Sends the request or holds it; true if sent.
@@ -863,7 +866,7 @@
     } else if (!r.held) {
       r.held = true;
       r.rank = r.value / settings_.classes[r.cls].priority_weight *
-               priority_.Of(r.cls, r.wish.within_share ? r.tenant : -1);
+               priority_.PriorityOf(r.cls, r.wish.within_quota ? r.tenant : -1);
       held_.emplace(-r.rank, r.arrived.time_since_epoch(), r.id);
       wakeups_.emplace(r.refuse_at, r.id);
     }
@@ -903,7 +906,7 @@
 
   // ---- 7. Discovery -----------------------------------------------------------------------------------
   void On(const EndpointUpdate& e) {
-    if (settings_.polls_endpoints) asking_.Heard(e.kind, now_, random_);
+    if (settings_.polls_endpoints) poller_.OnUpdate(e.kind, now_, random_);
     if (e.kind == EndpointUpdateKind::kFailed) return;
     if (e.kind != EndpointUpdateKind::kIncremental) {
       ++list_;
@@ -1003,7 +1006,7 @@
       for (Server& s : servers_) OutlierDetector::EndInterval(s.health);
     }
     if (now_ >= sample_at_) Sample();
-    if (asking_.Due(now_)) out_->push_back(PollEndpoints{});
+    if (poller_.TakeDuePoll(now_)) out_->push_back(PollEndpoints{});
     while (!wakeups_.empty() && wakeups_.begin()->first <= now_) {
       const auto found = requests_.find(wakeups_.begin()->second);
       wakeups_.erase(wakeups_.begin());
@@ -1081,8 +1084,9 @@
       }
       kinds_.Forget(Duration(elapsed));
       ResizeSubset();
-      priority_.Forget(Duration(elapsed));
-      if (overload_.Judge(now_, Duration(elapsed), std::exchange(counts_, {}))) LogLine(overload_.Describe());
+      priority_.Decay(Duration(elapsed));
+      if (overload_.Update(now_, Duration(elapsed), std::exchange(counts_, {})))
+        LogLine(overload_.Describe());
     }
     for (std::size_t t = 0; t < tenant_tokens_.size(); ++t) {
       const double rate = settings_.tenants[t].quota_per_s / settings_.proxy_count / 1000;
@@ -1094,7 +1098,7 @@
   }
 
   void Arm() {
-    TimePoint at = std::min(asking_.at(), held_.empty() ? kNever : sample_at_);
+    TimePoint at = std::min(poller_.next_poll_at(), held_.empty() ? kNever : sample_at_);
     if (!wakeups_.empty()) at = std::min(at, wakeups_.begin()->first);
     if (at >= armed_) return;
     armed_ = at;
@@ -1135,15 +1139,15 @@
   Requests requests_;
   TimePoint last_answer_{}, heard_{};
   boost::unordered_flat_map<int, Zone> zones_;
-  overload::Repeats repeats_;
-  overload::Priority priority_;
-  overload::State overload_;
-  overload::Counts counts_;
+  ClientRetryDetector repeats_;
+  RequestPriority priority_;
+  OverloadMonitor overload_;
+  OverloadCounts counts_;
   std::set<std::tuple<double, Duration, RequestId>> held_;
   std::set<std::pair<TimePoint, RequestId>> wakeups_;
   std::vector<ClassState> classes_;
   KindShares kinds_{kWarmRateMemory};
-  Spread request_work_, mean_aim_;
+  RunningMean request_work_, mean_aim_;
   double of_aim_ = 0;    // share of their aims that answers take
   double crowding_ = 3;  // time of answers over what they take uncrowded
   int stretch_votes_ = 0;
@@ -1158,7 +1162,7 @@
   double home_first_ = 0.5;               // share of picks that count the price of crossing zones
   double lost_home_ = 0, lost_away_ = 0;  // share of worth lost at servers of the own zone and of others
   bool room_ = false;                     // something changed that may let a held request go
-  Asking asking_;
+  EndpointPoller poller_;
   TimePoint armed_ = kNever;
   TimePoint interval_end_{}, sample_at_{}, sampled_at_{};
   TimePoint log_at_[kLogKinds] = {};
--- /dev/null
+++ b/src/decision/endpoint_poller.h
@@ -0,0 +1,54 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Decides when discovery is polled for the endpoint list, where it doesn't push changes by itself.
+#ifndef COPPERPOINT_DECISION_ENDPOINT_POLLER_H_
+#define COPPERPOINT_DECISION_ENDPOINT_POLLER_H_
+
+#include <algorithm>
+
+#include "copperpoint/balancer.h"
+#include "decision/never.h"
+#include "decision/random.h"
+
+namespace copperpoint {
+
+// Polls at once after the start of the process, again with jittered exponential backoff after a failure, and
+// again if no answer comes. The list has to be up to date 6 s after discovery has a change and can be
+// reached; kMaxBackoff and kMaxAnswerTime keep that whatever failed before.
+class EndpointPoller {
+ public:
+  // `max_interval`: Settings::max_poll_interval.
+  explicit EndpointPoller(Duration max_interval) : max_interval_(max_interval) {}
+
+  // The result of a poll or a watch; kCached is the list that a process starts with.
+  void OnUpdate(EndpointUpdateKind kind, TimePoint now, Random& random) {
+    if (kind == EndpointUpdateKind::kCached) {
+      next_poll_at_ = now;
+    } else if (kind == EndpointUpdateKind::kFailed) {
+      backoff_ = std::min({max_interval_ / 4, kMaxBackoff, std::max(max_interval_ / 20, backoff_ * 2)});
+      next_poll_at_ = now + backoff_ * (0.5 + 0.5 * random.Unit());
+    } else {
+      backoff_ = Duration(0);
+      next_poll_at_ = kNever;
+    }
+  }
+
+  // True once when it is time to poll.
+  bool TakeDuePoll(TimePoint now) {
+    if (now < next_poll_at_) return false;
+    next_poll_at_ = now + std::min(max_interval_ / 2, kMaxAnswerTime);  // an answer may never come
+    return true;
+  }
+
+  TimePoint next_poll_at() const { return next_poll_at_; }
+
+ private:
+  static constexpr Duration kMaxBackoff{1000}, kMaxAnswerTime{5000};
+
+  Duration max_interval_, backoff_{0};
+  TimePoint next_poll_at_ = kNever;
+};
+
+}  // namespace copperpoint
+
+#endif  // COPPERPOINT_DECISION_ENDPOINT_POLLER_H_
--- a/src/decision/words.h
+++ b/src/decision/log_names.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The words for what the module knows, as logs have them: the proxy's and the emulator's are read by one
-// reader.
-#ifndef COPPERPOINT_DECISION_WORDS_H_
-#define COPPERPOINT_DECISION_WORDS_H_
+// The names by which logs call the values of the decision interface. One reader serves the logs of the proxy
+// and of the simulator.
+#ifndef COPPERPOINT_DECISION_LOG_NAMES_H_
+#define COPPERPOINT_DECISION_LOG_NAMES_H_
 
 #include <cstddef>
 
@@ -36,4 +36,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_WORDS_H_
+#endif  // COPPERPOINT_DECISION_LOG_NAMES_H_
--- a/src/decision/measures.h
+++ b/src/decision/measures.h
@@ -10,47 +10,16 @@
 #include <cmath>
 #include <cstdint>
 #include <deque>
-#include <random>
 #include <unordered_map>
 #include <utility>
 #include <vector>
 
 #include "copperpoint/balancer.h"
-#include "overload/repeats.h"
+#include "decision/client_retry_detector.h"
+#include "decision/running_mean.h"
 
 namespace copperpoint {
 
-// Deterministic from its seed alone; the standard distributions differ between libraries.
-class Random {
- public:
-  explicit Random(std::uint64_t seed) : engine_(seed) {}
-  double Unit() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
-  std::uint64_t Below(std::uint64_t n) { return engine_() % n; }
-
- private:
-  std::mt19937_64 engine_;
-};
-
-// A hash that every proxy shares: all bits of an id mixed, as MurmurHash3 ends.
-inline std::uint32_t MixBits(std::uint32_t x) {
-  x = (x ^ (x >> 16)) * 0x85ebca6bu;
-  x = (x ^ (x >> 13)) * 0xc2b2ae35u;
-  return x ^ (x >> 16);
-}
-
-// Mean and mean deviation, exponentially weighted.
-struct Spread {
-  double mean = 0, deviation = 0;
-  int samples = 0;
-
-  void Add(double x) {
-    const double gain = std::max(0.02, 1.0 / ++samples);
-    if (samples == 1) mean = x, deviation = x / 2;
-    deviation += gain * (std::abs(x - mean) - deviation);
-    mean += gain * (x - mean);
-  }
-};
-
 // Work this proxy sent to one cold server within the rule's window. Everything sent counts.
 class SentWindow {
  public:
@@ -131,7 +100,7 @@
   TimePoint refuse_at{}, patient_until{};  // while held: given up then, or where all is silent then
   std::uint64_t fingerprint = 0;
   bool hinted = false;
-  overload::Wish wish;  // of the client, that this is a try at
+  LogicalRequest wish;  // of the client, that this is a try at
   std::vector<Attempt> attempts;
   bool finished = false, streaming = false, held = false;
   int outstanding() const {
@@ -227,7 +196,7 @@
 
 // What this proxy has seen of a class.
 struct ClassState {
-  Spread latency, work;  // time over WorkScale; hinted work
+  RunningMean latency, work;  // time over WorkScale; hinted work
   UsualTimes usual_times;
 };
 
--- /dev/null
+++ b/src/decision/overload_monitor.cpp
@@ -0,0 +1,71 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "decision/overload_monitor.h"
+
+#include <cmath>
+#include <utility>
+
+namespace copperpoint {
+
+const char* NameOf(OverloadState state) {
+  switch (state) {
+    case OverloadState::kCalm:
+      return "calm";
+    case OverloadState::kSurge:
+      return "surge";
+    case OverloadState::kStorm:
+      return "storm";
+    case OverloadState::kRecovery:
+      return "recovery";
+  }
+  return "";
+}
+
+std::string OverloadMonitor::Describe() const {
+  const auto percent = [](double fraction) { return std::to_string(std::lround(100 * fraction)); };
+  return std::string("overload: ") + NameOf(previous_) + " to " + NameOf(state_) + "; " +
+         percent(RejectedFraction()) + "% of requests rejected, " + percent(ClientRetryFraction()) +
+         "% client retries";
+}
+
+OverloadState OverloadMonitor::CurrentSigns() const {
+  const bool rejecting = RejectedFraction() > kRejectedFraction;
+  const bool no_answers = mean_.rejected > 1 && mean_.succeeded < 0.05 * mean_.rejected;
+  if (no_answers || (rejecting && ClientRetryFraction() > kClientRetryFraction)) return OverloadState::kStorm;
+  return rejecting ? OverloadState::kSurge : OverloadState::kCalm;
+}
+
+OverloadState OverloadMonitor::NextState(TimePoint now, OverloadState signs) const {
+  const Duration lasted = now - signs_since_;
+  if (signs > state_ || (state_ == OverloadState::kRecovery && signs != OverloadState::kCalm))
+    return lasted >= kEnterAfter ? signs : state_;
+  // Rejected clients keep retrying for a while: a storm is not followed by calm at once.
+  if (state_ == OverloadState::kStorm && signs != OverloadState::kStorm)
+    return lasted >= kLeaveAfter ? OverloadState::kRecovery : state_;
+  if (state_ == OverloadState::kSurge && signs == OverloadState::kCalm)
+    return lasted >= kLeaveAfter ? OverloadState::kCalm : state_;
+  if (state_ == OverloadState::kRecovery && now - entered_at_ >= kRecoveryTime) return OverloadState::kCalm;
+  return state_;
+}
+
+std::optional<OverloadState> OverloadMonitor::Update(TimePoint now, Duration elapsed,
+                                                     const OverloadCounts& counts) {
+  const double remaining = std::exp(-elapsed / kMemory);
+  const auto average = [remaining](double& mean, double count) { mean = remaining * mean + count; };
+  average(mean_.received, counts.received);
+  average(mean_.client_retries, counts.client_retries);
+  average(mean_.rejected, counts.rejected);
+  average(mean_.succeeded, counts.succeeded);
+
+  const OverloadState signs = CurrentSigns();
+  if (signs != signs_) {
+    signs_ = signs;
+    signs_since_ = now;
+  }
+  const OverloadState next = NextState(now, signs);
+  if (next == state_) return std::nullopt;
+  previous_ = std::exchange(state_, next);
+  entered_at_ = now;
+  return state_;
+}
+
+}  // namespace copperpoint
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -9,9 +9,9 @@
 #include <unordered_set>
 #include <utility>
 
-#include "decision/words.h"
+#include "decision/client_retry_detector.h"
+#include "decision/log_names.h"
 #include "log/log.h"
-#include "overload/repeats.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -449,7 +449,7 @@
   if (log::Global().Enabled(log::Level::kDebug)) {
     log::Global().Debug("request_taken", {{"request", id},
                                           {"id", std::string(request.message["Req-Id"])},
-                                          {"wish", log::Hex(overload::FingerprintOf(submit))},
+                                          {"wish", log::Hex(FingerprintOf(submit))},
                                           {"class", submit.request_class},
                                           {"work_ms", submit.estimated_work_ms}});
   }
--- a/src/simulation/world/service.cpp
+++ b/src/simulation/world/service.cpp
@@ -5,8 +5,8 @@
 #include <cmath>
 #include <utility>
 
-#include "decision/words.h"
-#include "overload/repeats.h"
+#include "decision/client_retry_detector.h"
+#include "decision/log_names.h"
 
 namespace copperpoint::simulation {
 namespace {
@@ -152,7 +152,7 @@
     s_.LogOf(t.proxy, "request_taken",
              {{"request", submit.request},
               {"id", log::Hex(submit.request)},
-              {"wish", log::Hex(overload::FingerprintOf(submit))},
+              {"wish", log::Hex(FingerprintOf(submit))},
               {"class", submit.request_class},
               {"work_ms", submit.estimated_work_ms}});
   }
--- /dev/null
+++ b/tests/decision/endpoint_poller_test.cpp
@@ -0,0 +1,50 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// When discovery is polled: the list has to be up to date 6 s after discovery has a change and can be
+// reached.
+#include "decision/endpoint_poller.h"
+
+#include <gtest/gtest.h>
+
+namespace copperpoint {
+namespace {
+
+TEST(EndpointPoller, PollsWithinASecondAfterAnyNumberOfFailures) {
+  for (const double max_interval_ms : {2000.0, 10000.0, 60000.0, 600000.0}) {
+    Random random(7);
+    EndpointPoller poller{Duration(max_interval_ms)};
+    TimePoint now{Duration(1e9)};
+    poller.OnUpdate(EndpointUpdateKind::kCached, now, random);
+    EXPECT_TRUE(poller.TakeDuePoll(now));
+    for (int failure = 0; failure < 20; ++failure) {
+      poller.OnUpdate(EndpointUpdateKind::kFailed, now, random);
+      EXPECT_GT(poller.next_poll_at(), now) << "not at once, over and over";
+      EXPECT_LE(poller.next_poll_at(), now + Duration(1000));
+      now = poller.next_poll_at();
+      EXPECT_TRUE(poller.TakeDuePoll(now));
+    }
+  }
+}
+
+TEST(EndpointPoller, PollsAgainWithinFiveSecondsWithoutAnAnswer) {
+  Random random(7);
+  EndpointPoller poller{Duration(600000)};
+  const TimePoint now{Duration(1e9)};
+  poller.OnUpdate(EndpointUpdateKind::kCached, now, random);
+  EXPECT_TRUE(poller.TakeDuePoll(now));
+  EXPECT_FALSE(poller.TakeDuePoll(now + Duration(1000)));
+  EXPECT_TRUE(poller.TakeDuePoll(now + Duration(5000)));
+}
+
+TEST(EndpointPoller, StopsPollingAfterAnUpdate) {
+  Random random(7);
+  EndpointPoller poller{Duration(10000)};
+  const TimePoint now{Duration(1e9)};
+  poller.OnUpdate(EndpointUpdateKind::kCached, now, random);
+  EXPECT_TRUE(poller.TakeDuePoll(now));
+  poller.OnUpdate(EndpointUpdateKind::kIncremental, now, random);
+  EXPECT_FALSE(poller.TakeDuePoll(now + Duration(1e6)));
+}
+
+}  // namespace
+}  // namespace copperpoint
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -4,12 +4,12 @@
 #include <gtest/gtest.h>
 
 #include "copperpoint/balancer.h"
+#include "decision/client_retry_detector.h"
+#include "decision/overload_monitor.h"
+#include "decision/request_priority.h"
 #include "harness.h"
-#include "overload/priority.h"
-#include "overload/repeats.h"
-#include "overload/state.h"
 
-namespace copperpoint::overload {
+namespace copperpoint {
 namespace {
 
 using copperpoint::testing::At;
@@ -40,58 +40,58 @@
   EXPECT_NE(FingerprintOf(Asking(1, 2, 3, 0)), 0u);
 }
 
-TEST(Repeats, ATryAfterOneThatEndedUnservedBelongsToItsWish) {
-  Repeats repeats;
-  Wish wish = repeats.Arrived(7, At(100));
-  EXPECT_EQ(wish.tries, 1);
-  repeats.Unserved(7, wish, At(1000));
-  wish = repeats.Arrived(7, At(300));
-  EXPECT_EQ(wish.tries, 2);
-  EXPECT_EQ(wish.since, At(100));
-  wish.within_share = false;
-  repeats.Unserved(7, wish, At(1000));
-  wish = repeats.Arrived(7, At(500));
-  EXPECT_FALSE(wish.within_share) << "a repeat takes no second place in its account's share";
-  EXPECT_EQ(wish.tries, 3);
-  EXPECT_EQ(wish.since, At(100));
+TEST(ClientRetryDetector, ATryAfterOneThatEndedUnservedBelongsToItsWish) {
+  ClientRetryDetector repeats;
+  LogicalRequest wish = repeats.OnReceived(7, At(100));
+  EXPECT_EQ(wish.client_attempts, 1);
+  repeats.OnUnserved(7, wish, At(1000));
+  wish = repeats.OnReceived(7, At(300));
+  EXPECT_EQ(wish.client_attempts, 2);
+  EXPECT_EQ(wish.first_received, At(100));
+  wish.within_quota = false;
+  repeats.OnUnserved(7, wish, At(1000));
+  wish = repeats.OnReceived(7, At(500));
+  EXPECT_FALSE(wish.within_quota) << "a repeat takes no second place in its account's share";
+  EXPECT_EQ(wish.client_attempts, 3);
+  EXPECT_EQ(wish.first_received, At(100));
 }
 
-TEST(Repeats, NobodyReturnsAfterTheDeadlineOrTwiceForOneTry) {
-  Repeats repeats;
-  repeats.Unserved(7, repeats.Arrived(7, At(0)), At(1000));
-  EXPECT_EQ(repeats.Arrived(7, At(1000)).tries, 1);
-  repeats.Unserved(8, repeats.Arrived(8, At(0)), At(1000));
-  EXPECT_EQ(repeats.Arrived(8, At(1)).tries, 2);
-  EXPECT_EQ(repeats.Arrived(8, At(2)).tries, 1);
-  EXPECT_EQ(repeats.Arrived(0, At(0)).tries, 1);
+TEST(ClientRetryDetector, NobodyReturnsAfterTheDeadlineOrTwiceForOneTry) {
+  ClientRetryDetector repeats;
+  repeats.OnUnserved(7, repeats.OnReceived(7, At(0)), At(1000));
+  EXPECT_EQ(repeats.OnReceived(7, At(1000)).client_attempts, 1);
+  repeats.OnUnserved(8, repeats.OnReceived(8, At(0)), At(1000));
+  EXPECT_EQ(repeats.OnReceived(8, At(1)).client_attempts, 2);
+  EXPECT_EQ(repeats.OnReceived(8, At(2)).client_attempts, 1);
+  EXPECT_EQ(repeats.OnReceived(0, At(0)).client_attempts, 1);
 }
 
 // A constant hint, or a popular key without one: whoever comes next may be anybody.
-TEST(Repeats, WhatSeveralShareNamesNoneOfThem) {
-  Repeats repeats;
-  const Wish one = repeats.Arrived(7, At(0));
-  const Wish other = repeats.Arrived(7, At(1));
-  repeats.Unserved(7, one, At(1000));
-  repeats.Unserved(7, other, At(1000));
-  EXPECT_EQ(repeats.Arrived(7, At(10)).tries, 1);
+TEST(ClientRetryDetector, WhatSeveralShareNamesNoneOfThem) {
+  ClientRetryDetector repeats;
+  const LogicalRequest one = repeats.OnReceived(7, At(0));
+  const LogicalRequest other = repeats.OnReceived(7, At(1));
+  repeats.OnUnserved(7, one, At(1000));
+  repeats.OnUnserved(7, other, At(1000));
+  EXPECT_EQ(repeats.OnReceived(7, At(10)).client_attempts, 1);
 
-  repeats.Arrived(8, At(0));
-  repeats.Final(8, At(500));
-  repeats.Unserved(8, repeats.Arrived(8, At(100)), At(1100));
-  EXPECT_EQ(repeats.Arrived(8, At(200)).tries, 1) << "one like it was served a moment ago";
+  repeats.OnReceived(8, At(0));
+  repeats.OnServed(8, At(500));
+  repeats.OnUnserved(8, repeats.OnReceived(8, At(100)), At(1100));
+  EXPECT_EQ(repeats.OnReceived(8, At(200)).client_attempts, 1) << "one like it was served a moment ago";
 }
 
-TEST(Repeats, MemoryIsBoundedAndGivenBack) {
-  Repeats repeats;
-  for (std::uint64_t f = 1; f <= Repeats::kMostKept + 100; ++f) {
-    const Wish wish = repeats.Arrived(f, At(0));
-    repeats.Unserved(f, wish, At(1000));
+TEST(ClientRetryDetector, MemoryIsBoundedAndGivenBack) {
+  ClientRetryDetector repeats;
+  for (std::uint64_t f = 1; f <= ClientRetryDetector::kMaxFingerprints + 100; ++f) {
+    const LogicalRequest wish = repeats.OnReceived(f, At(0));
+    repeats.OnUnserved(f, wish, At(1000));
   }
-  EXPECT_EQ(repeats.kept(), Repeats::kMostKept);
-  EXPECT_EQ(repeats.Arrived(5, At(10)).tries, 2);
-  repeats.Final(5, At(900));
-  repeats.Arrived(0, At(2000));
-  EXPECT_EQ(repeats.kept(), 0u);
+  EXPECT_EQ(repeats.size(), ClientRetryDetector::kMaxFingerprints);
+  EXPECT_EQ(repeats.OnReceived(5, At(10)).client_attempts, 2);
+  repeats.OnServed(5, At(900));
+  repeats.OnReceived(0, At(2000));
+  EXPECT_EQ(repeats.size(), 0u);
 }
 
 Settings Judged(ServiceObjective goal) {
@@ -104,53 +104,54 @@
   return s;
 }
 
-TEST(Priority, IsTheWorthWhereNothingElseIsAskedFor) {
-  Priority priority(Judged({1, 0, 0}));
-  priority.Asked(1, 0, 100, true);
-  EXPECT_DOUBLE_EQ(priority.Of(0, 0), 5);
-  EXPECT_DOUBLE_EQ(priority.Of(1, 0), 3);
-  EXPECT_EQ(priority.Of(7, 0), 0);
-  EXPECT_DOUBLE_EQ(priority.Of(0, -1), 5);
+TEST(RequestPriority, IsTheWorthWhereNothingElseIsAskedFor) {
+  RequestPriority priority(Judged({1, 0, 0}));
+  priority.OnOffered(1, 0, 100, true);
+  EXPECT_DOUBLE_EQ(priority.PriorityOf(0, 0), 5);
+  EXPECT_DOUBLE_EQ(priority.PriorityOf(1, 0), 3);
+  EXPECT_EQ(priority.PriorityOf(7, 0), 0);
+  EXPECT_DOUBLE_EQ(priority.PriorityOf(0, -1), 5);
 }
 
-TEST(Priority, TheWorstServedClassRisesBySoMuchAsTheGoalGainsByIt) {
-  Priority priority(Judged({0.5, 0.35, 0}));
-  priority.Asked(0, 0, 70, true);   // 350 of worth
-  priority.Asked(1, 0, 50, true);   // 150
-  priority.InTime(0, 0, 70, true);  // all
-  priority.InTime(1, 0, 25, true);  // half
-  EXPECT_DOUBLE_EQ(priority.Of(0, 0), 5 * 0.5);
-  EXPECT_DOUBLE_EQ(priority.Of(1, 0), 3 * (0.5 + 0.35 * 500 / 150));
-  EXPECT_GT(priority.Of(1, 0), priority.Of(0, 0));
-  priority.InTime(1, 0, 25, true);
-  priority.Asked(0, 0, 70, true);  // now this one is at half
-  EXPECT_GT(priority.Of(0, 0), priority.Of(1, 0));
+TEST(RequestPriority, TheWorstServedClassRisesBySoMuchAsTheGoalGainsByIt) {
+  RequestPriority priority(Judged({0.5, 0.35, 0}));
+  priority.OnOffered(0, 0, 70, true);       // 350 of worth
+  priority.OnOffered(1, 0, 50, true);       // 150
+  priority.OnServedInTime(0, 0, 70, true);  // all
+  priority.OnServedInTime(1, 0, 25, true);  // half
+  EXPECT_DOUBLE_EQ(priority.PriorityOf(0, 0), 5 * 0.5);
+  EXPECT_DOUBLE_EQ(priority.PriorityOf(1, 0), 3 * (0.5 + 0.35 * 500 / 150));
+  EXPECT_GT(priority.PriorityOf(1, 0), priority.PriorityOf(0, 0));
+  priority.OnServedInTime(1, 0, 25, true);
+  priority.OnOffered(0, 0, 70, true);  // now this one is at half
+  EXPECT_GT(priority.PriorityOf(0, 0), priority.PriorityOf(1, 0));
 }
 
-TEST(Priority, WhatIsBeyondItsShareDoesNotRaiseAnAccount) {
-  Priority priority(Judged({0.5, 0, 0.5}));
-  priority.Asked(0, 0, 10, true);
-  priority.InTime(0, 0, 10, true);
-  priority.Asked(0, 1, 10, true);
-  priority.InTime(0, 1, 9, true);
-  EXPECT_GT(priority.Of(0, 1), priority.Of(0, 0));
-  Priority beyond(Judged({0.5, 0, 0.5}));
-  beyond.Asked(0, 0, 10, true);
-  beyond.InTime(0, 0, 9, true);
-  beyond.Asked(0, 1, 1000, false);
-  EXPECT_GT(beyond.Of(0, 0), beyond.Of(0, 1)) << "the storm of one account moves no other aside";
+TEST(RequestPriority, WhatIsBeyondItsShareDoesNotRaiseAnAccount) {
+  RequestPriority priority(Judged({0.5, 0, 0.5}));
+  priority.OnOffered(0, 0, 10, true);
+  priority.OnServedInTime(0, 0, 10, true);
+  priority.OnOffered(0, 1, 10, true);
+  priority.OnServedInTime(0, 1, 9, true);
+  EXPECT_GT(priority.PriorityOf(0, 1), priority.PriorityOf(0, 0));
+  RequestPriority beyond(Judged({0.5, 0, 0.5}));
+  beyond.OnOffered(0, 0, 10, true);
+  beyond.OnServedInTime(0, 0, 9, true);
+  beyond.OnOffered(0, 1, 1000, false);
+  EXPECT_GT(beyond.PriorityOf(0, 0), beyond.PriorityOf(0, 1))
+      << "the storm of one account moves no other aside";
 }
 
-TEST(Priority, SharesAreForgotten) {
-  Priority priority(Judged({0.5, 0.5, 0}));
-  priority.Asked(0, 0, 1000, true);
-  priority.InTime(0, 0, 1000, true);
-  priority.Asked(1, 0, 1000, true);
-  priority.Forget(Priority::kMemory * 20);
-  priority.Asked(0, 0, 1, true);
-  priority.Asked(1, 0, 1, true);
-  priority.InTime(1, 0, 1, true);
-  EXPECT_GT(priority.Of(0, 0), priority.Of(1, 0));
+TEST(RequestPriority, SharesAreForgotten) {
+  RequestPriority priority(Judged({0.5, 0.5, 0}));
+  priority.OnOffered(0, 0, 1000, true);
+  priority.OnServedInTime(0, 0, 1000, true);
+  priority.OnOffered(1, 0, 1000, true);
+  priority.Decay(RequestPriority::kMemory * 20);
+  priority.OnOffered(0, 0, 1, true);
+  priority.OnOffered(1, 0, 1, true);
+  priority.OnServedInTime(1, 0, 1, true);
+  EXPECT_GT(priority.PriorityOf(0, 0), priority.PriorityOf(1, 0));
 }
 
 // Feeds a state with rates a second, and notes what it became, and when.
@@ -159,20 +160,20 @@
   void For(double seconds, double arrived, double repeats, double refused) {
     for (int i = 0; i < static_cast<int>(seconds * 10 + 0.5); ++i) {
       now_ += 100;
-      const Counts counts{arrived / 10, repeats / 10, refused / 10, (arrived - refused) / 10};
-      if (const auto next = state.Judge(At(now_), Duration(100), counts)) changes.push_back(*next);
+      const OverloadCounts counts{arrived / 10, repeats / 10, refused / 10, (arrived - refused) / 10};
+      if (const auto next = state.Update(At(now_), Duration(100), counts)) changes.push_back(*next);
     }
   }
-  State state;
-  std::vector<Pressure> changes;
+  OverloadMonitor state;
+  std::vector<OverloadState> changes;
 
  private:
   double now_ = 0;
 };
 
-using enum Pressure;
+using enum OverloadState;
 
-TEST(State, ASurgeOfRealDemandIsNoStorm) {
+TEST(OverloadMonitor, ASurgeOfRealDemandIsNoStorm) {
   Judged10Hz s;
   s.For(10, 200, 0, 0);
   s.For(10, 400, 20, 150);
@@ -180,25 +181,25 @@
   EXPECT_EQ(s.changes, (std::vector{kSurge, kCalm}));
 }
 
-TEST(State, AStormIsFollowedByRecoveryBeforeCalm) {
+TEST(OverloadMonitor, AStormIsFollowedByRecoveryBeforeCalm) {
   Judged10Hz s;
   s.For(10, 200, 0, 0);
   s.For(10, 600, 300, 400);
-  EXPECT_EQ(s.state.now(), kStorm);
+  EXPECT_EQ(s.state.state(), kStorm);
   s.For(5, 200, 0, 0);
-  EXPECT_EQ(s.state.now(), kRecovery);
+  EXPECT_EQ(s.state.state(), kRecovery);
   s.For(10, 200, 0, 0);
   EXPECT_EQ(s.changes.back(), kCalm);
   EXPECT_EQ(s.changes[s.changes.size() - 2], kRecovery);
 }
 
-TEST(State, WhereNobodyIsAnsweredItIsAStormWhoeverAsks) {
+TEST(OverloadMonitor, WhereNobodyIsAnsweredItIsAStormWhoeverAsks) {
   Judged10Hz s;
   s.For(5, 200, 0, 200);
-  EXPECT_EQ(s.state.now(), kStorm);
+  EXPECT_EQ(s.state.state(), kStorm);
 }
 
-TEST(State, ATrickleUnderTheFloorAndASpellShorterThanItsSignsChangeNothing) {
+TEST(OverloadMonitor, ATrickleUnderTheFloorAndASpellShorterThanItsSignsChangeNothing) {
   Judged10Hz s;
   s.For(30, 200, 9, 9);
   for (int i = 0; i < 10; ++i) {
@@ -208,7 +209,7 @@
   EXPECT_TRUE(s.changes.empty());
 }
 
-TEST(State, DoesNotFlapWhileItsSignsComeAndGo) {
+TEST(OverloadMonitor, DoesNotFlapWhileItsSignsComeAndGo) {
   Judged10Hz s;
   s.For(5, 400, 0, 200);
   for (int i = 0; i < 20; ++i) {
@@ -218,13 +219,13 @@
   EXPECT_EQ(s.changes, (std::vector{kSurge}));
 }
 
-TEST(State, AStormThatReturnsInTheRecoveryIsAStormAgain) {
+TEST(OverloadMonitor, AStormThatReturnsInTheRecoveryIsAStormAgain) {
   Judged10Hz s;
   s.For(5, 600, 300, 400);
   s.For(5, 200, 0, 0);
-  ASSERT_EQ(s.state.now(), kRecovery);
+  ASSERT_EQ(s.state.state(), kRecovery);
   s.For(3, 600, 300, 400);
-  EXPECT_EQ(s.state.now(), kStorm);
+  EXPECT_EQ(s.state.state(), kStorm);
 }
 
 // Two are out, the proxy's limit; what comes then has to wait.
@@ -292,4 +293,4 @@
 }
 
 }  // namespace
-}  // namespace copperpoint::overload
+}  // namespace copperpoint
