--- a/src/proxy/control/handover.cpp
+++ b/src/proxy/handover/handover.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/control/handover.h"
+#include "proxy/handover/handover.h"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
--- a/src/proxy/control/handover.h
+++ b/src/proxy/handover/handover.h
@@ -3,8 +3,8 @@
 // The way between two processes of one proxy while one takes over from the other: a socket in the proxy's
 // state folder, over which the listening socket and a text go from the old process to the new. It knows
 // nothing of what the text says. Each message is believed only as far as it fits.
-#ifndef COPPERPOINT_PROXY_CONTROL_HANDOVER_H_
-#define COPPERPOINT_PROXY_CONTROL_HANDOVER_H_
+#ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_H_
+#define COPPERPOINT_PROXY_HANDOVER_HANDOVER_H_
 
 #include <boost/asio/basic_seq_packet_socket.hpp>
 #include <boost/asio/basic_socket_acceptor.hpp>
@@ -100,4 +100,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_CONTROL_HANDOVER_H_
+#endif  // COPPERPOINT_PROXY_HANDOVER_HANDOVER_H_
--- a/src/proxy/control/lifecycle.cpp
+++ b/src/proxy/lifecycle/lifecycle.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/control/lifecycle.h"
+#include "proxy/lifecycle/lifecycle.h"
 
 namespace copperpoint::proxy {
 
--- a/src/proxy/control/lifecycle.h
+++ b/src/proxy/lifecycle/lifecycle.h
@@ -2,8 +2,8 @@
 //
 // What the process as a whole is up to, and so whether it is ready. It says so in the log; it acts on
 // nothing.
-#ifndef COPPERPOINT_PROXY_CONTROL_LIFECYCLE_H_
-#define COPPERPOINT_PROXY_CONTROL_LIFECYCLE_H_
+#ifndef COPPERPOINT_PROXY_LIFECYCLE_LIFECYCLE_H_
+#define COPPERPOINT_PROXY_LIFECYCLE_LIFECYCLE_H_
 
 #include "log/log.h"
 
@@ -35,4 +35,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_CONTROL_LIFECYCLE_H_
+#endif  // COPPERPOINT_PROXY_LIFECYCLE_LIFECYCLE_H_
--- a/tests/operation_test.cpp
+++ b/tests/operation_test.cpp
@@ -10,7 +10,7 @@
 #include "loopback.h"
 #include "proxy/admin/admin_server.h"
 #include "proxy/control/disabled.h"
-#include "proxy/control/lifecycle.h"
+#include "proxy/lifecycle/lifecycle.h"
 
 namespace copperpoint::testing {
 namespace {
