--- a/src/proxy/lifecycle/lifecycle.cpp
+++ b/src/proxy/lifecycle/lifecycle.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "proxy/lifecycle/lifecycle.h"
 
+#include <string_view>
+
 namespace copperpoint::proxy {
 
 const char* NameOf(Lifecycle::State state) {
@@ -9,43 +11,47 @@
       return "starting";
     case Lifecycle::State::kReady:
       return "ready";
-    case Lifecycle::State::kDrained:
+    case Lifecycle::State::kDrainingNotStarted:
+    case Lifecycle::State::kDraining:
       return "drained";
-    case Lifecycle::State::kStopping:
+    case Lifecycle::State::kShuttingDown:
       return "stopping";
   }
   return "unknown";
 }
 
-Lifecycle::State Lifecycle::state() const {
-  if (stopping_) return State::kStopping;
-  if (drained_) return State::kDrained;
-  return started_ ? State::kReady : State::kStarting;
+Lifecycle::State Lifecycle::Next(State state, Event event) {
+  if (state == State::kShuttingDown) return state;
+  const bool started = state == State::kReady || state == State::kDraining;
+  const bool draining = state == State::kDraining || state == State::kDrainingNotStarted;
+  switch (event) {
+    case Event::kStarted:
+      return draining ? State::kDraining : State::kReady;
+    case Event::kStartDraining:
+      return started ? State::kDraining : State::kDrainingNotStarted;
+    case Event::kStopDraining:
+      return started ? State::kReady : State::kStarting;
+    case Event::kStartShutdown:
+      return State::kShuttingDown;
+  }
+  return state;
 }
 
-template <typename Change>
-bool Lifecycle::Move(Change change) {
-  if (stopping_) return false;
-  const State before = state();
-  change();
-  if (state() != before) log_.Info("state_changed", {{"from", NameOf(before)}, {"to", NameOf(state())}});
+bool Lifecycle::Handle(Event event) {
+  if (shutting_down()) return false;
+  const std::string_view before = NameOf(state_);
+  state_ = Next(state_, event);
+  const std::string_view after = NameOf(state_);
+  if (after != before) log_.Info("state_changed", {{"from", before}, {"to", after}});
   return true;
 }
 
-void Lifecycle::Started() {
-  Move([this] { started_ = true; });
-}
+void Lifecycle::OnStarted() { Handle(Event::kStarted); }
 
-bool Lifecycle::Drain() {
-  return Move([this] { drained_ = true; });
-}
+bool Lifecycle::StartDraining() { return Handle(Event::kStartDraining); }
 
-bool Lifecycle::Undrain() {
-  return Move([this] { drained_ = false; });
-}
+bool Lifecycle::StopDraining() { return Handle(Event::kStopDraining); }
 
-void Lifecycle::Stop() {
-  Move([this] { stopping_ = true; });
-}
+void Lifecycle::StartShutdown() { Handle(Event::kStartShutdown); }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/lifecycle/lifecycle.h
+++ b/src/proxy/lifecycle/lifecycle.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the process as a whole is up to, and so whether it is ready. It says so in the log; it acts on
-// nothing.
+// The state of the proxy process: whether it is ready for clients, draining, or shutting down.
 #ifndef COPPERPOINT_PROXY_LIFECYCLE_LIFECYCLE_H_
 #define COPPERPOINT_PROXY_LIFECYCLE_LIFECYCLE_H_
 
@@ -9,28 +8,55 @@
 
 namespace copperpoint::proxy {
 
+// The state machine of the process. It owns the state and logs each change; others read it and act: the
+// composition root (Proxy) passes every change to the client connections and to the membership.
+//
+//   kStarting ----------- OnStarted --> kReady
+//       | ^ StopDraining                  | ^ StopDraining
+//       v | StartDraining                 v | StartDraining
+//   kDrainingNotStarted - OnStarted --> kDraining
+//
+//   StartShutdown leads from every state to kShuttingDown, which is final.
+//
+// Draining: /ready answers 503 so that load balancers in front send no new connections; idle client
+// connections are closed, the others after their next response; whatever still arrives is served.
+//
+// Graceful shutdown (SIGTERM or SIGINT, Proxy::Stop): new connections are accepted for a grace period
+// longer, since callers that have not noticed yet keep sending; every request in flight and every request
+// that arrives on an open connection is forwarded and answered as usual, with its own deadline, and its
+// connection closes after the response. The process exits when no client connection is left. No request is
+// cancelled because of the signal.
 class Lifecycle {
  public:
-  enum class State { kStarting, kReady, kDrained, kStopping };
+  enum class State { kStarting, kReady, kDrainingNotStarted, kDraining, kShuttingDown };
+
   explicit Lifecycle(log::Logger& log) : log_(log) {}
 
-  State state() const;
-  bool Ready() const { return state() == State::kReady; }
+  State state() const { return state_; }
+  bool ready() const { return state_ == State::kReady; }
+  bool draining() const { return state_ == State::kDraining || state_ == State::kDrainingNotStarted; }
+  bool shutting_down() const { return state_ == State::kShuttingDown; }
 
-  // Each of them may come twice; once stopping, the process stays so. False: it is too late for that.
-  void Started();
-  bool Drain();
-  bool Undrain();
-  void Stop();
+  // The process accepts clients and knows at least one backend.
+  void OnStarted();
+  // Both may be repeated. False: the process is shutting down, and nothing has changed.
+  bool StartDraining();
+  bool StopDraining();
+  // Repeated calls have no effect.
+  void StartShutdown();
 
  private:
-  template <typename Change>
-  bool Move(Change change);
+  enum class Event { kStarted, kStartDraining, kStopDraining, kStartShutdown };
+
+  // The transition table: the state that follows, which is the same one where an event has no effect.
+  static State Next(State state, Event event);
+  bool Handle(Event event);
 
   log::Logger& log_;
-  bool started_ = false, drained_ = false, stopping_ = false;
+  State state_ = State::kStarting;
 };
 
+// The name in log lines and in the admin interface's answers. Both draining states are "drained".
 const char* NameOf(Lifecycle::State state);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -115,7 +115,7 @@
 }
 
 void Proxy::Stop(std::function<void()> done) {
-  lifecycle_.Stop();
+  lifecycle_.StartShutdown();
   if (fleet_) fleet_->Leave();
   fresh_list_.cancel();
   if (!clients_) return done();
@@ -142,14 +142,14 @@
 }
 
 OperatorCalls::Verdict Proxy::Drain() {
-  if (!lifecycle_.Drain()) return Verdict::kStopping;
+  if (!lifecycle_.StartDraining()) return Verdict::kStopping;
   if (clients_) clients_->Drain(true);
   TellFleet();
   return Verdict::kDone;
 }
 
 OperatorCalls::Verdict Proxy::Undrain() {
-  if (!lifecycle_.Undrain()) return Verdict::kStopping;
+  if (!lifecycle_.StopDraining()) return Verdict::kStopping;
   if (clients_) clients_->Drain(false);
   TellFleet();
   return Verdict::kDone;
@@ -169,9 +169,10 @@
     case Lifecycle::State::kReady:
       fleet_->Ready();
       return fleet_->SetState(membership::State::kServing);
-    case Lifecycle::State::kDrained:
+    case Lifecycle::State::kDrainingNotStarted:
+    case Lifecycle::State::kDraining:
       return fleet_->SetState(membership::State::kDraining);
-    case Lifecycle::State::kStopping:
+    case Lifecycle::State::kShuttingDown:
       return;  // it has left
   }
 }
@@ -194,7 +195,7 @@
 
 void Proxy::Serve(int listener) {
   clients_ = std::make_unique<Clients>(io_, config_, ClientLimit(config_), *this, listener);
-  if (lifecycle_.state() == Lifecycle::State::kDrained) clients_->Drain(true);
+  if (lifecycle_.draining()) clients_->Drain(true);
   if (!config_.state_folder.empty()) {
     successor_ = std::make_unique<HandoverServer>(
         io_, StateFile(config_, "handover.sock"), config_.listen, [this] { return GiveOver(); },
@@ -204,7 +205,7 @@
           backends_->SetLimit(BackendLimits(config_).connections);
         });
   }
-  if (listed_) lifecycle_.Started();
+  if (listed_) lifecycle_.OnStarted();
   TellFleet();
 }
 
@@ -219,11 +220,11 @@
 }
 
 void Proxy::TakeOver() {
-  if (std::exchange(asked_for_listener_, true) || lifecycle_.state() == Lifecycle::State::kStopping) return;
+  if (std::exchange(asked_for_listener_, true) || lifecycle_.shutting_down()) return;
   predecessor_->Take(
       config_.listen, config_.upgrade.listener,
       [this](std::optional<Gift> gift) {
-        if (lifecycle_.state() == Lifecycle::State::kStopping) return;
+        if (lifecycle_.shutting_down()) return;
         if (gift) {
           log::Global().Info("upgrade_listener_taken");
         } else {
@@ -354,7 +355,7 @@
 void Proxy::OnList(const MemberList& list, EndpointUpdateKind kind) {
   PassOn(disabled_.Pass(list, kind != EndpointUpdateKind::kIncremental), kind);
   listed_ |= !list.members.empty();
-  if (clients_ && listed_) lifecycle_.Started();
+  if (clients_ && listed_) lifecycle_.OnStarted();
   TellFleet();
   // From within discovery's call: the hand-over is a step of its own.
   if (predecessor_ && !clients_ && kind != EndpointUpdateKind::kCached && listed_) TakeOverAfter({});
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -48,7 +48,7 @@
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
   void OnClientGone(RequestId request) override;
   bool IsOpen(std::string_view id) const override { return open_ids_.contains(std::string(id)); }
-  bool Ready() const override { return lifecycle_.Ready(); }
+  bool Ready() const override { return lifecycle_.ready(); }
 
   std::string StateName() const override { return NameOf(lifecycle_.state()); }
   Verdict Disable(const std::string& backend) override;
