--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -22,8 +22,8 @@
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
 #include "proxy/control/disabled.h"
-#include "proxy/control/handover.h"
-#include "proxy/control/lifecycle.h"
+#include "proxy/handover/handover.h"
+#include "proxy/lifecycle/lifecycle.h"
 #include "proxy/discovery/discovery.h"
 #include "proxy/discovery/members.h"
 #include "proxy/downstream/clients.h"
@@ -48,7 +48,7 @@
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
   void OnClientGone(RequestId request) override;
   bool IsOpen(std::string_view id) const override { return open_ids_.contains(std::string(id)); }
-  bool Ready() const override { return lifecycle_.Ready(); }
+  bool Ready() const override { return lifecycle_.ready(); }
 
   std::string StateName() const override { return NameOf(lifecycle_.state()); }
   Verdict Disable(const std::string& backend) override;
