--- a/src/cli/config.cpp
+++ b/src/cli/config.cpp
@@ -15,7 +15,7 @@
 
 void Check(const std::string& file, const std::string& platform) {
   if (!file.empty()) {
-    config::Read<proxy::Operating>(file);
+    config::Read<proxy::OperatorSettings>(file);
     std::cout << file << ": good\n";
   }
   if (!platform.empty()) {
@@ -27,8 +27,8 @@
 }
 
 void Show(const std::string& file) {
-  proxy::Operating operating;
-  if (!file.empty()) operating = config::Read<proxy::Operating>(file);
+  proxy::OperatorSettings operating;
+  if (!file.empty()) operating = config::Read<proxy::OperatorSettings>(file);
   std::cout << config::ShowValues([&](config::Visitor& v) { operating.Describe(v); });
 }
 
@@ -60,7 +60,7 @@
 
   CLI::App* reference = config->add_subcommand("reference", "Print the page of all keys, in Markdown");
   reference->footer("Example: copperpoint config reference > docs/configuration.md");
-  reference->callback([] { std::cout << proxy::ConfigurationPage(); });
+  reference->callback([] { std::cout << proxy::ConfigurationReference(); });
 }
 
 }  // namespace copperpoint::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -55,7 +55,7 @@
     return Complain(error.what(), kUsage);
   } catch (const copperpoint::config::BadFile& error) {
     return Complain(error.what(), kUsage);
-  } catch (const copperpoint::proxy::BadConfig& error) {
+  } catch (const copperpoint::proxy::ConfigError& error) {
     return Complain(error.what(), kUsage);
   } catch (const std::invalid_argument& error) {
     return Complain(error.what(), kUsage);
--- a/src/proxy/admin/admin_server.cpp
+++ b/src/proxy/admin/admin_server.cpp
@@ -41,7 +41,7 @@
 }
 
 // A query's part without its percent signs; nothing if it is malformed.
-std::optional<std::string> Decode(std::string_view text) {
+std::optional<std::string> DecodePercent(std::string_view text) {
   std::string plain;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '%') {
@@ -70,7 +70,7 @@
       *answer = {http::status::bad_request, "member is given more than once"};
       return std::nullopt;
     }
-    found = equals == std::string_view::npos ? std::string() : Decode(pair.substr(equals + 1));
+    found = equals == std::string_view::npos ? std::string() : DecodePercent(pair.substr(equals + 1));
     if (!found) {
       *answer = {http::status::bad_request, "member is malformed"};
       return std::nullopt;
@@ -83,22 +83,22 @@
   return found;
 }
 
-Answer Word(OperatorCalls::Verdict verdict, const std::string& done) {
+Answer Word(AdminHandler::AdminResult verdict, const std::string& done) {
   switch (verdict) {
-    case OperatorCalls::Verdict::kDone:
+    case AdminHandler::AdminResult::kDone:
       return {http::status::ok, done};
-    case OperatorCalls::Verdict::kUnknownBackend:
+    case AdminHandler::AdminResult::kUnknownBackend:
       return {http::status::not_found, "no backend of this id is listed"};
-    case OperatorCalls::Verdict::kNotKept:
+    case AdminHandler::AdminResult::kNotStored:
       return {http::status::service_unavailable,
               "the change could not be stored in $TMPDIR; nothing changed"};
-    case OperatorCalls::Verdict::kStopping:
+    case AdminHandler::AdminResult::kStopping:
       return {http::status::conflict, "this process is stopping"};
   }
   return {http::status::internal_server_error, "unknown verdict"};
 }
 
-Answer Carry(const http::request_header<>& head, OperatorCalls& calls) {
+Answer Carry(const http::request_header<>& head, AdminHandler& calls) {
   const std::string_view target(head.target().data(), head.target().size());
   const std::size_t mark = target.find('?');
   const std::string_view path = target.substr(0, mark);
@@ -111,7 +111,7 @@
   if (head.method() != (reads ? http::verb::get : http::verb::post))
     return {http::status::method_not_allowed, reads ? "use GET" : "use POST"};
   if (path == "/fleet") {
-    const std::string fleet = calls.Fleet();
+    const std::string fleet = calls.FleetStatus();
     if (fleet.empty()) return {http::status::not_found, "this proxy is in no fleet"};
     return {http::status::ok, fleet};
   }
@@ -127,9 +127,9 @@
 
 }  // namespace
 
-class Operator::Call : public std::enable_shared_from_this<Call> {
+class AdminServer::Call : public std::enable_shared_from_this<Call> {
  public:
-  Call(Operator& owner, Tcp::socket socket)
+  Call(AdminServer& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(socket_.get_executor()) {}
 
   bool answered() const { return answered_; }
@@ -172,7 +172,7 @@
   // A call to a part of the fleet may have a body, and is read whole.
   bool ForPart() const {
     const auto target = parser_.get().target();
-    return owner_->calls_.HasPart(std::string_view(target.data(), target.size()));
+    return owner_->calls_.IsFleetCall(std::string_view(target.data(), target.size()));
   }
 
   void OnHead(const Error& failed) {
@@ -203,9 +203,9 @@
     const bool post = request.method() == http::verb::post;
     if (!post && request.method() != http::verb::get)
       return Say({http::status::method_not_allowed, "use GET or POST"});
-    const auto said = owner_->calls_.Part(std::string(request.target()), post, request.body());
+    const auto said = owner_->calls_.FleetCall(std::string(request.target()), post, request.body());
     if (!said) return Say({http::status::not_found, "no such call"});
-    Say({said->done ? http::status::ok : http::status::conflict, said->text});
+    Say({said->succeeded ? http::status::ok : http::status::conflict, said->text});
   }
 
   void Say(const Answer& answer) {
@@ -236,7 +236,7 @@
                             });
   }
 
-  Operator* owner_;
+  AdminServer* owner_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_{2 * kMostHead};
@@ -248,7 +248,8 @@
   bool answered_ = false, closed_ = false;
 };
 
-Operator::Operator(asio::io_context& io, const Tcp::endpoint& listen, OperatorCalls& calls, Limits limits)
+AdminServer::AdminServer(asio::io_context& io, const Tcp::endpoint& listen, AdminHandler& calls,
+                         Limits limits)
     : calls_(calls), limits_(limits), acceptor_(io), pause_(io) {
   acceptor_.open(listen.protocol());
   acceptor_.set_option(Tcp::acceptor::reuse_address(true));
@@ -257,13 +258,13 @@
   Accept();
 }
 
-Operator::~Operator() {
+AdminServer::~AdminServer() {
   const auto open = std::move(calls_open_);
   calls_open_.clear();
   for (const auto& call : open) call->Orphan();
 }
 
-void Operator::Accept() {
+void AdminServer::Accept() {
   acceptor_.async_accept([this](const Error& failed, Tcp::socket socket) {
     if (failed == asio::error::operation_aborted) return;
     if (failed) {
@@ -273,7 +274,7 @@
       });
       return;
     }
-    if (calls_open_.size() >= kMostConnections) MakeRoom();
+    if (calls_open_.size() >= kMaxConnections) MakeRoom();
     Error ignored;
     socket.set_option(Tcp::no_delay(true), ignored);
     calls_open_.push_back(std::make_shared<Call>(*this, std::move(socket)));
@@ -283,7 +284,7 @@
 }
 
 // The caller who has his answer is in nobody's debt; failing that, the one who has taken longest over a call.
-void Operator::MakeRoom() {
+void AdminServer::MakeRoom() {
   auto found =
       std::find_if(calls_open_.begin(), calls_open_.end(), [](const auto& call) { return call->answered(); });
   if (found == calls_open_.end()) found = calls_open_.begin();
@@ -291,7 +292,7 @@
   call->Close();
 }
 
-void Operator::Remove(const Call* call) {
+void AdminServer::Remove(const Call* call) {
   std::erase_if(calls_open_, [call](const auto& open) { return open.get() == call; });
 }
 
--- a/src/proxy/config/config.cpp
+++ b/src/proxy/config/config.cpp
@@ -46,8 +46,8 @@
 
 Tcp::endpoint Address(const char* from_env, const json& root, const char* name) {
   const std::string text = from_env && *from_env ? from_env : root.value(name, "");
-  const auto endpoint = ParseEndpoint(text);
-  if (!endpoint) throw BadConfig(std::string(name) + " is no address: '" + text + "'");
+  const auto endpoint = ParseHostPort(text);
+  if (!endpoint) throw ConfigError(std::string(name) + " is no address: '" + text + "'");
   return *endpoint;
 }
 
@@ -61,13 +61,13 @@
 
 std::uint64_t SeedOf(const json& root) {
   const auto found = root.find("seed");
-  if (found == root.end()) throw BadConfig("seed is missing");
+  if (found == root.end()) throw ConfigError("seed is missing");
   if (found->is_number_unsigned()) return found->get<std::uint64_t>();
   const std::string text = found->is_string() ? found->get<std::string>() : "";
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size())
-    throw BadConfig("seed is no hexadecimal number");
+    throw ConfigError("seed is no hexadecimal number");
   return seed;
 }
 
@@ -77,17 +77,17 @@
   config.name = name && *name ? name : root.value("name", "");
   config.listen = Address(env("ROUTER_LISTEN"), root, "listen");
   config.discovery = Address(env("ROUTER_DISCOVERY"), root, "discovery");
-  const char* operator_address = env("ROUTER_OPERATOR");
-  if ((operator_address && *operator_address) || root.contains("operator"))
-    config.operator_address = Address(operator_address, root, "operator");
-  if (const char* folder = env("TMPDIR"); folder && *folder) config.state_folder = folder;
+  const char* admin_address = env("ROUTER_OPERATOR");
+  if ((admin_address && *admin_address) || root.contains("operator"))
+    config.admin_address = Address(admin_address, root, "operator");
+  if (const char* folder = env("TMPDIR"); folder && *folder) config.state_directory = folder;
   config.seed = SeedOf(root);
   if (const auto limits = root.find("limits"); limits != root.end()) {
     config.sockets = limits->value("sockets", config.sockets);
     config.memory_mb = limits->value("memory_mb", config.memory_mb);
   }
-  if (!(config.memory_mb >= 8)) throw BadConfig("limits.memory_mb is too small to serve");
-  if (config.sockets < 64) throw BadConfig("limits.sockets is too small to serve");
+  if (!(config.memory_mb >= 8)) throw ConfigError("limits.memory_mb is too small to serve");
+  if (config.sockets < 64) throw ConfigError("limits.sockets is too small to serve");
 
   const json& settings = root.at("settings");
   std::string lines;
@@ -99,19 +99,19 @@
   config.kinds = Strings(settings, "kinds");
   if (const auto allowed = settings.find("permissions"); allowed != settings.end()) {
     config.connect_timeout = Duration(allowed->value("connectTimeoutMs", config.connect_timeout.count()));
-    config.conn_idle = Duration(allowed->value("connIdleMs", config.conn_idle.count()));
+    config.backend_idle_timeout = Duration(allowed->value("connIdleMs", config.backend_idle_timeout.count()));
     // The simulator's clients may not be listening, but an HTTP refusal always has a place for the advice: a
     // client that is not told comes back at once, over and over, to a fleet that is full.
     config.settings.max_retry_after = std::max(Duration(0), Duration(allowed->value("maxRetryAfterMs", 0.0)));
   }
-  if (!(config.connect_timeout.count() > 0) || !(config.conn_idle.count() > 0))
-    throw BadConfig("permissions.connectTimeoutMs and connIdleMs must be over 0");
+  if (!(config.connect_timeout.count() > 0) || !(config.backend_idle_timeout.count() > 0))
+    throw ConfigError("permissions.connectTimeoutMs and connIdleMs must be over 0");
 
   if (const auto known = root.find("known"); known != root.end() && !known->is_null()) {
     std::string why;
-    auto list = ParseMembers(*known, &why);
-    if (!list) throw BadConfig("known is no list: " + why);
-    config.known = std::move(*list);
+    auto list = ParseEndpointList(*known, &why);
+    if (!list) throw ConfigError("known is no list: " + why);
+    config.initial_endpoints = std::move(*list);
   }
   return config;
 }
@@ -121,30 +121,30 @@
 Config ParseConfig(std::string_view text, const Environment& env) {
   try {
     const json root = json::parse(text);
-    if (!root.is_object()) throw BadConfig("the configuration is no JSON object");
+    if (!root.is_object()) throw ConfigError("the configuration is no JSON object");
     return Read(root, env);
   } catch (const json::parse_error& error) {
     const std::string_view before = text.substr(0, error.byte > 0 ? error.byte - 1 : 0);
     const auto line = std::count(before.begin(), before.end(), '\n') + 1;
     const std::size_t column = before.size() - (before.rfind('\n') + 1) + 1;
-    throw BadConfig(std::to_string(line) + ":" + std::to_string(column) + ": the configuration is no JSON");
+    throw ConfigError(std::to_string(line) + ":" + std::to_string(column) + ": the configuration is no JSON");
   } catch (const adapter::BadSettings& error) {
-    throw BadConfig(error.what());
+    throw ConfigError(error.what());
   } catch (const json::exception& error) {
-    throw BadConfig(error.what());
+    throw ConfigError(error.what());
   }
 }
 
 Config LoadConfig(const Environment& env) {
   const char* path = env("ROUTER_CONFIG");
-  if (!path || !*path) throw BadConfig("ROUTER_CONFIG is not set");
+  if (!path || !*path) throw ConfigError("ROUTER_CONFIG is not set");
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw BadConfig("cannot read ROUTER_CONFIG: " + std::string(path));
+  if (!file) throw ConfigError("cannot read ROUTER_CONFIG: " + std::string(path));
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   try {
     return ParseConfig(text, env);
-  } catch (const BadConfig& error) {
-    throw BadConfig(std::string(path) + ": " + error.what());
+  } catch (const ConfigError& error) {
+    throw ConfigError(std::string(path) + ": " + error.what());
   }
 }
 
--- a/src/proxy/config/config.h
+++ b/src/proxy/config/config.h
@@ -16,12 +16,12 @@
 
 #include "copperpoint/balancer.h"
 #include "proxy/config/operating.h"
-#include "proxy/discovery/members.h"
+#include "proxy/discovery/endpoints.h"
 
 namespace copperpoint::proxy {
 
 // what() is one line that says what is missing or wrong.
-class BadConfig : public std::runtime_error {
+class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -29,28 +29,28 @@
 struct Config {
   std::string name;
   boost::asio::ip::tcp::endpoint listen, discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> operator_address;  // where staff call, if anywhere
-  std::string state_folder;  // private to this proxy's processes; empty: nothing is kept
+  std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // where staff call, if anywhere
+  std::string state_directory;  // private to this proxy's processes; empty: nothing is kept
   std::uint64_t seed = 0;
   int sockets = 1024;       // descriptors that the process may hold
   double memory_mb = 2048;  // memory that it may use
   Settings settings;
   std::vector<std::string> classes, tenants, zones, kinds;  // their names, by index
   Duration connect_timeout{250};
-  Duration conn_idle{15000};  // backends close what stands idle for this long
-  Patience patience;
-  Shares shares;
-  Upgrade upgrade;
+  Duration backend_idle_timeout{15000};  // backends close what stands idle for this long
+  Timeouts timeouts;
+  ResourceShares shares;
+  UpgradeTimeouts upgrade;
   FleetSettings fleet;
-  std::string settings_version;  // of the operator's file, for the others of the fleet; empty: none
-  MemberList known;
+  std::string operator_settings_version;  // of the operator's file, for the others of the fleet; empty: none
+  EndpointList initial_endpoints;         // listed by the platform before discovery has answered
 };
 
 // `text` is the configuration file; what the environment names goes before it.
 using Environment = std::function<const char*(const char*)>;
 Config ParseConfig(std::string_view text, const Environment& env);
 
-// Reads the file that ROUTER_CONFIG names. BadConfig names that file, and line and column where the JSON is
+// Reads the file that ROUTER_CONFIG names. ConfigError names that file, and line and column where the JSON is
 // broken.
 Config LoadConfig(const Environment& env);
 
--- a/src/proxy/config/operating.cpp
+++ b/src/proxy/config/operating.cpp
@@ -26,71 +26,71 @@
 
 }  // namespace
 
-void Patience::Describe(config::Visitor& v) {
-  v.Millis("whole_request_ms", whole_request,
+void Timeouts::Describe(config::Visitor& v) {
+  v.Millis("whole_request_ms", request_head,
            {.text = "for a request's head, from the connection's start or the request's first byte",
             .least = 10,
             .most = kHour});
   v.Millis("body_grace_ms", body_grace,
            {.text = "for a body, beyond what it takes at `shares.least_body_rate`", .most = kHour});
-  v.Millis("kept_ms", kept, {.text = "for a client's next request", .least = 1, .most = 24 * kHour});
-  v.Millis("spare_ms", spare,
+  v.Millis("kept_ms", keep_alive, {.text = "for a client's next request", .least = 1, .most = 24 * kHour});
+  v.Millis("spare_ms", idle_reclaim,
            {.text = "after which a connection with no request open may be closed to make room ahead of need",
             .most = kHour});
-  v.Millis("silent_ms", silent,
+  v.Millis("silent_ms", pressed_idle_reclaim,
            {.text = "after which any connection that rests may be closed where another waits to be accepted",
             .most = kHour});
-  v.Millis("answer_taken_ms", answer_taken,
+  v.Millis("answer_taken_ms", response_write,
            {.text = "for a client to take its answer", .least = 10, .most = kHour});
   v.Millis(
-      "drained_ms", lingering,
+      "drained_ms", lingering_close,
       {.text = "for a client to close once the proxy has ended its side (a lingering close)", .most = kHour});
-  v.Millis("answer_whole_ms", answer_whole,
+  v.Millis("answer_whole_ms", response_stall,
            {.text = "without a byte of a backend's answer that has begun and is held whole",
             .least = 1,
             .most = kHour});
-  v.Millis("stalled_ms", stalled,
+  v.Millis("stalled_ms", body_stall,
            {.text = "without a byte of a large body from or to a backend", .least = 10, .most = kHour});
   v.Millis(
-      "rest_ms", rest,
+      "rest_ms", connection_rest,
       {.text = "before a connection to a backend is used again: what comes late on it shows", .most = kHour});
   v.Millis(
-      "forgotten_ms", forgotten,
+      "forgotten_ms", removed_backend_retention,
       {.text = "after which nothing is known of a backend that has gone", .least = 600000, .most = 1e10});
 }
 
-void Shares::Describe(config::Visitor& v) {
+void ResourceShares::Describe(config::Visitor& v) {
   v.Number(
-      "clients", clients,
+      "clients", client_descriptors,
       {.text = "share of the descriptors for clients; backends have the rest", .least = 0.1, .most = 0.9});
   v.Number(
-      "bodies", bodies,
+      "bodies", body_memory,
       {.text = "share of the memory for clients' bodies that are held whole", .least = 0.01, .most = 0.8});
-  v.Whole("kept_body", kept_body,
+  v.Whole("kept_body", max_buffered_body_bytes,
           {.text = "most of a request's body that is held whole, where there is room",
            .unit = "bytes",
            .least = 65536,
            .most = 33.0 * 1024 * 1024});
-  v.Whole("least_body_rate", least_body_rate,
+  v.Whole("least_body_rate", min_body_rate_bytes_per_s,
           {.text = "a client that sends its body more slowly is cut off",
            .unit = "bytes/s",
            .least = 1,
            .most = 1e9});
-  v.Millis("refusal_ms", refusal,
+  v.Millis("refusal_ms", overload_retry_after,
            {.text = "`Retry-After` of a refusal for want of this process's own means", .most = kHour});
 }
 
-void Upgrade::Describe(config::Visitor& v) {
+void UpgradeTimeouts::Describe(config::Visitor& v) {
   v.Millis(
-      "list_ms", list,
+      "list_ms", endpoint_list,
       {.text = "a new process waits this long for discovery's list before it takes over", .most = 60000});
   v.Millis("listener_ms", listener,
            {.text = "and this long for the listener of the process before it", .least = 1, .most = 60000});
 }
 
-void Operating::Describe(config::Visitor& v) {
+void OperatorSettings::Describe(config::Visitor& v) {
   v.Section("log", "What is written to standard error. `--log-level` and `--log-format` go before it.", log);
-  v.Section("patience", "How long things are waited for.", patience);
+  v.Section("patience", "How long things are waited for.", timeouts);
   v.Section("shares", "How the means that the platform allows are divided.", shares);
   v.Section("upgrade", "While another process of the same proxy still serves.", upgrade);
   v.Section(
@@ -100,8 +100,8 @@
       fleet);
 }
 
-std::string ConfigurationPage() {
-  Operating defaults;
+std::string ConfigurationReference() {
+  OperatorSettings defaults;
   return kHead + config::ShowReference([&](config::Visitor& v) { defaults.Describe(v); });
 }
 
--- a/src/proxy/control/disabled.cpp
+++ b/src/proxy/control/disabled_backends.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/control/disabled.h"
+#include "proxy/control/disabled_backends.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -76,7 +76,7 @@
 }  // namespace
 
 DisabledBackends::DisabledBackends(std::string file, log::Logger& log) : file_(std::move(file)), log_(log) {
-  Reread();
+  ReloadIfChanged();
 }
 
 // Nothing if there is none that can be believed.
@@ -103,10 +103,10 @@
   return false;
 }
 
-MemberList DisabledBackends::Pass(MemberList list, bool whole) {
+EndpointList DisabledBackends::Apply(EndpointList list, bool whole) {
   if (whole) listed_.clear();
   revision_ = list.revision;
-  for (Member& member : list.members) {
+  for (DiscoveredEndpoint& member : list.endpoints) {
     if (member.state == EndpointState::kRemoved) {
       listed_.erase(member.id);
       continue;
@@ -117,12 +117,12 @@
   return list;
 }
 
-MemberList DisabledBackends::Take(std::set<std::string> ids, bool from_file) {
+EndpointList DisabledBackends::Take(std::set<std::string> ids, bool from_file) {
   std::vector<std::string> changed;
   std::set_symmetric_difference(ids.begin(), ids.end(), ids_.begin(), ids_.end(),
                                 std::back_inserter(changed));
   ids_ = std::move(ids);
-  MemberList changes;
+  EndpointList changes;
   changes.revision = revision_;
   for (const std::string& id : changed) {
     const bool out = ids_.contains(id);
@@ -130,41 +130,42 @@
               {{"backend", id}, {"by", "operator"}, {"from_file", from_file}});
     const auto found = listed_.find(id);
     if (found == listed_.end()) continue;
-    changes.members.push_back(found->second);
-    if (out) changes.members.back().state = EndpointState::kDraining;
+    changes.endpoints.push_back(found->second);
+    if (out) changes.endpoints.back().state = EndpointState::kDraining;
   }
   return changes;
 }
 
-DisabledBackends::Verdict DisabledBackends::Change(const std::string& id, bool out, MemberList* changes) {
-  if (!listed_.contains(id) && !ids_.contains(id)) return Verdict::kUnknown;
-  if (id.size() > kMostId || (out && ids_.size() >= kMostIds)) return Verdict::kNotKept;
+DisabledBackends::ChangeResult DisabledBackends::Change(const std::string& id, bool out,
+                                                        EndpointList* changes) {
+  if (!listed_.contains(id) && !ids_.contains(id)) return ChangeResult::kUnknownBackend;
+  if (id.size() > kMostId || (out && ids_.size() >= kMostIds)) return ChangeResult::kNotStored;
   std::set<std::string> ids = ids_;
   if (!file_.empty()) {
     const FileLock lock(file_ + ".lock");
-    if (!lock.held()) return Verdict::kNotKept;
+    if (!lock.held()) return ChangeResult::kNotStored;
     ids = Load().value_or(ids);  // the other process may have changed it
     if (out) ids.insert(id);
     if (!out) ids.erase(id);
-    if (!Store(ids)) return Verdict::kNotKept;
+    if (!Store(ids)) return ChangeResult::kNotStored;
     seen_ = VersionOf(file_);
   } else {
     if (out) ids.insert(id);
     if (!out) ids.erase(id);
   }
   *changes = Take(std::move(ids), /*from_file=*/false);
-  return Verdict::kDone;
+  return ChangeResult::kDone;
 }
 
-DisabledBackends::Verdict DisabledBackends::Disable(const std::string& id, MemberList* changes) {
+DisabledBackends::ChangeResult DisabledBackends::Disable(const std::string& id, EndpointList* changes) {
   return Change(id, /*out=*/true, changes);
 }
 
-DisabledBackends::Verdict DisabledBackends::Enable(const std::string& id, MemberList* changes) {
+DisabledBackends::ChangeResult DisabledBackends::Enable(const std::string& id, EndpointList* changes) {
   return Change(id, /*out=*/false, changes);
 }
 
-MemberList DisabledBackends::Reread() {
+EndpointList DisabledBackends::ReloadIfChanged() {
   if (file_.empty()) return {};
   std::string version = VersionOf(file_);
   if (version == seen_) return {};
--- a/src/proxy/discovery/discovery.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/discovery/discovery.h"
+#include "proxy/discovery/discovery_client.h"
 
 #include <algorithm>
 #include <array>
@@ -15,7 +15,7 @@
 
 #include "log/log.h"
 #include "proxy/clock.h"
-#include "proxy/discovery/messages.h"
+#include "proxy/discovery/message_framer.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -32,9 +32,9 @@
 }  // namespace
 
 // One watch, from its connection to its end. It may take the whole list before it begins.
-class Discovery::Stream : public std::enable_shared_from_this<Stream> {
+class DiscoveryClient::Stream : public std::enable_shared_from_this<Stream> {
  public:
-  Stream(Discovery& owner, const asio::ip::tcp::endpoint& address, bool whole_list_first)
+  Stream(DiscoveryClient& owner, const asio::ip::tcp::endpoint& address, bool whole_list_first)
       : owner_(&owner), address_(address), whole_list_(whole_list_first), stream_(owner.io_) {}
 
   void Start() {
@@ -60,12 +60,12 @@
   }
   void ExpectMore() {
     const auto& options = owner_->options_;
-    stream_.expires_at(alive_at_ + (answered_ ? options.silence : options.answer) +
+    stream_.expires_at(alive_at_ + (answered_ ? options.idle_timeout : options.first_message_timeout) +
                        std::chrono::milliseconds(unfinished_ / kLeastRate));
   }
 
   void End(const std::string& why) {
-    if (Discovery* owner = std::exchange(owner_, nullptr)) {
+    if (DiscoveryClient* owner = std::exchange(owner_, nullptr)) {
       stream_.close();
       owner->OnEnd(this, why);
     }
@@ -143,14 +143,14 @@
     messages_.Add(piece);
     std::string message;
     for (;;) {
-      const Messages::Next next = messages_.Take(&message);
-      if (next == Messages::Next::kMore) break;
-      if (next == Messages::Next::kGarbled) {
+      const MessageFramer::Result next = messages_.Take(&message);
+      if (next == MessageFramer::Result::kMore) break;
+      if (next == MessageFramer::Result::kGarbled) {
         owner_->Garbled("no list");
         return EndWith("a garbled message");
       }
       Extend();
-      if (next == Messages::Next::kEmptyLine) continue;
+      if (next == MessageFramer::Result::kEmptyLine) continue;
       const bool good = owner_->OnMessage(this, message);
       if (!owner_) return false;
       if (!good) return EndWith("a garbled message");
@@ -163,7 +163,7 @@
     return false;
   }
 
-  Discovery* owner_;
+  DiscoveryClient* owner_;
   const asio::ip::tcp::endpoint address_;
   bool whole_list_;  // is to be taken first
   beast::tcp_stream stream_;
@@ -171,28 +171,29 @@
   http::request<http::empty_body> request_;
   std::optional<http::response_parser<http::buffer_body>> parser_;
   std::array<char, 16384> piece_;
-  std::string whole_;  // the whole list, as far as it has come
-  Messages messages_;  // of the watch
+  std::string whole_;       // the whole list, as far as it has come
+  MessageFramer messages_;  // of the watch
   Steady::time_point alive_at_{};
   std::size_t unfinished_ = 0;  // bytes since then
   bool answered_ = false;       // the call has brought its first message
 };
 
-Discovery::Discovery(asio::io_context& io, Options options, OnList on_list, OnFailure on_failure)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, Options options, OnUpdate on_update,
+                                 OnFailure on_failure)
     : io_(io),
       options_(std::move(options)),
-      on_list_(std::move(on_list)),
+      on_update_(std::move(on_update)),
       on_failure_(std::move(on_failure)),
       again_(io),
       jitter_(options_.seed | 1) {}
 
-Discovery::~Discovery() {
+DiscoveryClient::~DiscoveryClient() {
   for (const auto& stream : {stream_, next_}) {
     if (stream) stream->Orphan();
   }
 }
 
-void Discovery::Watch() {
+void DiscoveryClient::Watch() {
   if (moving_) return StartMove();
   again_.cancel();
   if (stream_) stream_->Orphan();
@@ -201,7 +202,7 @@
   stream_->Start();
 }
 
-void Discovery::Move(const asio::ip::tcp::endpoint& address) {
+void DiscoveryClient::MoveTo(const asio::ip::tcp::endpoint& address) {
   if (address == (moving_ ? next_address_ : options_.address)) return;
   moving_ = true;
   next_address_ = address;
@@ -209,7 +210,7 @@
   StartMove();
 }
 
-void Discovery::StartMove() {
+void DiscoveryClient::StartMove() {
   again_.cancel();
   if (next_) next_->Orphan();
   log::Global().Debug("discovery_called");
@@ -217,13 +218,13 @@
   next_->Start();
 }
 
-void Discovery::Garbled(const std::string& why) {
+void DiscoveryClient::Garbled(const std::string& why) {
   log::Global().Warn("discovery_garbled", {{"reason", why}});
 }
 
-bool Discovery::OnMessage(Stream* from, std::string_view message) {
+bool DiscoveryClient::OnMessage(Stream* from, std::string_view message) {
   std::string why;
-  const auto list = ParseMembers(message, &why);
+  const auto list = ParseEndpointList(message, &why);
   if (!list) {
     Garbled(why);
     return false;
@@ -240,11 +241,11 @@
   // A change older than the list that it would change must not undo it.
   if (!list->complete && list->revision < options_.revision) return true;
   options_.revision = list->revision;
-  on_list_(*list);
+  on_update_(*list);
   return true;
 }
 
-void Discovery::OnEnd(Stream* from, const std::string& why) {
+void DiscoveryClient::OnEnd(Stream* from, const std::string& why) {
   log::Global().Debug("discovery_failed", {{"reason", why}});
   // After a move nothing is lost with the old watch: only the new one is tried again.
   if (moving_ && from == stream_.get()) return stream_.reset();
@@ -254,11 +255,11 @@
     return RetryLater();
   }
   stream_.reset();
-  if (options_.reconnect == Reconnect::kWhenAsked) return on_failure_();
+  if (options_.reconnect == Reconnect::kOnRequest) return on_failure_();
   RetryLater();
 }
 
-void Discovery::RetryLater() {
+void DiscoveryClient::RetryLater() {
   backoff_ = std::clamp(backoff_ * 2, kLeastBackoff, kMostBackoff);
   jitter_ = jitter_ * 6364136223846793005u + 1442695040888963407u;  // proxies must not come back in step
   again_.expires_after(backoff_ / 2 + backoff_ * (jitter_ >> 33) / 2 / (1ull << 31));
--- a/src/proxy/discovery/members.cpp
+++ b/src/proxy/discovery/endpoints.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/discovery/members.h"
+#include "proxy/discovery/endpoints.h"
 
 #include <algorithm>
 #include <boost/system/error_code.hpp>
@@ -21,14 +21,14 @@
 }
 
 // Throws json::exception on a field that is absent or of another type.
-Member ReadMember(const json& entry, std::string* why) {
-  Member m;
+DiscoveredEndpoint ReadMember(const json& entry, std::string* why) {
+  DiscoveredEndpoint m;
   m.id = entry.at("id").get<std::string>();
   if (m.id.empty()) *why = "an entry has an empty id";
   const auto state = StateOf(entry.at("phase").get<std::string>());
   if (!state) *why = "an entry has an unknown phase";
   m.state = state.value_or(EndpointState::kRemoved);
-  const auto address = ParseEndpoint(entry.value("host_port", ""));
+  const auto address = ParseHostPort(entry.value("host_port", ""));
   // What is gone needs no address.
   if (!address && m.state != EndpointState::kRemoved) *why = "an entry has no usable host_port";
   m.address = address.value_or(Tcp::endpoint());
@@ -43,14 +43,14 @@
 
 }  // namespace
 
-std::optional<MemberList> ParseMembers(const json& json, std::string* why) {
-  MemberList list;
+std::optional<EndpointList> ParseEndpointList(const json& json, std::string* why) {
+  EndpointList list;
   why->clear();
   try {
     list.revision = json.at("revision").get<std::uint64_t>();
     list.complete = json.value("complete", false);
     for (const auto& entry : json.at("members")) {
-      list.members.push_back(ReadMember(entry, why));
+      list.endpoints.push_back(ReadMember(entry, why));
       if (!why->empty()) return std::nullopt;
     }
   } catch (const json::exception& error) {
@@ -60,16 +60,16 @@
   return list;
 }
 
-std::optional<MemberList> ParseMembers(std::string_view text, std::string* why) {
+std::optional<EndpointList> ParseEndpointList(std::string_view text, std::string* why) {
   const json parsed = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (parsed.is_discarded()) {
     *why = "not JSON";
     return std::nullopt;
   }
-  return ParseMembers(parsed, why);
+  return ParseEndpointList(parsed, why);
 }
 
-std::optional<Tcp::endpoint> ParseEndpoint(std::string_view text) {
+std::optional<Tcp::endpoint> ParseHostPort(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return std::nullopt;
   std::string_view host = text.substr(0, colon), port = text.substr(colon + 1);
@@ -89,14 +89,14 @@
   return hash;
 }
 
-std::uint32_t ServerNumbers::HashOf(std::string_view id) {
+std::uint32_t BackendIds::HashOf(std::string_view id) {
   const std::uint64_t hash = StableHash(id);
   return static_cast<std::uint32_t>(hash ^ (hash >> 32));
 }
 
-void ServerNumbers::Learn(const std::vector<Member>& members) {
+void BackendIds::Assign(const std::vector<DiscoveredEndpoint>& endpoints) {
   std::vector<std::string> fresh;
-  for (const Member& m : members) {
+  for (const DiscoveredEndpoint& m : endpoints) {
     if (!numbers_.contains(m.id)) fresh.push_back(m.id);
   }
   // Guards against two proxies that see one list in another order numbering a collision differently.
@@ -113,7 +113,7 @@
   }
 }
 
-void ServerNumbers::Forget(const std::string& id) {
+void BackendIds::Release(const std::string& id) {
   const auto found = numbers_.find(id);
   if (found == numbers_.end()) return;
   taken_.erase(found->second);
--- a/src/proxy/discovery/messages.cpp
+++ b/src/proxy/discovery/message_framer.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/discovery/messages.h"
+#include "proxy/discovery/message_framer.h"
 
 namespace copperpoint::proxy {
 
-Messages::Next Messages::Take(std::string* message) {
+MessageFramer::Result MessageFramer::Take(std::string* message) {
   for (; at_ < text_.size(); ++at_) {
     const char c = text_[at_];
     if (in_string_) {
-      if (c == '\n') return Next::kGarbled;  // no JSON string holds one: the message was cut off
+      if (c == '\n') return Result::kGarbled;  // no JSON string holds one: the message was cut off
       if (escaped_) {
         escaped_ = false;
       } else if (c == '\\') {
@@ -18,30 +18,31 @@
       continue;
     }
     if (c == '\n') {
-      if (begun_ && depth_ == 0) return Cut(Next::kMessage, message);
-      if (!begun_) return Cut(Next::kEmptyLine, message);
-      if (line_empty_) return Next::kGarbled;  // a heartbeat within a message: the rest of that will not come
+      if (begun_ && depth_ == 0) return Cut(Result::kMessage, message);
+      if (!begun_) return Cut(Result::kEmptyLine, message);
+      if (line_empty_)
+        return Result::kGarbled;  // a heartbeat within a message: the rest of that will not come
       line_empty_ = true;
       continue;
     }
     if (c == ' ' || c == '\t' || c == '\r') continue;
     line_empty_ = false;
-    if (depth_ == 0 && (begun_ || c != '{')) return Next::kGarbled;
+    if (depth_ == 0 && (begun_ || c != '{')) return Result::kGarbled;
     if (c == '"') in_string_ = true;
     if (c == '{' || c == '[') begun_ = true, ++depth_;
     if (c == '}' || c == ']') --depth_;
   }
-  return Next::kMore;
+  return Result::kMore;
 }
 
-bool Messages::TakeLast(std::string* message) {
+bool MessageFramer::TakeLast(std::string* message) {
   if (!begun_ || depth_ > 0 || in_string_ || at_ < text_.size()) return false;
-  Cut(Next::kMessage, message);
+  Cut(Result::kMessage, message);
   return true;
 }
 
-Messages::Next Messages::Cut(Next what, std::string* message) {
-  if (what == Next::kMessage) *message = text_.substr(0, at_);
+MessageFramer::Result MessageFramer::Cut(Result what, std::string* message) {
+  if (what == Result::kMessage) *message = text_.substr(0, at_);
   text_.erase(0, at_ + 1);
   at_ = 0;
   begun_ = false;
--- a/src/proxy/discovery/messages.h
+++ b/src/proxy/discovery/message_framer.h
@@ -2,8 +2,8 @@
 //
 // Cuts what comes on a watch into messages: one JSON object each, ended by a line end, and empty lines
 // between them. An object may be spread over many lines.
-#ifndef COPPERPOINT_PROXY_DISCOVERY_MESSAGES_H_
-#define COPPERPOINT_PROXY_DISCOVERY_MESSAGES_H_
+#ifndef COPPERPOINT_PROXY_DISCOVERY_MESSAGE_FRAMER_H_
+#define COPPERPOINT_PROXY_DISCOVERY_MESSAGE_FRAMER_H_
 
 #include <cstddef>
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace copperpoint::proxy {
 
-class Messages {
+class MessageFramer {
  public:
-  enum class Next { kMore, kEmptyLine, kMessage, kGarbled };
+  enum class Result { kMore, kEmptyLine, kMessage, kGarbled };
 
   void Add(std::string_view bytes) { text_ += bytes; }
 
   // What comes next; `message` is set for kMessage. kMore: nothing until more is added.
-  Next Take(std::string* message);
+  Result Take(std::string* message);
 
   // At the end of the watch: true, and the last message, if only its line end is missing.
   bool TakeLast(std::string* message);
@@ -26,7 +26,7 @@
   std::size_t size() const { return text_.size(); }  // of what is not taken yet
 
  private:
-  Next Cut(Next what, std::string* message);
+  Result Cut(Result what, std::string* message);
 
   std::string text_;
   std::size_t at_ = 0;  // looked at as far as here
@@ -37,4 +37,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DISCOVERY_MESSAGES_H_
+#endif  // COPPERPOINT_PROXY_DISCOVERY_MESSAGE_FRAMER_H_
--- a/src/proxy/downstream/clients.cpp
+++ b/src/proxy/downstream/clients.cpp
@@ -54,9 +54,9 @@
     Error ignored;
     socket_.set_option(Tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
-    Enter(State::kWaiting, patience().whole_request);
+    Enter(State::kWaiting, timeouts().request_head);
     if (queued && !ReadAhead(*queued, /*may_drop=*/false)) return Close();
-    Wait(patience().whole_request);
+    Wait(timeouts().request_head);
   }
 
   // Between requests, with none on its way as far as can be seen.
@@ -111,7 +111,7 @@
     Error ignored;
     if (state_ != State::kWriting) socket_.cancel(ignored);  // the watch for a next request, or its reading
     Release();
-    Enter(State::kLingering, patience().lingering);
+    Enter(State::kLingering, timeouts().lingering_close);
     socket_.shutdown(Tcp::socket::shutdown_send, ignored);
     Discard();
   }
@@ -167,7 +167,7 @@
 
   using Parser = http::request_parser<http::buffer_body>;
 
-  const Patience& patience() const { return owner_->config_.patience; }
+  const Timeouts& timeouts() const { return owner_->config_.timeouts; }
 
   static HttpResponse Plain(http::status status, std::string text) {
     HttpResponse response{status, 11};
@@ -200,7 +200,7 @@
 
   void Begin() {
     // A first request's time counts from the connection's start.
-    Enter(State::kReading, asked_ ? Steady::duration(patience().whole_request) : until_ - Steady::now());
+    Enter(State::kReading, asked_ ? Steady::duration(timeouts().request_head) : until_ - Steady::now());
     parser_.emplace();
     parser_->header_limit(kMostHeader);
     parser_->body_limit(kMostBody);
@@ -296,7 +296,7 @@
 
   void ReadBody() {
     if (parser_->is_done() || (kept_.size() >= may_keep_ && !KeepMore())) return OnRead(Steady::now());
-    until_ = std::max(until_, body_began_ + patience().body_grace + TimeFor(kept_.size()));
+    until_ = std::max(until_, body_began_ + timeouts().body_grace + TimeFor(kept_.size()));
     ReadPiece(socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
       if (self->state_ != State::kReading) return;
       self->kept_.append(self->piece_.data(), got());
@@ -308,7 +308,7 @@
   // A body of middling size is held whole as well while there is memory for it: until it is here no backend's
   // place is taken, and it can be sent again.
   bool KeepMore() {
-    const auto most = static_cast<std::size_t>(owner_->config_.shares.kept_body);
+    const auto most = static_cast<std::size_t>(owner_->config_.shares.max_buffered_body_bytes);
     if (may_keep_ >= most || parser_->content_length().value_or(0) > most) return false;
     if (!owner_->Reserve(kMostWhole)) return false;
     reserved_ += kMostWhole;
@@ -317,8 +317,8 @@
   }
 
   Steady::duration TimeFor(std::size_t bytes) const {
-    return std::chrono::milliseconds(bytes * 1000 /
-                                     static_cast<std::size_t>(owner_->config_.shares.least_body_rate));
+    return std::chrono::milliseconds(
+        bytes * 1000 / static_cast<std::size_t>(owner_->config_.shares.min_body_rate_bytes_per_s));
   }
 
   // Over all its pieces, an upload may take a grace more than it does at the least rate. Time in which nobody
@@ -326,7 +326,7 @@
   void ReadUpload(OnPiece on_piece) {
     on_piece_ = std::move(on_piece);
     const auto began = Steady::now();
-    until_ = began + std::max<Steady::duration>(patience().body_grace + TimeFor(uploaded_) - upload_time_,
+    until_ = began + std::max<Steady::duration>(timeouts().body_grace + TimeFor(uploaded_) - upload_time_,
                                                 std::chrono::milliseconds(1));
     ReadPiece(socket_, buffer_, *parser_, piece_,
               [self = shared_from_this(), began](const Error& failed, auto got) {
@@ -428,7 +428,7 @@
   }
 
   void Write(HttpResponse response) {
-    Enter(State::kWriting, patience().answer_taken);
+    Enter(State::kWriting, timeouts().response_write);
     response_ = std::move(response);
     last_ |= uploading_ || overrun_ || owner_->stopping_ || owner_->drained_ || owner_->handed_over_;
     response_.keep_alive(!last_);
@@ -445,13 +445,13 @@
 
   void OnAnswered() {
     if (last_) return CloseLingering();
-    Wait(patience().kept);
+    Wait(timeouts().keep_alive);
     if (owner_->waiting_for_room_) owner_->AcceptSoon();
   }
 
   // An answer whose end is still to come.
   void Stream(HttpResponse response, std::optional<std::uint64_t> length) {
-    Enter(State::kWriting, patience().answer_taken);
+    Enter(State::kWriting, timeouts().response_write);
     chunked_ = !length && !old_client_;
     // Only the connection's end can tell a client of HTTP/1.0 how long it is.
     last_ |= uploading_ || overrun_ || owner_->stopping_ || owner_->drained_ || owner_->handed_over_ ||
@@ -467,7 +467,7 @@
   }
 
   void WriteStream(std::string text, bool last) {
-    until_ = Steady::now() + patience().answer_taken;
+    until_ = Steady::now() + timeouts().response_write;
     out_ = std::move(text);
     if (last) rest_.reset();  // the backend's connection is free for others
     asio::async_write(socket_, asio::buffer(out_),
@@ -542,7 +542,7 @@
     : io_(io),
       config_(config),
       most_connections_(most_connections),
-      most_bytes_(static_cast<std::size_t>(config.memory_mb * config.shares.bodies * 1024 * 1024)),
+      most_bytes_(static_cast<std::size_t>(config.memory_mb * config.shares.body_memory * 1024 * 1024)),
       handler_(handler),
       acceptor_(io),
       pause_(io),
@@ -638,7 +638,7 @@
 // way.
 bool Clients::MakeRoom() {
   const auto now = Steady::now();
-  const auto& patience = config_.patience;
+  const auto& timeouts = config_.timeouts;
   const auto give_up = [&](auto which) {
     const auto found = std::find_if(sessions_.begin(), sessions_.end(), which);
     if (found == sessions_.end()) return false;
@@ -647,8 +647,8 @@
     return true;
   };
   return give_up([](const auto& s) { return s->Lingers(); }) ||
-         give_up([&](const auto& s) { return s->SpareSince(now - patience.spare); }) ||
-         give_up([&](const auto& s) { return s->IdleSince(now - patience.silent); }) ||
+         give_up([&](const auto& s) { return s->SpareSince(now - timeouts.idle_reclaim); }) ||
+         give_up([&](const auto& s) { return s->IdleSince(now - timeouts.pressed_idle_reclaim); }) ||
          give_up([&](const auto& s) { return s->HalfReadSince(now - kBegun); });
 }
 
@@ -663,7 +663,7 @@
       const auto session = *it++;
       if (drained_ && (session->SpareSince(now) || session->SilentSince(now - kFresh))) {
         session->CloseLingering();
-      } else if (sessions_.size() > mark && session->SpareSince(now - config_.patience.spare)) {
+      } else if (sessions_.size() > mark && session->SpareSince(now - config_.timeouts.idle_reclaim)) {
         session->CloseLingering();
       } else {
         session->EndIfDue(now);
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -20,15 +20,15 @@
 peers::Seal SealOf(const FleetSettings& settings) {
   struct stat about {};
   if (::stat(settings.key_file.c_str(), &about) != 0)
-    throw BadConfig(settings.key_file + ": fleet.key_file cannot be read");
+    throw ConfigError(settings.key_file + ": fleet.key_file cannot be read");
   if ((about.st_mode & 0077) != 0)
-    throw BadConfig(settings.key_file + ": fleet.key_file may be read by others; its mode has to be 0600");
+    throw ConfigError(settings.key_file + ": fleet.key_file may be read by others; its mode has to be 0600");
   std::string key = config::Contents(settings.key_file);
   while (!key.empty() && (key.back() == '\n' || key.back() == '\r')) key.pop_back();
   try {
     return peers::Seal(settings.cluster, key);
   } catch (const std::invalid_argument& error) {
-    throw BadConfig(settings.key_file + ": fleet.key_file: " + error.what());
+    throw ConfigError(settings.key_file + ": fleet.key_file: " + error.what());
   }
 }
 
@@ -45,8 +45,8 @@
     if (line.empty() || line.front() == '#') continue;
     boost::asio::ip::udp::endpoint parsed;
     if (!peers::ParseAddress(line, &parsed))
-      throw BadConfig(settings.seeds_file + ":" + std::to_string(number) + ": '" + line +
-                      "' is no ADDRESS:PORT");
+      throw ConfigError(settings.seeds_file + ":" + std::to_string(number) + ": '" + line +
+                        "' is no ADDRESS:PORT");
     seeds.push_back(line);
   }
   return seeds;
@@ -62,10 +62,10 @@
   return record;
 }
 
-rollout::Agent::Self AgentOf(const membership::View& view, const KeeperLink* keeper) {
+rollout::Agent::Self AgentOf(const membership::View& view, const SupervisorLink* keeper) {
   rollout::Agent::Self self{view.self().name(), "", view.self().life(), 0, "", ""};
   if (!keeper) return self;
-  const KeeperLink::Known& known = keeper->known();
+  const SupervisorLink::Known& known = keeper->known();
   self.version = known.version;
   self.mark = known.mark;
   self.failed_version = known.failed_version;
@@ -76,7 +76,7 @@
 boost::asio::ip::udp::endpoint Listen(const FleetSettings& settings) {
   boost::asio::ip::udp::endpoint listen;
   if (!peers::ParseAddress(settings.listen, &listen) || listen.port() == 0)
-    throw BadConfig("fleet.listen is no ADDRESS:PORT: '" + settings.listen + "'");
+    throw ConfigError("fleet.listen is no ADDRESS:PORT: '" + settings.listen + "'");
   return listen;
 }
 
@@ -91,11 +91,11 @@
       view_(membership::Options(), SealOf(settings), RecordOf(settings, self), seed, FleetNow()),
       subsets_(settings.subsets),
       on_position_(std::move(on_position)),
-      keeper_(KeeperLink::FromEnvironment(io,
-                                          [this](const std::string& version, const std::string& why) {
-                                            agent_.OnFailed(version, why);
-                                            Flush();
-                                          })),
+      keeper_(SupervisorLink::FromEnvironment(io,
+                                              [this](const std::string& version, const std::string& why) {
+                                                agent_.OnFailed(version, why);
+                                                Flush();
+                                              })),
       agent_(
           AgentOf(view_, keeper_.get()),
           [this](const std::string& name) {
@@ -114,7 +114,7 @@
       [this](membership::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
   Open();
 } catch (const std::invalid_argument& error) {
-  throw BadConfig(std::string("fleet: ") + error.what());
+  throw ConfigError(std::string("fleet: ") + error.what());
 }
 
 void FleetHost::Open() {
@@ -194,16 +194,16 @@
   return members;
 }
 
-std::optional<OperatorCalls::Said> FleetHost::Rollout(const std::string& what, bool post,
-                                                      const std::string& body) {
+std::optional<AdminHandler::FleetCallResult> FleetHost::Rollout(const std::string& what, bool post,
+                                                                const std::string& body) {
   const membership::Time now = FleetNow();
   if (!post) {
-    if (what == "/history") return OperatorCalls::Said{true, agent_.History(now)};
+    if (what == "/history") return AdminHandler::FleetCallResult{true, agent_.History(now)};
     if (!what.empty()) return std::nullopt;
     auto json = nlohmann::ordered_json::parse(agent_.Status(now));
     const double lived = std::chrono::duration<double>(now - began_).count();
     json["rate_per_s"] = static_cast<double>(counts_.asked()) / std::max(1.0, lived);
-    return OperatorCalls::Said{true, json.dump()};
+    return AdminHandler::FleetCallResult{true, json.dump()};
   }
   std::string why;
   if (what == "/start") {
@@ -220,7 +220,7 @@
     return std::nullopt;
   }
   Flush();
-  return OperatorCalls::Said{why.empty(), why.empty() ? "done" : why};
+  return AdminHandler::FleetCallResult{why.empty(), why.empty() ? "done" : why};
 }
 
 void FleetHost::Flush() {
--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/host.h
@@ -17,9 +17,9 @@
 #include "membership/view.h"
 #include "peers/transport.h"
 #include "proxy/admin/admin_server.h"
-#include "proxy/membership/counts.h"
-#include "proxy/membership/keeper_link.h"
+#include "proxy/membership/request_counts.h"
 #include "proxy/membership/settings.h"
+#include "proxy/membership/supervisor_link.h"
 #include "rollout/agent.h"
 #include "subsetting/position.h"
 
@@ -35,7 +35,7 @@
   // Descriptors that it holds at most: both sockets, and exchanges.
   static constexpr int kDescriptors = 18;
 
-  // Throws BadConfig on a key or a list of seeds that cannot be used, or fields too long to tell. Where the
+  // Throws ConfigError on a key or a list of seeds that cannot be used, or fields too long to tell. Where the
   // address is still another process's, as in an upgrade, it waits for it. `on_position` is called with the
   // place on the ring of servers that this proxy takes among those of its zone; where there are no seeds,
   // from the constructor on.
@@ -46,13 +46,14 @@
   void Leave();  // says goodbye, and gives its address free
   std::string Json() const;
   // A request's end, for the cohorts of a change.
-  Counts& counts() { return counts_; }
+  RequestCounts& counts() { return counts_; }
   // This process serves; its keeper is told once.
   void Ready();
 
   // What an operator says of changes: the path behind /rollout, and whether it was a POST. Empty: no such
   // call.
-  std::optional<OperatorCalls::Said> Rollout(const std::string& what, bool post, const std::string& body);
+  std::optional<AdminHandler::FleetCallResult> Rollout(const std::string& what, bool post,
+                                                       const std::string& body);
 
  private:
   void Open();
@@ -72,8 +73,8 @@
   subsetting::Positions positions_;
   std::optional<double> turn_;  // the last position
   std::function<void(double)> on_position_;
-  Counts counts_;
-  std::unique_ptr<KeeperLink> keeper_;
+  RequestCounts counts_;
+  std::unique_ptr<SupervisorLink> keeper_;
   rollout::Agent agent_;
   membership::Time began_{};
   bool heard_ = false, ready_ = false;
--- a/src/proxy/membership/counts.cpp
+++ b/src/proxy/membership/request_counts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/membership/counts.h"
+#include "proxy/membership/request_counts.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
@@ -32,37 +32,39 @@
 }
 
 // What a backend rejects is its answer, and served.
-bool IsServed(End end) { return end == End::kServed || end == End::kRejected; }
+bool IsServed(RequestOutcome outcome) {
+  return outcome == RequestOutcome::kServed || outcome == RequestOutcome::kRejected;
+}
 
-void Count(rollout::wire::Stratum& stratum, End end, bool in_time, int attempts) {
+void Count(rollout::wire::Stratum& stratum, RequestOutcome outcome, bool in_time, int attempts) {
   stratum.set_asked(stratum.asked() + 1);
-  stratum.set_missed(stratum.missed() + !(IsServed(end) && in_time));
-  stratum.set_refused(stratum.refused() + (end == End::kRefused));
-  stratum.set_failed(stratum.failed() + (end == End::kFailed));
+  stratum.set_missed(stratum.missed() + !(IsServed(outcome) && in_time));
+  stratum.set_refused(stratum.refused() + (outcome == RequestOutcome::kRefused));
+  stratum.set_failed(stratum.failed() + (outcome == RequestOutcome::kFailed));
   stratum.set_attempts(stratum.attempts() + static_cast<std::uint64_t>(std::max(0, attempts)));
 }
 
 }  // namespace
 
-const char* NameOf(End end) {
-  switch (end) {
-    case End::kServed:
+const char* NameOf(RequestOutcome outcome) {
+  switch (outcome) {
+    case RequestOutcome::kServed:
       return "served";
-    case End::kRejected:
+    case RequestOutcome::kRejected:
       return "rejected";
-    case End::kRefused:
+    case RequestOutcome::kRefused:
       return "refused";
-    case End::kFailed:
+    case RequestOutcome::kFailed:
       return "failed";
-    case End::kClientGone:
+    case RequestOutcome::kClientGone:
       return "client_gone";
   }
   return "unknown";
 }
 
-void Counts::Ended(int request_class, std::uint32_t account, End end, bool in_time, int attempts,
-                   double after_ms) {
-  if (end == End::kClientGone) return;
+void RequestCounts::Record(int request_class, std::uint32_t account, RequestOutcome outcome, bool in_time,
+                           int attempts, double after_ms) {
+  if (outcome == RequestOutcome::kClientGone) return;
   ++asked_;
   const auto cls = static_cast<std::uint32_t>(std::max(0, request_class));
   const auto of = [&](std::uint32_t number) -> rollout::wire::Stratum* {
@@ -75,18 +77,18 @@
     return &fresh;
   };
   if (rollout::wire::Stratum* stratum = of(0)) {
-    Count(*stratum, end, in_time, attempts);
-    if (IsServed(end)) {
+    Count(*stratum, outcome, in_time, attempts);
+    if (IsServed(outcome)) {
       while (stratum->times_size() < static_cast<int>(rollout::kTimeBuckets)) stratum->add_times(0);
       const int bucket = static_cast<int>(rollout::TimeBucket(after_ms));
       stratum->set_times(bucket, stratum->times(bucket) + 1);
     }
   }
   if (account == 0) return;
-  if (rollout::wire::Stratum* stratum = of(account)) Count(*stratum, end, in_time, attempts);
+  if (rollout::wire::Stratum* stratum = of(account)) Count(*stratum, outcome, in_time, attempts);
 }
 
-rollout::wire::Report Counts::Report() const {
+rollout::wire::Report RequestCounts::Report() const {
   rollout::wire::Report report;
   report.set_cpu_us(ProcessorUs());
   report.set_memory_kb(MemoryKb());
--- a/src/proxy/membership/counts.h
+++ b/src/proxy/membership/request_counts.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What this process has served, by class and account, for a change's cohorts to be compared by.
-#ifndef COPPERPOINT_PROXY_MEMBERSHIP_COUNTS_H_
-#define COPPERPOINT_PROXY_MEMBERSHIP_COUNTS_H_
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_REQUEST_COUNTS_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_REQUEST_COUNTS_H_
 
 #include <cstdint>
 #include <map>
@@ -13,14 +13,15 @@
 namespace copperpoint::proxy {
 
 // How a request ended.
-enum class End { kServed, kRejected, kRefused, kFailed, kClientGone };
-const char* NameOf(End end);  // as the log has it
+enum class RequestOutcome { kServed, kRejected, kRefused, kFailed, kClientGone };
+const char* NameOf(RequestOutcome outcome);  // as the log has it
 
-class Counts {
+class RequestCounts {
  public:
   // `account`: 0 where there is none; `in_time`: the answer was of use. A client that has gone is no answer
   // of ours, and does not count.
-  void Ended(int request_class, std::uint32_t account, End end, bool in_time, int attempts, double after_ms);
+  void Record(int request_class, std::uint32_t account, RequestOutcome outcome, bool in_time, int attempts,
+              double after_ms);
   // So much of it as goes into a letter: classes before accounts, those asked most before others.
   rollout::wire::Report Report() const;
   std::uint64_t asked() const { return asked_; }
@@ -32,4 +33,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_MEMBERSHIP_COUNTS_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_REQUEST_COUNTS_H_
--- a/src/proxy/membership/keeper_link.cpp
+++ b/src/proxy/membership/supervisor_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/membership/keeper_link.h"
+#include "proxy/membership/supervisor_link.h"
 
 #include <fcntl.h>
 
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::unique_ptr<KeeperLink> KeeperLink::FromEnvironment(boost::asio::io_context& io, Failed failed) {
+std::unique_ptr<SupervisorLink> SupervisorLink::FromEnvironment(boost::asio::io_context& io, Failed failed) {
   const std::string descriptor = Variable("COPPERPOINT_KEEPER");
   const int number = std::atoi(descriptor.c_str());
   if (number < 3 || ::fcntl(number, F_GETFD) < 0) return nullptr;
@@ -27,10 +27,10 @@
               Variable("COPPERPOINT_FAILURE"),
               std::strtoull(Variable("COPPERPOINT_MARK").c_str(), nullptr, 16),
               static_cast<std::uint32_t>(std::atoi(Variable("COPPERPOINT_ENDS").c_str()))};
-  return std::unique_ptr<KeeperLink>(new KeeperLink(io, number, std::move(known), std::move(failed)));
+  return std::unique_ptr<SupervisorLink>(new SupervisorLink(io, number, std::move(known), std::move(failed)));
 }
 
-KeeperLink::KeeperLink(boost::asio::io_context& io, int descriptor, Known known, Failed failed)
+SupervisorLink::SupervisorLink(boost::asio::io_context& io, int descriptor, Known known, Failed failed)
     : socket_(io, boost::asio::local::stream_protocol(), descriptor),
       known_(std::move(known)),
       failed_(std::move(failed)) {
@@ -38,12 +38,12 @@
 }
 
 // A few short lines in the life of a process: the socket's buffer takes them.
-void KeeperLink::Say(const std::string& line) {
+void SupervisorLink::Say(const std::string& line) {
   boost::system::error_code ignored;
   boost::asio::write(socket_, boost::asio::buffer(line + "\n"), ignored);
 }
 
-void KeeperLink::Read() {
+void SupervisorLink::Read() {
   boost::asio::async_read_until(socket_, buffer_, '\n',
                                 [this](const boost::system::error_code& failed, std::size_t) {
                                   if (failed) return;
--- a/src/proxy/membership/keeper_link.h
+++ b/src/proxy/membership/supervisor_link.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The line to the keeper that began this process (src/supervisor), if one did.
-#ifndef COPPERPOINT_PROXY_MEMBERSHIP_KEEPER_LINK_H_
-#define COPPERPOINT_PROXY_MEMBERSHIP_KEEPER_LINK_H_
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
@@ -14,7 +14,7 @@
 
 namespace copperpoint::proxy {
 
-class KeeperLink {
+class SupervisorLink {
  public:
   // What the keeper knows of the processes before this one.
   struct Known {
@@ -25,13 +25,13 @@
   using Failed = std::function<void(const std::string& version, const std::string& why)>;
 
   // Null if no keeper began this process.
-  static std::unique_ptr<KeeperLink> FromEnvironment(boost::asio::io_context& io, Failed failed);
+  static std::unique_ptr<SupervisorLink> FromEnvironment(boost::asio::io_context& io, Failed failed);
 
   const Known& known() const { return known_; }
   void Say(const std::string& line);
 
  private:
-  KeeperLink(boost::asio::io_context& io, int descriptor, Known known, Failed failed);
+  SupervisorLink(boost::asio::io_context& io, int descriptor, Known known, Failed failed);
   void Read();
 
   boost::asio::local::stream_protocol::socket socket_;
@@ -42,4 +42,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_MEMBERSHIP_KEEPER_LINK_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -20,7 +20,7 @@
 // watches of discovery, a connection being accepted), and the clients' part of the rest. Of the clients',
 // those with a request open are a half; the others have to make room when they stand idle.
 constexpr int kOtherDescriptors = 24;
-constexpr int kOperatorDescriptors = static_cast<int>(Operator::kMostConnections) + 2;
+constexpr int kOperatorDescriptors = static_cast<int>(AdminServer::kMaxConnections) + 2;
 constexpr TimePoint kUnarmed{Duration(1e300)};
 constexpr Duration kStopGrace{600};  // connections go on coming for up to 400 ms after SIGTERM
 
@@ -29,36 +29,37 @@
 constexpr int kLeastPeers = 32;  // descriptors for clients and backends, however many another process holds
 
 int OwnDescriptors(const Config& config) {
-  return kOtherDescriptors + (config.operator_address ? kOperatorDescriptors : 0) +
+  return kOtherDescriptors + (config.admin_address ? kOperatorDescriptors : 0) +
          (config.fleet.on() ? FleetHost::kDescriptors : 0);
 }
 double PeerDescriptors(const Config& config) { return config.sockets - OwnDescriptors(config); }
 
 Backends::Limits BackendLimits(const Config& config) {
-  return {config.connect_timeout, config.conn_idle,
-          static_cast<std::size_t>(PeerDescriptors(config) * (1 - config.shares.clients)), config.patience};
+  return {config.connect_timeout, config.backend_idle_timeout,
+          static_cast<std::size_t>(PeerDescriptors(config) * (1 - config.shares.client_descriptors)),
+          config.timeouts};
 }
 
 std::size_t ClientLimit(const Config& config) {
-  return static_cast<std::size_t>(PeerDescriptors(config) * config.shares.clients);
+  return static_cast<std::size_t>(PeerDescriptors(config) * config.shares.client_descriptors);
 }
 
 // One folder may serve proxies of several names.
 std::string StateFile(const Config& config, const char* what) {
-  if (config.state_folder.empty()) return "";
+  if (config.state_directory.empty()) return "";
   std::string name = config.name;
   std::replace_if(
       name.begin(), name.end(), [](unsigned char c) { return !std::isalnum(c) && c != '-' && c != '_'; },
       '_');
-  return config.state_folder + "/copperpoint-" + name + "-" + what;
+  return config.state_directory + "/copperpoint-" + name + "-" + what;
 }
 
-Discovery::Options DiscoveryOptions(const Config& config) {
-  Discovery::Options options;
+DiscoveryClient::Options DiscoveryOptions(const Config& config) {
+  DiscoveryClient::Options options;
   options.address = config.discovery;
-  options.revision = config.known.revision;
-  options.reconnect =
-      config.settings.polls_endpoints ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
+  options.revision = config.initial_endpoints.revision;
+  options.reconnect = config.settings.polls_endpoints ? DiscoveryClient::Reconnect::kOnRequest
+                                                      : DiscoveryClient::Reconnect::kAutomatic;
   options.seed = config.seed;
   return options;
 }
@@ -76,31 +77,31 @@
       look_(io),
       fresh_list_(io) {
   backends_ = std::make_unique<Backends>(io, BackendLimits(config_));
-  discovery_ = std::make_unique<Discovery>(
+  discovery_ = std::make_unique<DiscoveryClient>(
       io, DiscoveryOptions(config_),
-      [this](const MemberList& list) {
+      [this](const EndpointList& list) {
         OnList(list, list.complete ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kIncremental);
       },
       [this] {
         Feed(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
       });
-  OnList(config_.known, EndpointUpdateKind::kCached);
+  OnList(config_.initial_endpoints, EndpointUpdateKind::kCached);
   if (!config_.settings.polls_endpoints) discovery_->Watch();
   predecessor_ = HandoverClient::Connect(io, StateFile(config_, "handover.sock"));
   if (predecessor_) {
-    log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", config_.upgrade.list.count()}});
-    TakeOverAfter(config_.upgrade.list);
+    log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", config_.upgrade.endpoint_list.count()}});
+    TakeOverAfter(config_.upgrade.endpoint_list);
   } else {
     Serve(-1);
   }
-  if (config_.operator_address) operator_ = std::make_unique<Operator>(io, *config_.operator_address, *this);
-  if (!config_.state_folder.empty()) LookAfterState();
+  if (config_.admin_address) admin_ = std::make_unique<AdminServer>(io, *config_.admin_address, *this);
+  if (!config_.state_directory.empty()) LookAfterState();
   if (config_.fleet.on()) {
     const auto zone = static_cast<std::size_t>(config_.settings.zone);
     fleet_ = std::make_unique<FleetHost>(
         io, config_.fleet,
         FleetSelf{config_.name, zone < config_.zones.size() ? config_.zones[zone] : "", COPPERPOINT_VERSION,
-                  config_.settings_version},
+                  config_.operator_settings_version},
         config_.seed ^ std::random_device()(), [this](double turn) { Feed(SubsetPosition{turn}); });
     TellFleet();
   }
@@ -109,9 +110,9 @@
 Proxy::~Proxy() = default;
 
 void Proxy::Reload(const Config& config) {
-  config_.patience = config.patience;  // of the clients too, who look here
-  backends_->SetPatience(config.patience);
-  discovery_->Move(config.discovery);
+  config_.timeouts = config.timeouts;  // of the clients too, who look here
+  backends_->SetTimeouts(config.timeouts);
+  discovery_->MoveTo(config.discovery);
 }
 
 void Proxy::Stop(std::function<void()> done) {
@@ -122,42 +123,44 @@
   clients_->Stop(kStopGrace, std::move(done));
 }
 
-OperatorCalls::Verdict Proxy::Disable(const std::string& backend) {
-  MemberList changes;
+AdminHandler::AdminResult Proxy::Disable(const std::string& backend) {
+  EndpointList changes;
   const auto verdict = disabled_.Disable(backend, &changes);
   return Carried(verdict, changes);
 }
 
-OperatorCalls::Verdict Proxy::Enable(const std::string& backend) {
-  MemberList changes;
+AdminHandler::AdminResult Proxy::Enable(const std::string& backend) {
+  EndpointList changes;
   const auto verdict = disabled_.Enable(backend, &changes);
   return Carried(verdict, changes);
 }
 
-OperatorCalls::Verdict Proxy::Carried(DisabledBackends::Verdict verdict, const MemberList& changes) {
-  if (verdict == DisabledBackends::Verdict::kUnknown) return Verdict::kUnknownBackend;
-  if (verdict == DisabledBackends::Verdict::kNotKept) return Verdict::kNotKept;
-  if (!changes.members.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
-  return Verdict::kDone;
+AdminHandler::AdminResult Proxy::Carried(DisabledBackends::ChangeResult verdict,
+                                         const EndpointList& changes) {
+  if (verdict == DisabledBackends::ChangeResult::kUnknownBackend) return AdminResult::kUnknownBackend;
+  if (verdict == DisabledBackends::ChangeResult::kNotStored) return AdminResult::kNotStored;
+  if (!changes.endpoints.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
+  return AdminResult::kDone;
 }
 
-OperatorCalls::Verdict Proxy::Drain() {
-  if (!lifecycle_.Drain()) return Verdict::kStopping;
+AdminHandler::AdminResult Proxy::Drain() {
+  if (!lifecycle_.Drain()) return AdminResult::kStopping;
   if (clients_) clients_->Drain(true);
   TellFleet();
-  return Verdict::kDone;
+  return AdminResult::kDone;
 }
 
-OperatorCalls::Verdict Proxy::Undrain() {
-  if (!lifecycle_.Undrain()) return Verdict::kStopping;
+AdminHandler::AdminResult Proxy::Undrain() {
+  if (!lifecycle_.Undrain()) return AdminResult::kStopping;
   if (clients_) clients_->Drain(false);
   TellFleet();
-  return Verdict::kDone;
+  return AdminResult::kDone;
 }
 
-bool Proxy::HasPart(std::string_view path) const { return fleet_ && path.starts_with(kRolloutPath); }
+bool Proxy::IsFleetCall(std::string_view path) const { return fleet_ && path.starts_with(kRolloutPath); }
 
-std::optional<OperatorCalls::Said> Proxy::Part(const std::string& path, bool post, const std::string& body) {
+std::optional<AdminHandler::FleetCallResult> Proxy::FleetCall(const std::string& path, bool post,
+                                                              const std::string& body) {
   return fleet_->Rollout(path.substr(kRolloutPath.size()), post, body);
 }
 
@@ -182,8 +185,8 @@
   look_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     LookAfterState();
-    const MemberList changes = disabled_.Reread();
-    if (!changes.members.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
+    const EndpointList changes = disabled_.ReloadIfChanged();
+    if (!changes.endpoints.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
     if (successor_) successor_->Tell(nlohmann::json{{"descriptors", Descriptors()}}.dump());
   });
 }
@@ -195,7 +198,7 @@
 void Proxy::Serve(int listener) {
   clients_ = std::make_unique<Clients>(io_, config_, ClientLimit(config_), *this, listener);
   if (lifecycle_.state() == Lifecycle::State::kDrained) clients_->Drain(true);
-  if (!config_.state_folder.empty()) {
+  if (!config_.state_directory.empty()) {
     successor_ = std::make_unique<HandoverServer>(
         io_, StateFile(config_, "handover.sock"), config_.listen, [this] { return GiveOver(); },
         [this] {
@@ -248,8 +251,8 @@
 void Proxy::LeaveTo(int other_descriptors) {
   const double rest =
       std::max<double>(kLeastPeers, PeerDescriptors(config_) - std::max(0, other_descriptors));
-  clients_->SetLimit(static_cast<std::size_t>(rest * config_.shares.clients));
-  backends_->SetLimit(static_cast<std::size_t>(rest * (1 - config_.shares.clients)));
+  clients_->SetLimit(static_cast<std::size_t>(rest * config_.shares.client_descriptors));
+  backends_->SetLimit(static_cast<std::size_t>(rest * (1 - config_.shares.client_descriptors)));
 }
 
 std::optional<Gift> Proxy::GiveOver() {
@@ -263,7 +266,7 @@
 std::string Proxy::LearntText() {
   nlohmann::json learnt = nlohmann::json::array();
   std::unordered_map<BackendId, std::string> names;
-  for (const auto& [id, number] : numbers_.all()) names.emplace(number, id);
+  for (const auto& [id, number] : backend_ids_.all()) names.emplace(number, id);
   for (const BackendSnapshot& of : balancer_.ExportState(clock_.Now())) {
     learnt.push_back({{"id", names[of.backend]},
                       {"multiplier", of.ejection_multiplier},
@@ -280,8 +283,8 @@
   try {
     LeaveTo(json.at("descriptors").get<int>());
     for (const auto& entry : json.at("learnt")) {
-      const auto number = numbers_.all().find(entry.at("id").get<std::string>());
-      if (number == numbers_.all().end()) continue;
+      const auto number = backend_ids_.all().find(entry.at("id").get<std::string>());
+      if (number == backend_ids_.all().end()) continue;
       inherited.backends.push_back({number->second, std::clamp(entry.at("multiplier").get<int>(), 0, 100),
                                     Duration(entry.at("ejected_ms").get<double>()),
                                     std::max(0.0, entry.at("cold_work").get<double>())});
@@ -351,36 +354,36 @@
   events_.push_back(end);
 }
 
-void Proxy::OnList(const MemberList& list, EndpointUpdateKind kind) {
-  PassOn(disabled_.Pass(list, kind != EndpointUpdateKind::kIncremental), kind);
-  listed_ |= !list.members.empty();
+void Proxy::OnList(const EndpointList& list, EndpointUpdateKind kind) {
+  PassOn(disabled_.Apply(list, kind != EndpointUpdateKind::kIncremental), kind);
+  listed_ |= !list.endpoints.empty();
   if (clients_ && listed_) lifecycle_.Started();
   TellFleet();
   // From within discovery's call: the hand-over is a step of its own.
   if (predecessor_ && !clients_ && kind != EndpointUpdateKind::kCached && listed_) TakeOverAfter({});
 }
 
-void Proxy::PassOn(const MemberList& list, EndpointUpdateKind kind) {
-  numbers_.Learn(list.members);
+void Proxy::PassOn(const EndpointList& list, EndpointUpdateKind kind) {
+  backend_ids_.Assign(list.endpoints);
   if (kind != EndpointUpdateKind::kIncremental) {
     std::unordered_set<BackendId> named;
-    for (const Member& m : list.members) named.insert(numbers_.Of(m.id));
+    for (const DiscoveredEndpoint& m : list.endpoints) named.insert(backend_ids_.IdOf(m.id));
     backends_->RetireOthers(named);
   }
   EndpointUpdate update;
   update.kind = kind;
   log::Global().Debug("list_taken", {{"kind", WordFor(kind)},
                                      {"revision", static_cast<std::int64_t>(list.revision)},
-                                     {"members", static_cast<std::int64_t>(list.members.size())}});
-  for (const Member& m : list.members) {
-    log::Global().Debug("server_listed", {{"server", numbers_.Of(m.id)},
+                                     {"members", static_cast<std::int64_t>(list.endpoints.size())}});
+  for (const DiscoveredEndpoint& m : list.endpoints) {
+    log::Global().Debug("server_listed", {{"server", backend_ids_.IdOf(m.id)},
                                           {"id", m.id},
                                           {"zone", m.zone},
                                           {"kind", m.kind},
                                           {"state", WordFor(m.state)},
                                           {"up_since_ms", m.up_since_unix_ms}});
     Endpoint entry;
-    entry.backend = numbers_.Of(m.id);
+    entry.backend = backend_ids_.IdOf(m.id);
     entry.zone = ZoneOf(m.zone);
     const auto kind_name = std::find(config_.kinds.begin(), config_.kinds.end(), m.kind);
     entry.kind = static_cast<int>(kind_name - config_.kinds.begin());
@@ -396,7 +399,7 @@
     }
   }
   std::unordered_set<std::string_view> here;
-  for (const Member& m : list.members) {
+  for (const DiscoveredEndpoint& m : list.endpoints) {
     if (m.state == EndpointState::kRemoved) {
       gone_since_.try_emplace(m.id, Steady::now());
     } else {
@@ -405,7 +408,7 @@
     }
   }
   if (kind != EndpointUpdateKind::kIncremental) {
-    for (const auto& [id, number] : numbers_.all()) {
+    for (const auto& [id, number] : backend_ids_.all()) {
       if (!here.contains(id)) gone_since_.try_emplace(id, Steady::now());
     }
   }
@@ -415,12 +418,13 @@
 
 // Ids are ever new: what has been gone for longer than the module remembers it has no number any more.
 void Proxy::ForgetLongGone() {
-  std::erase_if(gone_since_, [this, until = Steady::now() - config_.patience.forgotten](const auto& gone) {
-    if (gone.second > until) return false;
-    backends_->Forget(numbers_.Of(gone.first));
-    numbers_.Forget(gone.first);
-    return true;
-  });
+  std::erase_if(gone_since_,
+                [this, until = Steady::now() - config_.timeouts.removed_backend_retention](const auto& gone) {
+                  if (gone.second > until) return false;
+                  backends_->Forget(backend_ids_.IdOf(gone.first));
+                  backend_ids_.Release(gone.first);
+                  return true;
+                });
 }
 
 // A zone that the settings don't name is a zone of its own, none of those that they do.
@@ -463,7 +467,7 @@
 }
 
 void Proxy::OnClientGone(RequestId request) {
-  if (!Conclude(request, End::kClientGone)) return;
+  if (!Conclude(request, RequestOutcome::kClientGone)) return;
   // Nothing begins for a client that has gone: an attempt that is still being dialled is not written.
   if (const auto found = pending_.find(request); found != pending_.end() && found->second.attempt_out)
     backends_->AbortUnsent(found->second.attempt);
@@ -518,23 +522,26 @@
                                         {"took_ms", end.duration.count()}});
   if (found != pending_.end()) found->second.attempt_out = false;
   if (result.outcome == AttemptOutcome::kSuccess) {
-    Give(Conclude(request, End::kServed), [&](Responder& to) {
+    Give(Conclude(request, RequestOutcome::kServed), [&](Responder& to) {
       to.Served(std::move(result.response), std::move(result.rest), result.length);
     });
   } else if (result.outcome == AttemptOutcome::kUnknown) {
-    Give(Conclude(request, End::kRejected), [&](Responder& to) { to.Rejected(result.response.result()); });
+    Give(Conclude(request, RequestOutcome::kRejected),
+         [&](Responder& to) { to.Rejected(result.response.result()); });
   } else if (result.local) {
     // Over a limit of this process: no backend is to blame, and another attempt would fare no better.
     const bool began = attempt > 0;
-    Give(Conclude(request, began ? End::kFailed : End::kRefused, RejectReason::kProcessLimit),
-         [&](Responder& to) { began ? to.Failed() : to.Refused(config_.shares.refusal); });
+    Give(Conclude(request, began ? RequestOutcome::kFailed : RequestOutcome::kRefused,
+                  RejectReason::kProcessLimit),
+         [&](Responder& to) { began ? to.Failed() : to.Refused(config_.shares.overload_retry_after); });
   } else if (found != pending_.end() && found->second.upload && found->second.upload->consumed) {
     // Some of the body has left for good: there is no other attempt.
     const bool ran = result.outcome != AttemptOutcome::kConnectFailure &&
                      result.outcome != AttemptOutcome::kBackendRejected &&
                      result.outcome != AttemptOutcome::kNotSent;
-    Give(Conclude(request, ran ? End::kFailed : End::kRefused, RejectReason::kRequestBodyConsumed),
-         [&](Responder& to) { ran ? to.Failed() : to.Refused(config_.shares.refusal); });
+    Give(Conclude(request, ran ? RequestOutcome::kFailed : RequestOutcome::kRefused,
+                  RejectReason::kRequestBodyConsumed),
+         [&](Responder& to) { ran ? to.Failed() : to.Refused(config_.shares.overload_retry_after); });
   }
   end.request_completed = found == pending_.end() || !found->second.responder;
   ForgetIfOver(request);
@@ -558,21 +565,21 @@
 
 // Ends the request: whoever gets the responder gives the one final answer. One line each, for who counts
 // across a fleet.
-std::shared_ptr<Responder> Proxy::Conclude(RequestId request, End end, RejectReason reason) {
+std::shared_ptr<Responder> Proxy::Conclude(RequestId request, RequestOutcome outcome, RejectReason reason) {
   const auto found = pending_.find(request);
   if (found == pending_.end() || !found->second.responder) return nullptr;
   Pending& of = found->second;
   log::Global().Debug("request_ended", {{"request", request},
                                         {"class", of.request_class},
-                                        {"how", NameOf(end)},
+                                        {"how", NameOf(outcome)},
                                         {"why", WordFor(reason)},
                                         {"attempts", of.attempts},
                                         {"after_ms", Duration(Steady::now() - of.arrived).count()},
                                         {"allowed_ms", Duration(of.due - of.arrived).count()}});
   if (fleet_) {
     const auto now = Steady::now();
-    fleet_->counts().Ended(of.request_class, static_cast<std::uint32_t>(of.tenant + 1), end, now <= of.due,
-                           of.attempts, Duration(now - of.arrived).count());
+    fleet_->counts().Record(of.request_class, static_cast<std::uint32_t>(of.tenant + 1), outcome,
+                            now <= of.due, of.attempts, Duration(now - of.arrived).count());
   }
   of.upload.reset();
   return std::exchange(of.responder, nullptr);
@@ -586,13 +593,13 @@
 }
 
 void Proxy::Do(const RejectRequest& action) {
-  Give(Conclude(action.request, End::kRefused, action.reason),
+  Give(Conclude(action.request, RequestOutcome::kRefused, action.reason),
        [&](Responder& to) { to.Refused(action.retry_after); });
   ForgetIfOver(action.request);
 }
 
 void Proxy::Do(const FailRequest& action) {
-  Give(Conclude(action.request, End::kFailed, action.reason), [](Responder& to) { to.Failed(); });
+  Give(Conclude(action.request, RequestOutcome::kFailed, action.reason), [](Responder& to) { to.Failed(); });
   ForgetIfOver(action.request);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -21,18 +21,18 @@
 #include "proxy/admin/admin_server.h"
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/control/disabled.h"
+#include "proxy/control/disabled_backends.h"
 #include "proxy/control/handover.h"
 #include "proxy/control/lifecycle.h"
-#include "proxy/discovery/discovery.h"
-#include "proxy/discovery/members.h"
+#include "proxy/discovery/discovery_client.h"
+#include "proxy/discovery/endpoints.h"
 #include "proxy/downstream/clients.h"
 #include "proxy/membership/host.h"
 #include "proxy/upstream/backends.h"
 
 namespace copperpoint::proxy {
 
-class Proxy : public RequestHandler, public OperatorCalls {
+class Proxy : public RequestHandler, public AdminHandler {
  public:
   // Listens, and watches discovery, from here on.
   Proxy(boost::asio::io_context& io, Config config);
@@ -51,16 +51,17 @@
   bool Ready() const override { return lifecycle_.Ready(); }
 
   std::string StateName() const override { return NameOf(lifecycle_.state()); }
-  Verdict Disable(const std::string& backend) override;
-  Verdict Enable(const std::string& backend) override;
-  Verdict Drain() override;
-  Verdict Undrain() override;
-  std::string Fleet() const override { return fleet_ ? fleet_->Json() : ""; }
-  bool HasPart(std::string_view path) const override;
-  std::optional<Said> Part(const std::string& path, bool post, const std::string& body) override;
+  AdminResult Disable(const std::string& backend) override;
+  AdminResult Enable(const std::string& backend) override;
+  AdminResult Drain() override;
+  AdminResult Undrain() override;
+  std::string FleetStatus() const override { return fleet_ ? fleet_->Json() : ""; }
+  bool IsFleetCall(std::string_view path) const override;
+  std::optional<FleetCallResult> FleetCall(const std::string& path, bool post,
+                                           const std::string& body) override;
 
   boost::asio::ip::tcp::endpoint address() const { return clients_->address(); }
-  boost::asio::ip::tcp::endpoint operator_address() const { return operator_->address(); }
+  boost::asio::ip::tcp::endpoint admin_address() const { return admin_->address(); }
   std::size_t client_connections() const { return clients_->connections(); }
   std::size_t backend_connections() const { return backends_->connections(); }
   std::uint64_t last_revision() const { return discovery_->revision(); }
@@ -83,9 +84,9 @@
 
   void Feed(Event event);
   void HandleQueued();
-  void OnList(const MemberList& list, EndpointUpdateKind kind);
-  void PassOn(const MemberList& list, EndpointUpdateKind kind);
-  Verdict Carried(DisabledBackends::Verdict verdict, const MemberList& changes);
+  void OnList(const EndpointList& list, EndpointUpdateKind kind);
+  void PassOn(const EndpointList& list, EndpointUpdateKind kind);
+  AdminResult Carried(DisabledBackends::ChangeResult verdict, const EndpointList& changes);
   void LookAfterState();
   void TellFleet();  // what this process is up to
   // Begins to accept clients, at the listener that was inherited, if any.
@@ -113,7 +114,8 @@
                      AttemptResult result);
   template <typename Answer>
   void Give(const std::shared_ptr<Responder>& responder, Answer answer);
-  std::shared_ptr<Responder> Conclude(RequestId request, End end, RejectReason reason = RejectReason::kNone);
+  std::shared_ptr<Responder> Conclude(RequestId request, RequestOutcome outcome,
+                                      RejectReason reason = RejectReason::kNone);
   void ForgetIfOver(RequestId request);
   void ArmTimer();
 
@@ -121,7 +123,7 @@
   Config config_;
   ModuleClock clock_;
   Balancer balancer_;
-  ServerNumbers numbers_;
+  BackendIds backend_ids_;
   std::unordered_map<RequestId, Pending> pending_;
   std::unordered_set<std::string> open_ids_;  // Req-Id of those pending
   std::unordered_map<std::string, Steady::time_point> gone_since_;
@@ -137,8 +139,8 @@
   boost::asio::steady_timer timer_, look_, fresh_list_;
   std::unique_ptr<Backends> backends_;
   std::unique_ptr<Clients> clients_;
-  std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<Operator> operator_;
+  std::unique_ptr<DiscoveryClient> discovery_;
+  std::unique_ptr<AdminServer> admin_;
   std::unique_ptr<HandoverClient> predecessor_;
   std::unique_ptr<HandoverServer> successor_;
   std::unique_ptr<FleetHost> fleet_;  // null: this proxy talks to no other
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -39,7 +39,7 @@
   } catch (const config::BadFile& error) {
     for (const config::Fault& fault : error.faults())
       Refused(config::Describe(options.operators_file, fault));
-  } catch (const BadConfig& error) {
+  } catch (const ConfigError& error) {
     Refused(error.what());
   }
 }
@@ -56,16 +56,16 @@
 }  // namespace
 
 Config Configure(const ServeOptions& options, Config platform, log::Settings* log) {
-  Operating operating;
+  OperatorSettings operating;
   if (!options.operators_file.empty()) {
-    operating = config::Read<Operating>(options.operators_file);
+    operating = config::Read<OperatorSettings>(options.operators_file);
     if (operating.fleet.on())
-      platform.settings_version = log::Hex(StableHash(config::Contents(options.operators_file)));
+      platform.operator_settings_version = log::Hex(StableHash(config::Contents(options.operators_file)));
   }
   *log = operating.log;
   log->level = options.log_level.value_or(log->level);
   log->format = options.log_format.value_or(log->format);
-  platform.patience = operating.patience;
+  platform.timeouts = operating.timeouts;
   platform.shares = operating.shares;
   platform.upgrade = operating.upgrade;
   platform.fleet = operating.fleet;
--- a/src/proxy/upstream/backends.cpp
+++ b/src/proxy/upstream/backends.cpp
@@ -209,7 +209,7 @@
   void WritePiece(std::string text, bool last) {
     out_ = std::move(text);
     out_at_ = 0;
-    SetTimer(Steady::now() + owner_->limits_.patience.stalled);
+    SetTimer(Steady::now() + owner_->limits_.timeouts.body_stall);
     Flush(last);
   }
 
@@ -271,7 +271,9 @@
     });
   }
 
-  void ExpectMore() { SetTimer(std::min(deadline_, Steady::now() + owner_->limits_.patience.answer_whole)); }
+  void ExpectMore() {
+    SetTimer(std::min(deadline_, Steady::now() + owner_->limits_.timeouts.response_stall));
+  }
 
   void Read() {
     parser_.emplace();
@@ -347,7 +349,7 @@
       });
       return;
     }
-    SetTimer(Steady::now() + owner_->limits_.patience.stalled);
+    SetTimer(Steady::now() + owner_->limits_.timeouts.body_stall);
     ReadPiece(socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
       if (!self->streaming_ || self->closed_ || !self->on_piece_) return;
       if (failed) return self->Close();
@@ -516,7 +518,7 @@
 // The most recently used of those that have rested. A backend may close just after an answer, or send more
 // than belongs to it: what has rested has shown that.
 std::shared_ptr<Backends::Connection> Backends::TakeIdle(Backend& backend) {
-  const auto rested_since = Steady::now() - limits_.patience.rest;
+  const auto rested_since = Steady::now() - limits_.timeouts.connection_rest;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > rested_since) --end;
   while (end != backend.idle.begin()) {
@@ -547,7 +549,7 @@
   Backend& backend = found->second;
   if (!backend.usable || backend.generation != connection->generation()) return connection->Close();
   backend.idle.push_back(connection);
-  connection->WatchIdle(limits_.conn_idle * kIdleShare);
+  connection->WatchIdle(limits_.backend_idle_timeout * kIdleShare);
 }
 
 void Backends::Drop(const Connection* connection) {
--- a/src/proxy/upstream/backends.h
+++ b/src/proxy/upstream/backends.h
@@ -35,9 +35,9 @@
  public:
   struct Limits {
     Duration connect_timeout{250};
-    Duration conn_idle{15000};
+    Duration backend_idle_timeout{15000};
     std::size_t connections = 300;  // over all backends
-    Patience patience{};
+    Timeouts timeouts{};
   };
 
   Backends(boost::asio::io_context& io, Limits limits);
@@ -70,7 +70,7 @@
   void AbortUnsent(const Ticket& ticket);
 
   void SetLimit(std::size_t connections) { limits_.connections = connections; }
-  void SetPatience(const Patience& patience) { limits_.patience = patience; }
+  void SetTimeouts(const Timeouts& timeouts) { limits_.timeouts = timeouts; }
   std::size_t connections() const { return open_; }
   std::size_t opened() const { return opened_; }  // since the start
   std::size_t known() const { return backends_.size(); }
--- a/tests/fault_testing/harmful_outcome.cpp
+++ b/tests/fault_testing/harmful_outcome.cpp
@@ -2,7 +2,7 @@
 //
 // In place of src/proxy/upstream/outcome.cpp in the program that is worse, for rolling changes to stop: one
 // request in four fails, whichever backend has answered it.
-#include "proxy/discovery/members.h"
+#include "proxy/discovery/endpoints.h"
 #include "proxy/upstream/outcome.h"
 
 namespace copperpoint::proxy {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -372,17 +372,17 @@
   // A test that is about a time limit sets it; to all others a slow machine is none.
   explicit Site(std::vector<nlohmann::json> known)
       : config(ConfigJson(discovery.address(), std::move(known))) {
-    patience.whole_request = patience.answer_whole = std::chrono::minutes(1);
+    timeouts.request_head = timeouts.response_stall = std::chrono::minutes(1);
   }
   void Start() {
     proxy::Config all = ConfigOf(config);
-    all.patience = patience;
+    all.timeouts = timeouts;
     proxy = std::make_unique<RunningProxy>(std::move(all));
   }
 
   FakeDiscovery discovery;
   nlohmann::json config;
-  proxy::Patience patience;
+  proxy::Timeouts timeouts;
   std::unique_ptr<RunningProxy> proxy;
 };
 
--- a/tests/operating_test.cpp
+++ b/tests/operating_test.cpp
@@ -17,24 +17,24 @@
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-TEST(Operating, ThePageSaysWhatTheCodeDoes) {
-  EXPECT_EQ(Contents(std::string(SOURCE_DIR) + "/docs/configuration.md"), ConfigurationPage())
+TEST(OperatorSettings, ThePageSaysWhatTheCodeDoes) {
+  EXPECT_EQ(Contents(std::string(SOURCE_DIR) + "/docs/configuration.md"), ConfigurationReference())
       << "write it anew: copperpoint config reference > docs/configuration.md";
 }
 
-TEST(Operating, TheFileThatIsShippedIsGoodAndSaysTheDefaults) {
-  const auto shipped = config::Read<Operating>(std::string(SOURCE_DIR) + "/deploy/copperpoint.toml");
-  const Operating defaults;
-  EXPECT_EQ(shipped.patience.kept, defaults.patience.kept);
-  EXPECT_EQ(shipped.patience.answer_taken, defaults.patience.answer_taken);
-  EXPECT_EQ(shipped.patience.stalled, defaults.patience.stalled);
-  EXPECT_EQ(shipped.upgrade.list, defaults.upgrade.list);
+TEST(OperatorSettings, TheFileThatIsShippedIsGoodAndSaysTheDefaults) {
+  const auto shipped = config::Read<OperatorSettings>(std::string(SOURCE_DIR) + "/deploy/copperpoint.toml");
+  const OperatorSettings defaults;
+  EXPECT_EQ(shipped.timeouts.keep_alive, defaults.timeouts.keep_alive);
+  EXPECT_EQ(shipped.timeouts.response_write, defaults.timeouts.response_write);
+  EXPECT_EQ(shipped.timeouts.body_stall, defaults.timeouts.body_stall);
+  EXPECT_EQ(shipped.upgrade.endpoint_list, defaults.upgrade.endpoint_list);
   EXPECT_EQ(shipped.upgrade.listener, defaults.upgrade.listener);
   EXPECT_EQ(shipped.log.lines_per_s, defaults.log.lines_per_s);
 }
 
-TEST(Operating, EveryDefaultIsWithinItsOwnRange) {
-  Operating defaults;
+TEST(OperatorSettings, EveryDefaultIsWithinItsOwnRange) {
+  OperatorSettings defaults;
   struct Ranges : config::Visitor {
     void Number(std::string_view key, double& value, const config::About& about) override {
       EXPECT_GE(value, about.least) << key;
@@ -58,9 +58,9 @@
   defaults.Describe(ranges);
 }
 
-TEST(Operating, OutOfRangeIsRefusedWithItsKey) {
+TEST(OperatorSettings, OutOfRangeIsRefusedWithItsKey) {
   try {
-    config::ReadFrom<Operating>("[shares]\nclients = 0.95\n[patience]\nkept_ms = -1\n", "f");
+    config::ReadFrom<OperatorSettings>("[shares]\nclients = 0.95\n[patience]\nkept_ms = -1\n", "f");
     FAIL();
   } catch (const config::BadFile& error) {
     EXPECT_STREQ(error.what(),
--- a/tests/operation_test.cpp
+++ b/tests/operation_test.cpp
@@ -9,16 +9,16 @@
 
 #include "loopback.h"
 #include "proxy/admin/admin_server.h"
-#include "proxy/control/disabled.h"
+#include "proxy/control/disabled_backends.h"
 #include "proxy/control/lifecycle.h"
 
 namespace copperpoint::testing {
 namespace {
 
 using proxy::DisabledBackends;
+using proxy::DiscoveredEndpoint;
+using proxy::EndpointList;
 using proxy::Lifecycle;
-using proxy::Member;
-using proxy::MemberList;
 
 std::string Call(const std::string& method, const std::string& target) {
   return method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -60,55 +60,55 @@
 }
 
 // ---- backends out by hand -----------------------------------------------------------------------------
-MemberList ListOf(const std::string& id, EndpointState state = EndpointState::kReady, double up_since = 0) {
-  Member member;
+EndpointList ListOf(const std::string& id, EndpointState state = EndpointState::kReady, double up_since = 0) {
+  DiscoveredEndpoint member;
   member.id = id;
   member.state = state;
   member.up_since_unix_ms = up_since;
-  MemberList list;
-  list.members.push_back(member);
+  EndpointList list;
+  list.endpoints.push_back(member);
   return list;
 }
 
 TEST(Disabled, ABackendCountsAsDrainingWhateverDiscoverySaysUntilOneCallPutsItBack) {
   DisabledBackends disabled("", log::Global());
-  MemberList changes;
-  disabled.Pass(ListOf("s-1"), true);
-  EXPECT_EQ(disabled.Disable("s-2", &changes), DisabledBackends::Verdict::kUnknown);
-  EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::Verdict::kDone);
-  ASSERT_EQ(changes.members.size(), 1u);
-  EXPECT_EQ(changes.members[0].state, EndpointState::kDraining);
-  EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::Verdict::kDone);
-  EXPECT_TRUE(changes.members.empty());
-  EXPECT_EQ(disabled.Pass(ListOf("s-1", EndpointState::kRemoved), false).members[0].state,
+  EndpointList changes;
+  disabled.Apply(ListOf("s-1"), true);
+  EXPECT_EQ(disabled.Disable("s-2", &changes), DisabledBackends::ChangeResult::kUnknownBackend);
+  EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
+  ASSERT_EQ(changes.endpoints.size(), 1u);
+  EXPECT_EQ(changes.endpoints[0].state, EndpointState::kDraining);
+  EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
+  EXPECT_TRUE(changes.endpoints.empty());
+  EXPECT_EQ(disabled.Apply(ListOf("s-1", EndpointState::kRemoved), false).endpoints[0].state,
             EndpointState::kRemoved);
-  EXPECT_EQ(disabled.Pass(ListOf("s-1", EndpointState::kReady, 5), false).members[0].state,
+  EXPECT_EQ(disabled.Apply(ListOf("s-1", EndpointState::kReady, 5), false).endpoints[0].state,
             EndpointState::kDraining);
-  EXPECT_EQ(disabled.Pass(ListOf("s-1", EndpointState::kReady, 7), true).members[0].state,
+  EXPECT_EQ(disabled.Apply(ListOf("s-1", EndpointState::kReady, 7), true).endpoints[0].state,
             EndpointState::kDraining);
-  EXPECT_EQ(disabled.Enable("s-1", &changes), DisabledBackends::Verdict::kDone);
-  ASSERT_EQ(changes.members.size(), 1u);
-  EXPECT_EQ(changes.members[0].state, EndpointState::kReady);
-  EXPECT_EQ(changes.members[0].up_since_unix_ms, 7);
+  EXPECT_EQ(disabled.Enable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
+  ASSERT_EQ(changes.endpoints.size(), 1u);
+  EXPECT_EQ(changes.endpoints[0].state, EndpointState::kReady);
+  EXPECT_EQ(changes.endpoints[0].up_since_unix_ms, 7);
 }
 
 TEST(Disabled, TwoProcessesAgreeAndALaterOneStillKnows) {
   const Folder folder;
   const std::string file = folder.path + "/disabled.json";
   DisabledBackends one(file, log::Global()), two(file, log::Global());
-  MemberList changes;
+  EndpointList changes;
   for (auto* each : {&one, &two}) {
-    MemberList both = ListOf("s-1");
-    both.members.push_back(ListOf("s-2").members[0]);
-    each->Pass(both, true);
+    EndpointList both = ListOf("s-1");
+    both.endpoints.push_back(ListOf("s-2").endpoints[0]);
+    each->Apply(both, true);
   }
-  EXPECT_EQ(one.Disable("s-1", &changes), DisabledBackends::Verdict::kDone);
-  EXPECT_EQ(two.Disable("s-2", &changes), DisabledBackends::Verdict::kDone);
+  EXPECT_EQ(one.Disable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
+  EXPECT_EQ(two.Disable("s-2", &changes), DisabledBackends::ChangeResult::kDone);
   EXPECT_EQ(two.ids(), (std::set<std::string>{"s-1", "s-2"}));
-  EXPECT_EQ(one.Reread().members.size(), 1u);
+  EXPECT_EQ(one.ReloadIfChanged().endpoints.size(), 1u);
   EXPECT_EQ(one.ids(), two.ids());
-  EXPECT_EQ(one.Enable("s-2", &changes), DisabledBackends::Verdict::kDone);
-  EXPECT_EQ(two.Reread().members[0].state, EndpointState::kReady);
+  EXPECT_EQ(one.Enable("s-2", &changes), DisabledBackends::ChangeResult::kDone);
+  EXPECT_EQ(two.ReloadIfChanged().endpoints[0].state, EndpointState::kReady);
   EXPECT_EQ(DisabledBackends(file, log::Global()).ids(), (std::set<std::string>{"s-1"}));
 }
 
@@ -122,18 +122,18 @@
     DisabledBackends disabled(file, notes.log);
     EXPECT_TRUE(disabled.ids().empty()) << text;
     EXPECT_EQ(notes.lines.size(), 1u) << text;
-    MemberList changes;
-    disabled.Pass(ListOf("s-1"), true);
-    EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::Verdict::kDone);
+    EndpointList changes;
+    disabled.Apply(ListOf("s-1"), true);
+    EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
     EXPECT_EQ(DisabledBackends(file, log::Global()).ids(), (std::set<std::string>{"s-1"}));
   }
 }
 
 TEST(Disabled, WhatCannotBeStoredIsNotDone) {
   DisabledBackends disabled("/nowhere/at/all/disabled.json", log::Global());
-  MemberList changes;
-  disabled.Pass(ListOf("s-1"), true);
-  EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::Verdict::kNotKept);
+  EndpointList changes;
+  disabled.Apply(ListOf("s-1"), true);
+  EXPECT_EQ(disabled.Disable("s-1", &changes), DisabledBackends::ChangeResult::kNotStored);
   EXPECT_TRUE(disabled.ids().empty());
 }
 
@@ -144,9 +144,9 @@
     auto json = ConfigJson(discovery.address(), std::move(members));
     json["operator"] = "127.0.0.1:0";
     proxy::Config config = ConfigOf(json);
-    config.state_folder = folder.path;
+    config.state_directory = folder.path;
     proxy = std::make_unique<RunningProxy>(std::move(config));
-    calls = proxy->Ask([](proxy::Proxy& p) { return p.operator_address(); });
+    calls = proxy->Ask([](proxy::Proxy& p) { return p.admin_address(); });
   }
   unsigned Call(const std::string& method, const std::string& target) { return Ask(calls, method, target); }
 
@@ -182,7 +182,7 @@
   Backend backend;
   OperatedSite site(Members(MemberJson("s-1", backend.address())));
   std::vector<std::unique_ptr<Client>> silent;
-  for (std::size_t i = 0; i < 3 * proxy::Operator::kMostConnections; ++i) {
+  for (std::size_t i = 0; i < 3 * proxy::AdminServer::kMaxConnections; ++i) {
     silent.push_back(std::make_unique<Client>(site.calls));
     silent.back()->Send("GET /ready HTTP/1.1\r\n");
   }
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -20,8 +20,8 @@
  protected:
   Attempts() : acceptor_(peer_io_, kAnyPort) {
     limits_.connect_timeout = Duration(60000);
-    limits_.patience.answer_whole = limits_.patience.stalled = std::chrono::minutes(1);
-    limits_.patience.rest = milliseconds(0);
+    limits_.timeouts.response_stall = limits_.timeouts.body_stall = std::chrono::minutes(1);
+    limits_.timeouts.connection_rest = milliseconds(0);
     backends_ = std::make_unique<proxy::Backends>(io_, limits_);
     backends_->Set(kServer, acceptor_.local_endpoint(), 0);
   }
--- a/tests/proxy/client_gone_test.cpp
+++ b/tests/proxy/client_gone_test.cpp
@@ -238,8 +238,8 @@
     Backend backend;
     Site site(Members(MemberJson("s-1", backend.address())));
     site.config["limits"]["sockets"] = kFewSockets;
-    site.patience.spare = std::chrono::minutes(10);
-    site.patience.silent = milliseconds(1);
+    site.timeouts.idle_reclaim = std::chrono::minutes(10);
+    site.timeouts.pressed_idle_reclaim = milliseconds(1);
     site.Start();
     std::vector<std::unique_ptr<Client>> resting;
     for (std::size_t i = 0; i < 3 * kFewClients; ++i) {
--- a/tests/proxy/closing_test.cpp
+++ b/tests/proxy/closing_test.cpp
@@ -15,7 +15,7 @@
 TEST(Closing, ARequestThatCrossesTheEndOfARestingConnectionReadsThatEnd) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.lingering = std::chrono::minutes(10);
+  site.timeouts.lingering_close = std::chrono::minutes(10);
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).body(), "served");
@@ -33,7 +33,7 @@
 TEST(Closing, TheStopWaitsForClientsToSeeTheEndAndForNoLongerThanItMay) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.lingering = std::chrono::minutes(10);
+  site.timeouts.lingering_close = std::chrono::minutes(10);
   site.Start();
   auto client = std::make_unique<Client>(site.proxy->address);
   EXPECT_EQ(client->Ask(Look()).body(), "served");
@@ -44,7 +44,7 @@
   client.reset();
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 
-  site.patience.lingering = milliseconds(100);
+  site.timeouts.lingering_close = milliseconds(100);
   site.Start();
   Client stays(site.proxy->address);
   EXPECT_EQ(stays.Ask(Look()).body(), "served");
@@ -54,8 +54,8 @@
 TEST(Closing, WhatIsDrainedByStaffOrStandsIdleForTooLongIsNotReset) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.kept = milliseconds(50);
-  site.patience.lingering = std::chrono::minutes(10);
+  site.timeouts.keep_alive = milliseconds(50);
+  site.timeouts.lingering_close = std::chrono::minutes(10);
   site.Start();
   Client kept(site.proxy->address);
   EXPECT_EQ(kept.Ask(Look()).body(), "served");
--- a/tests/proxy/watch_test.cpp
+++ b/tests/proxy/watch_test.cpp
@@ -6,14 +6,14 @@
 
 #include <optional>
 
-#include "proxy/discovery/discovery.h"
-#include "proxy/discovery/messages.h"
+#include "proxy/discovery/discovery_client.h"
+#include "proxy/discovery/message_framer.h"
 #include "scripted.h"
 
 namespace copperpoint::testing {
 namespace {
 
-using proxy::Messages;
+using proxy::MessageFramer;
 using std::chrono::milliseconds;
 
 std::string List(int revision, std::vector<nlohmann::json> members = {}, bool complete = true,
@@ -28,15 +28,15 @@
 
 // ---- messages -------------------------------------------------------------------------------------------
 std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* garbled) {
-  Messages messages;
+  MessageFramer messages;
   std::vector<std::string> all;
   std::string message;
   for (std::size_t at = 0; at < text.size(); at += piece) {
     messages.Add(text.substr(at, piece));
-    for (Messages::Next next; (next = messages.Take(&message)) != Messages::Next::kMore;) {
-      if (next == Messages::Next::kMessage) all.push_back(message);
-      if (next == Messages::Next::kEmptyLine) all.push_back("");
-      if (next == Messages::Next::kGarbled) {
+    for (MessageFramer::Result next; (next = messages.Take(&message)) != MessageFramer::Result::kMore;) {
+      if (next == MessageFramer::Result::kMessage) all.push_back(message);
+      if (next == MessageFramer::Result::kEmptyLine) all.push_back("");
+      if (next == MessageFramer::Result::kGarbled) {
         *garbled = true;
         return all;
       }
@@ -71,15 +71,15 @@
 
 TEST(Messages, AtTheEndOnlyTheLineEndMayBeMissing) {
   std::string message;
-  Messages whole;
+  MessageFramer whole;
   whole.Add("{\"a\":\"\\\"}\"}  ");
-  EXPECT_EQ(whole.Take(&message), Messages::Next::kMore);
+  EXPECT_EQ(whole.Take(&message), MessageFramer::Result::kMore);
   EXPECT_TRUE(whole.TakeLast(&message));
   EXPECT_EQ(nlohmann::json::parse(message)["a"], "\"}");
   for (const char* text : {"", "{\"a\":1", "{\"a", " "}) {
-    Messages half;
+    MessageFramer half;
     half.Add(text);
-    EXPECT_EQ(half.Take(&message), Messages::Next::kMore);
+    EXPECT_EQ(half.Take(&message), MessageFramer::Result::kMore);
     EXPECT_FALSE(half.TakeLast(&message)) << text;
   }
 }
@@ -129,8 +129,9 @@
     if (loop.joinable()) loop.join();
   }
   void Start() {
-    discovery = std::make_unique<proxy::Discovery>(
-        io, options, [this](const proxy::MemberList& list) { lists.Do([&](auto& l) { l.push_back(list); }); },
+    discovery = std::make_unique<proxy::DiscoveryClient>(
+        io, options,
+        [this](const proxy::EndpointList& list) { lists.Do([&](auto& l) { l.push_back(list); }); },
         [this] {
           failures.Do([](int& n) { ++n; });
           discovery->Watch();  // as the module asks for it
@@ -144,10 +145,10 @@
 
   asio::io_context io{1};
   asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
-  proxy::Discovery::Options options;
-  Watched<std::vector<proxy::MemberList>> lists;
+  proxy::DiscoveryClient::Options options;
+  Watched<std::vector<proxy::EndpointList>> lists;
   Watched<int> failures;
-  std::unique_ptr<proxy::Discovery> discovery;
+  std::unique_ptr<proxy::DiscoveryClient> discovery;
   std::thread loop;
 };
 
@@ -166,7 +167,7 @@
   Watching watch(fake.address());
   watch.Start();
   ASSERT_TRUE(watch.WaitForLists(2));
-  EXPECT_EQ(watch.lists.Get()[1].members[0].id, "s-2");
+  EXPECT_EQ(watch.lists.Get()[1].endpoints[0].id, "s-2");
   EXPECT_EQ(fake.calls.Get().size(), 1u);
 }
 
@@ -210,7 +211,7 @@
     }
   }});
   Watching watch(fake.address());
-  watch.options.silence = milliseconds(200);
+  watch.options.idle_timeout = milliseconds(200);
   watch.Start();
   EXPECT_TRUE(fake.WaitForCalls(2));
 }
@@ -230,17 +231,17 @@
     HearToTheEnd(s);
   }});
   Watching watch(fake.address());
-  watch.options.silence = milliseconds(700);
+  watch.options.idle_timeout = milliseconds(700);
   watch.Start();
   ASSERT_TRUE(watch.WaitForLists(1));
-  EXPECT_EQ(watch.lists.Get()[0].members.size(), 8000u);
+  EXPECT_EQ(watch.lists.Get()[0].endpoints.size(), 8000u);
 }
 
 TEST(WatchSilence, ADialThatHangsIsGivenUpBeforeASilentWatchIs) {
   HeldDial held;
   Watching watch(held.address());
-  watch.options.reconnect = proxy::Discovery::Reconnect::kWhenAsked;
-  watch.options.silence = std::chrono::minutes(10);
+  watch.options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
+  watch.options.idle_timeout = std::chrono::minutes(10);
   watch.options.connect_timeout = milliseconds(50);
   watch.Start();
   EXPECT_TRUE(watch.failures.WaitFor([](int n) { return n >= 2; }));
@@ -250,7 +251,7 @@
 // and the change that was made when it fell silent is here within 6 s of that.
 TEST(WatchBound, AChangeIsKnownSixSecondsAfterTheWatchFellSilentWhateverFailedInBetween) {
   for (const auto reconnect :
-       {proxy::Discovery::Reconnect::kByItself, proxy::Discovery::Reconnect::kWhenAsked}) {
+       {proxy::DiscoveryClient::Reconnect::kAutomatic, proxy::DiscoveryClient::Reconnect::kOnRequest}) {
     Watched<std::chrono::steady_clock::time_point> silent_since;
     ScriptedDiscovery fake(
         {[&](Tcp::socket& s) {
@@ -274,14 +275,14 @@
 }
 
 TEST(WatchBound, TheTimesOfAWatchAddUpToLessThanTheSixSeconds) {
-  const proxy::Discovery::Options options;
+  const proxy::DiscoveryClient::Options options;
   // Two dials that hang, one after the silence and one at the return, with the longest back-off between.
-  EXPECT_LE(options.silence + 2 * options.connect_timeout + std::chrono::milliseconds(1000 - 500),
+  EXPECT_LE(options.idle_timeout + 2 * options.connect_timeout + std::chrono::milliseconds(1000 - 500),
             std::chrono::seconds(6));
-  EXPECT_GT(options.silence, std::chrono::seconds(2)) << "a heartbeat may be a little late";
+  EXPECT_GT(options.idle_timeout, std::chrono::seconds(2)) << "a heartbeat may be a little late";
   // A call that is never answered, and the longest back-off after it.
-  EXPECT_LT(options.answer + std::chrono::milliseconds(1000), std::chrono::seconds(6));
-  EXPECT_GT(options.answer, options.silence) << "calls wait their turn";
+  EXPECT_LT(options.first_message_timeout + std::chrono::milliseconds(1000), std::chrono::seconds(6));
+  EXPECT_GT(options.first_message_timeout, options.idle_timeout) << "calls wait their turn";
   // After a move there are 4 s: a dial that hangs, and another one.
   EXPECT_LE(2 * options.connect_timeout, std::chrono::seconds(3));
 }
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -126,7 +126,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::milliseconds(0);
+  site.timeouts.connection_rest = std::chrono::milliseconds(0);
   site.Start();
   Client client(site.proxy->address);
   const std::string chunked =
@@ -198,7 +198,7 @@
 TEST(Proxy, AStalledLargeBodyIsTurnedAwayAndNothingRuns) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.body_grace = std::chrono::milliseconds(100);
+  site.timeouts.body_grace = std::chrono::milliseconds(100);
   site.Start();
   Client client(site.proxy->address);
   const std::string request = Post("book", "", Patterned(3 * 1000 * 1000));
@@ -311,7 +311,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.connection_rest = {};
   site.Start();
   {
     Client client(site.proxy->address);
@@ -330,7 +330,7 @@
 TEST(Proxy, RequestsOneAfterTheOtherShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.connection_rest = {};
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -433,12 +433,12 @@
 TEST(DiscoveryWatch, AWatchWhoseHeartbeatStaysAwayIsAskedAgain) {
   FakeDiscovery fake;
   asio::io_context io(1);
-  proxy::Discovery::Options options;
+  proxy::DiscoveryClient::Options options;
   options.address = fake.address();
   options.revision = 7;
-  options.silence = std::chrono::milliseconds(50);
-  proxy::Discovery discovery(
-      io, options, [](const proxy::MemberList&) {}, [] {});
+  options.idle_timeout = std::chrono::milliseconds(50);
+  proxy::DiscoveryClient discovery(
+      io, options, [](const proxy::EndpointList&) {}, [] {});
   discovery.Watch();
   std::thread loop([&] { io.run(); });
   EXPECT_TRUE(fake.WaitForWatches(3));
@@ -453,37 +453,37 @@
     nobody = gone.address();
   }
   asio::io_context io(1);
-  proxy::Discovery::Options options;
+  proxy::DiscoveryClient::Options options;
   options.address = nobody;
-  options.reconnect = proxy::Discovery::Reconnect::kWhenAsked;
+  options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
   int failures = 0;
-  proxy::Discovery discovery(
-      io, options, [](const proxy::MemberList&) {}, [&] { ++failures; });
+  proxy::DiscoveryClient discovery(
+      io, options, [](const proxy::EndpointList&) {}, [&] { ++failures; });
   discovery.Watch();
   io.run();  // comes to an end: nothing is tried again
   EXPECT_EQ(failures, 1);
 }
 
-TEST(ServerNumbers, ComeFromTheIdAloneAndCollisionsFromTheNames) {
+TEST(BackendIds, ComeFromTheIdAloneAndCollisionsFromTheNames) {
   const auto list = [](std::vector<std::string> ids) {
-    std::vector<proxy::Member> members;
+    std::vector<proxy::DiscoveredEndpoint> members;
     for (const auto& id : ids) members.emplace_back().id = id;
     return members;
   };
-  proxy::ServerNumbers here, there;
-  here.Learn(list({"s-1", "s-2", "s-3"}));
-  there.Learn(list({"s-3"}));
-  there.Learn(list({"s-2", "s-1"}));
-  for (const char* id : {"s-1", "s-2", "s-3"}) EXPECT_EQ(here.Of(id), there.Of(id));
+  proxy::BackendIds here, there;
+  here.Assign(list({"s-1", "s-2", "s-3"}));
+  there.Assign(list({"s-3"}));
+  there.Assign(list({"s-2", "s-1"}));
+  for (const char* id : {"s-1", "s-2", "s-3"}) EXPECT_EQ(here.IdOf(id), there.IdOf(id));
 
   const auto same = [](std::string_view) -> std::uint32_t { return 5; };
-  proxy::ServerNumbers a(same), b(same);
-  a.Learn(list({"x", "y", "z"}));
-  b.Learn(list({"z", "y", "x"}));
+  proxy::BackendIds a(same), b(same);
+  a.Assign(list({"x", "y", "z"}));
+  b.Assign(list({"z", "y", "x"}));
   std::set<BackendId> distinct;
   for (const char* id : {"x", "y", "z"}) {
-    EXPECT_EQ(a.Of(id), b.Of(id));
-    distinct.insert(a.Of(id));
+    EXPECT_EQ(a.IdOf(id), b.IdOf(id));
+    distinct.insert(a.IdOf(id));
   }
   EXPECT_EQ(distinct.size(), 3u);
 }
@@ -616,7 +616,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.answer_whole = std::chrono::milliseconds(20);
+  site.timeouts.response_stall = std::chrono::milliseconds(20);
   site.Start();
   Client client(site.proxy->address);
   // Its deadline is a minute away: longer than the test waits.
@@ -660,7 +660,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.connection_rest = {};
   site.Start();
   Client client(site.proxy->address);
   for (const char* id : {"a1", "a2", "a3"}) EXPECT_EQ(client.Ask(WithId(Book(), id)).body(), id);
@@ -670,7 +670,7 @@
 TEST(Proxy, AConnectionRestsBeforeItIsUsedAgain) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::hours(1);
+  site.timeouts.connection_rest = std::chrono::hours(1);
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -734,7 +734,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::hours(1);  // so that each request opens a connection
+  site.timeouts.connection_rest = std::chrono::hours(1);  // so that each request opens a connection
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -746,7 +746,7 @@
 TEST(Proxy, BackendsLongGoneAreForgotten) {
   Backend backend;
   Site site(Members(MemberJson("s-0", backend.address())));
-  site.patience.forgotten = {};
+  site.timeouts.removed_backend_retention = {};
   site.Start();
   for (int i = 1; i <= 20; ++i) {
     site.discovery.Push(
@@ -882,7 +882,7 @@
 TEST(Proxy, ASlowRequestHasOneDeadlineAndEndsWithA408) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.whole_request = std::chrono::milliseconds(500);
+  site.timeouts.request_head = std::chrono::milliseconds(500);
   site.Start();
   Client silent(site.proxy->address);
   EXPECT_TRUE(silent.Ended());
@@ -910,8 +910,8 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.patience.whole_request = std::chrono::hours(1);
-  site.patience.silent = std::chrono::milliseconds(10);
+  site.timeouts.request_head = std::chrono::hours(1);
+  site.timeouts.pressed_idle_reclaim = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 80; ++i) silent.push_back(std::make_unique<Client>(site.proxy->address));
@@ -999,7 +999,7 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.patience.spare = std::chrono::milliseconds(10);
+  site.timeouts.idle_reclaim = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
