--- a/tests/proxy/watch_test.cpp
+++ b/tests/proxy/watch_test.cpp
@@ -8,7 +8,7 @@
 
 #include "proxy/discovery/discovery_client.h"
 #include "proxy/discovery/message_framer.h"
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
