--- a/src/proxy/downstream/clients.cpp
+++ b/src/proxy/downstream/client_listener.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/downstream/clients.h"
+#include "proxy/downstream/client_listener.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -43,9 +43,11 @@
 
 }  // namespace
 
-class Clients::Session : public std::enable_shared_from_this<Session>, public Responder, public PieceSource {
+class ClientListener::Session : public std::enable_shared_from_this<Session>,
+                                public Responder,
+                                public BodySource {
  public:
-  Session(Clients& owner, Tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
+  Session(ClientListener& owner, Tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
 
   std::list<std::shared_ptr<Session>>::iterator place;
 
@@ -125,8 +127,8 @@
     Close();
   }
 
-  void Served(HttpResponse answer, std::shared_ptr<PieceSource> rest,
-              std::optional<std::uint64_t> length) override {
+  void SendResponse(HttpResponse answer, std::shared_ptr<BodySource> rest,
+                    std::optional<std::uint64_t> length) override {
     if (!Holds()) return;
     HttpResponse mine{http::status::ok, 11};
     if (const auto type = answer.find(http::field::content_type); type != answer.end())
@@ -136,7 +138,7 @@
     rest_ = std::move(rest);
     Stream(std::move(mine), length);
   }
-  void Refused(Duration retry_after) override {
+  void SendUnavailable(Duration retry_after) override {
     if (!Holds()) return;
     HttpResponse mine = Plain(http::status::service_unavailable, "refused; trying again is harmless\n");
     if (retry_after.count() > 0) {
@@ -146,15 +148,15 @@
     }
     Write(std::move(mine));
   }
-  void Failed() override {
+  void SendBadGateway() override {
     if (Holds()) Write(Plain(http::status::bad_gateway, "failed\n"));
   }
-  void Rejected(http::status status) override {
+  void SendClientError(http::status status) override {
     if (Holds()) TurnAway(status, "found faulty");
   }
 
   // The rest of the request's body.
-  void Read(OnPiece on_piece) override {
+  void Read(OnBodyChunk on_piece) override {
     asio::post(socket_.get_executor(), [self = shared_from_this(), on_piece = std::move(on_piece)]() mutable {
       if (!self->Holds() || !self->uploading_) return on_piece(false, {}, true);
       self->ReadUpload(std::move(on_piece));
@@ -203,7 +205,7 @@
     Enter(State::kReading, asked_ ? Steady::duration(patience().whole_request) : until_ - Steady::now());
     parser_.emplace();
     parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxBody);
     kept_.clear();
     http::async_read_header(
         socket_, buffer_, *parser_,
@@ -268,14 +270,16 @@
 
   void OnHeader() {
     const auto& header = parser_->get();
-    if (const auto complaint = CheckHeader(header)) return TurnAway(complaint->status, complaint->text);
+    if (const auto complaint = ValidateRequestHeader(header))
+      return TurnAway(complaint->status, complaint->text);
     const std::size_t length = static_cast<std::size_t>(
-        parser_->chunked() ? kMostWhole
-                           : std::min<std::uint64_t>(kMostWhole, parser_->content_length().value_or(0)));
+        parser_->chunked()
+            ? kMaxBufferedBody
+            : std::min<std::uint64_t>(kMaxBufferedBody, parser_->content_length().value_or(0)));
     if (!owner_->Reserve(length * kCopies))
       return TurnAway(http::status::service_unavailable, "no memory for this now; trying again is harmless");
     reserved_ = length * kCopies;
-    may_keep_ = kMostWhole;
+    may_keep_ = kMaxBufferedBody;
     body_began_ = Steady::now();
     if (boost::beast::iequals(header[http::field::expect], "100-continue")) return Continue();
     ReadBody();
@@ -297,12 +301,13 @@
   void ReadBody() {
     if (parser_->is_done() || (kept_.size() >= may_keep_ && !KeepMore())) return OnRead(Steady::now());
     until_ = std::max(until_, body_began_ + patience().body_grace + TimeFor(kept_.size()));
-    ReadPiece(socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
-      if (self->state_ != State::kReading) return;
-      self->kept_.append(self->piece_.data(), got());
-      if (failed) return self->OnUnreadable(failed);
-      self->ReadBody();
-    });
+    ReadBodyChunk(socket_, buffer_, *parser_, piece_,
+                  [self = shared_from_this()](const Error& failed, auto got) {
+                    if (self->state_ != State::kReading) return;
+                    self->kept_.append(self->piece_.data(), got());
+                    if (failed) return self->OnUnreadable(failed);
+                    self->ReadBody();
+                  });
   }
 
   // A body of middling size is held whole as well while there is memory for it: until it is here no backend's
@@ -310,9 +315,9 @@
   bool KeepMore() {
     const auto most = static_cast<std::size_t>(owner_->config_.shares.kept_body);
     if (may_keep_ >= most || parser_->content_length().value_or(0) > most) return false;
-    if (!owner_->Reserve(kMostWhole)) return false;
-    reserved_ += kMostWhole;
-    may_keep_ += kMostWhole;
+    if (!owner_->Reserve(kMaxBufferedBody)) return false;
+    reserved_ += kMaxBufferedBody;
+    may_keep_ += kMaxBufferedBody;
     return true;
   }
 
@@ -323,27 +328,28 @@
 
   // Over all its pieces, an upload may take a grace more than it does at the least rate. Time in which nobody
   // asked for a piece is not the client's.
-  void ReadUpload(OnPiece on_piece) {
+  void ReadUpload(OnBodyChunk on_piece) {
     on_piece_ = std::move(on_piece);
     const auto began = Steady::now();
     until_ = began + std::max<Steady::duration>(patience().body_grace + TimeFor(uploaded_) - upload_time_,
                                                 std::chrono::milliseconds(1));
-    ReadPiece(socket_, buffer_, *parser_, piece_,
-              [self = shared_from_this(), began](const Error& failed, auto got) {
-                if (!self->Holds() || !self->on_piece_) return;
-                if (failed) {
-                  if (IsFromParser(failed)) return self->FailUpload(http::status::bad_request, "malformed");
-                  return self->FailUpload(std::nullopt, "");
-                }
-                const auto now = Steady::now();
-                const std::size_t n = got();
-                self->upload_time_ += now - began;
-                self->uploaded_ += n;
-                self->until_ = Steady::time_point::max();
-                const bool last = self->parser_->is_done();
-                if (last) self->uploading_ = false, self->WatchClient();
-                std::exchange(self->on_piece_, nullptr)(true, {self->piece_.data(), n}, last);
-              });
+    ReadBodyChunk(socket_, buffer_, *parser_, piece_,
+                  [self = shared_from_this(), began](const Error& failed, auto got) {
+                    if (!self->Holds() || !self->on_piece_) return;
+                    if (failed) {
+                      if (IsFromParser(failed))
+                        return self->FailUpload(http::status::bad_request, "malformed");
+                      return self->FailUpload(std::nullopt, "");
+                    }
+                    const auto now = Steady::now();
+                    const std::size_t n = got();
+                    self->upload_time_ += now - began;
+                    self->uploaded_ += n;
+                    self->until_ = Steady::time_point::max();
+                    const bool last = self->parser_->is_done();
+                    if (last) self->uploading_ = false, self->WatchClient();
+                    std::exchange(self->on_piece_, nullptr)(true, {self->piece_.data(), n}, last);
+                  });
   }
 
   // The client has broken off, or is to be told that it is at fault: either is the end of its request.
@@ -358,7 +364,7 @@
       Close();
     }
     if (on_piece) on_piece(false, {}, true);
-    handler.OnClientGone(of);
+    handler.OnClientDisconnected(of);
   }
 
   static bool IsFromParser(const Error& failed) {
@@ -392,13 +398,13 @@
                          : Plain(http::status::service_unavailable, "not ready\n"));
     }
     ClientRequest request;
-    if (const auto complaint = Understand(std::move(message), at, owner_->config_, &request))
+    if (const auto complaint = ParseClientRequest(std::move(message), at, owner_->config_, &request))
       return TurnAway(complaint->status, complaint->text);
     const auto id = request.message["Req-Id"];
-    if (owner_->handler_.IsOpen({id.data(), id.size()}))
+    if (owner_->handler_.IsRequestOpen({id.data(), id.size()}))
       return TurnAway(http::status::conflict, "Req-Id is that of an open request");
     if (uploading_) {
-      request.rest = shared_from_this();
+      request.body_stream = shared_from_this();
       if (has_length) request.message.content_length(length);
       if (!has_length) request.message.chunked(true);
     }
@@ -417,7 +423,7 @@
                          if (self->ReadAhead(Steady::now())) return self->WatchClient();
                          const auto owner = self->owner_;
                          self->Close();
-                         owner->handler_.OnClientGone(of);
+                         owner->handler_.OnClientDisconnected(of);
                        });
   }
 
@@ -463,7 +469,7 @@
     socket_.cancel(ignored);  // the watch for the client's end
     std::ostringstream head;
     head << response.base();
-    WriteStream(head.str() + Framed(response.body(), false, chunked_), false);
+    WriteStream(head.str() + EncodeBodyChunk(response.body(), false, chunked_), false);
   }
 
   void WriteStream(std::string text, bool last) {
@@ -481,7 +487,7 @@
                         self->rest_->Read([self](bool whole, std::string_view piece, bool last) {
                           if (self->state_ != State::kWriting) return;
                           if (!whole) return self->Abort();
-                          self->WriteStream(Framed(piece, last, self->chunked_), last);
+                          self->WriteStream(EncodeBodyChunk(piece, last, self->chunked_), last);
                         });
                       });
   }
@@ -495,27 +501,27 @@
 
   // What a client says after the end is nobody's: it reads there that nothing more is answered.
   void Discard() {
-    discard_.resize(kPiece);
+    discard_.resize(kBodyChunkSize);
     socket_.async_read_some(
         asio::buffer(discard_), [self = shared_from_this()](const Error& failed, std::size_t n) {
           if (self->state_ != State::kLingering) return;
           self->discarded_ += n;
-          if (failed || self->discarded_ > (self->uploading_ ? kMostBody : 4 * kMostWhole))
+          if (failed || self->discarded_ > (self->uploading_ ? kMaxBody : 4 * kMaxBufferedBody))
             return self->Close();
           self->Discard();
         });
   }
 
-  Clients* owner_;
+  ClientListener* owner_;
   Tcp::socket socket_;
-  boost::beast::flat_buffer buffer_{kMostWhole + kMostHeader};
+  boost::beast::flat_buffer buffer_{kMaxBufferedBody + kMostHeader};
   std::optional<Parser> parser_;
   HttpResponse response_;
   std::string kept_, out_;     // a request's body as far as it is held; what is being written of an answer
   std::vector<char> discard_;  // not the buffer of a read that may not have heard yet that it is over
   std::vector<char> piece_;    // of a body that is being read
-  std::shared_ptr<PieceSource> rest_;  // of the answer
-  OnPiece on_piece_;                   // wants the next piece of the request's body
+  std::shared_ptr<BodySource> rest_;  // of the answer
+  OnBodyChunk on_piece_;              // wants the next piece of the request's body
   std::size_t uploaded_ = 0, may_keep_ = 0;
   Steady::time_point body_began_{};
   Steady::duration upload_time_{};
@@ -537,8 +543,8 @@
   bool last_ = false;         // the connection closes after this answer
 };
 
-Clients::Clients(asio::io_context& io, const Config& config, std::size_t most_connections,
-                 RequestHandler& handler, int listener)
+ClientListener::ClientListener(asio::io_context& io, const Config& config, std::size_t most_connections,
+                               RequestHandler& handler, int listener)
     : io_(io),
       config_(config),
       most_connections_(most_connections),
@@ -561,13 +567,13 @@
   Accept();
 }
 
-Clients::~Clients() {
+ClientListener::~ClientListener() {
   const auto sessions = std::move(sessions_);
   sessions_.clear();
   for (const auto& session : sessions) session->Orphan();
 }
 
-void Clients::Accept() {
+void ClientListener::Accept() {
   if (shut_ || handed_over_) return;
   waiting_for_room_ = false;
   Error failed;
@@ -590,7 +596,7 @@
 }
 
 // Not from within what a session does: accepting may end others.
-void Clients::AcceptSoon() {
+void ClientListener::AcceptSoon() {
   if (std::exchange(accepting_soon_, true)) return;
   asio::post(io_, [this, alive = std::weak_ptr<int>(alive_)] {
     if (alive.expired()) return;
@@ -599,7 +605,7 @@
   });
 }
 
-void Clients::AwaitClient() {
+void ClientListener::AwaitClient() {
   if (std::exchange(awaiting_, true)) return;
   acceptor_.async_wait(Tcp::acceptor::wait_read, [this](const Error& failed) {
     if (failed == asio::error::operation_aborted) return;
@@ -608,7 +614,7 @@
   });
 }
 
-void Clients::Begin(Tcp::socket socket) {
+void ClientListener::Begin(Tcp::socket socket) {
   if (sessions_.empty()) Sweep();
   sessions_.push_back(std::make_shared<Session>(*this, std::move(socket)));
   const auto session = sessions_.back();
@@ -616,7 +622,7 @@
   session->Start(queued_since_);
 }
 
-void Clients::AcceptLater() {
+void ClientListener::AcceptLater() {
   if (!queued_since_) queued_since_ = Steady::now();
   MakeRoom();
   pause_.expires_after(kPause);
@@ -626,7 +632,7 @@
 }
 
 // Bodies that are being read, or are held, must not fill the memory: what comes beyond is turned away.
-bool Clients::Reserve(std::size_t bytes) {
+bool ClientListener::Reserve(std::size_t bytes) {
   if (reserved_ + bytes > most_bytes_) return false;
   reserved_ += bytes;
   return true;
@@ -636,7 +642,7 @@
 // that has had its last answer; one that has stood idle for long; one that never said anything; one that
 // rests; one whose request does not come whole. Those that are fresh stay, since their request may be on its
 // way.
-bool Clients::MakeRoom() {
+bool ClientListener::MakeRoom() {
   const auto now = Steady::now();
   const auto& patience = config_.patience;
   const auto give_up = [&](auto which) {
@@ -653,7 +659,7 @@
 }
 
 // Ends what has taken too long, and makes room ahead of need.
-void Clients::Sweep() {
+void ClientListener::Sweep() {
   sweep_.expires_after(kSweep);
   sweep_.async_wait([this](const Error& cancelled) {
     if (cancelled) return;
@@ -674,12 +680,12 @@
   });
 }
 
-void Clients::Remove(Session* session) {
+void ClientListener::Remove(Session* session) {
   sessions_.erase(session->place);
   if (waiting_for_room_) AcceptSoon();
 }
 
-void Clients::Stop(Duration grace, std::function<void()> done) {
+void ClientListener::ShutDown(Duration grace, std::function<void()> done) {
   if (stopping_) return;
   stopping_ = true;
   stopped_ = std::move(done);
@@ -693,7 +699,7 @@
 
 // What waits in the queue would be reset with it: it is closed once the queue has been seen empty, or nobody
 // may be waited for any more.
-void Clients::CloseListener(bool at_once) {
+void ClientListener::CloseListener(bool at_once) {
   if (!acceptor_.is_open()) return;
   Error failed;
   while (!handed_over_ && !failed && (sessions_.size() < most_connections_ || MakeRoom())) {
@@ -704,7 +710,7 @@
   if (handed_over_ || failed || at_once) acceptor_.close(failed);
 }
 
-std::optional<int> Clients::HandOver() {
+std::optional<int> ClientListener::ReleaseListener() {
   if (!acceptor_.is_open() || shut_ || handed_over_) return std::nullopt;
   handed_over_ = true;
   awaiting_ = false;
@@ -714,17 +720,17 @@
   return acceptor_.native_handle();
 }
 
-void Clients::TakeBack() {
+void ClientListener::ResumeAccepting() {
   if (!std::exchange(handed_over_, false) || !acceptor_.is_open()) return;
   AcceptSoon();
 }
 
-void Clients::SetLimit(std::size_t connections) {
+void ClientListener::SetConnectionLimit(std::size_t connections) {
   most_connections_ = connections;
   if (waiting_for_room_) AcceptSoon();
 }
 
-void Clients::Drain(bool drained) {
+void ClientListener::SetDraining(bool drained) {
   drained_ = drained;
   if (!drained) return;
   const auto now = Steady::now();
@@ -736,7 +742,7 @@
 
 // Looks again until no answer is owed, no request is half read, and every client has seen its connection's
 // end.
-void Clients::Shut() {
+void ClientListener::Shut() {
   const auto now = Steady::now();
   if (!std::exchange(shut_, true)) half_read_until_ = now + kHalfRead;
   const bool late = now >= half_read_until_;
--- a/src/proxy/downstream/clients.h
+++ b/src/proxy/downstream/client_listener.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: accepts connections, reads requests, writes the one answer to each.
-#ifndef COPPERPOINT_PROXY_DOWNSTREAM_CLIENTS_H_
-#define COPPERPOINT_PROXY_DOWNSTREAM_CLIENTS_H_
+#ifndef COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
+#define COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -17,7 +17,7 @@
 
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
@@ -26,12 +26,12 @@
  public:
   virtual ~Responder() = default;
   // The body may go on in `rest`, and is then `length` long if that is known.
-  virtual void Served(HttpResponse answer, std::shared_ptr<PieceSource> rest,
-                      std::optional<std::uint64_t> length) = 0;
-  virtual void Refused(Duration retry_after) = 0;
-  virtual void Failed() = 0;
+  virtual void SendResponse(HttpResponse answer, std::shared_ptr<BodySource> rest,
+                            std::optional<std::uint64_t> length) = 0;
+  virtual void SendUnavailable(Duration retry_after) = 0;
+  virtual void SendBadGateway() = 0;
   // A backend found the request itself faulty.
-  virtual void Rejected(boost::beast::http::status status) = 0;
+  virtual void SendClientError(boost::beast::http::status status) = 0;
 };
 
 // What is done with requests. Neither call may throw.
@@ -39,38 +39,38 @@
  public:
   virtual ~RequestHandler() = default;
   virtual RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) = 0;
-  virtual void OnClientGone(RequestId request) = 0;
+  virtual void OnClientDisconnected(RequestId request) = 0;
   virtual bool Ready() const = 0;
   // Whether a request of this Req-Id has no answer yet, or an attempt of it is out.
-  virtual bool IsOpen(std::string_view id) const = 0;
+  virtual bool IsRequestOpen(std::string_view id) const = 0;
 };
 
-class Clients {
+class ClientListener {
  public:
   // Listens at once, at `listener` if one was inherited; throws boost::system::system_error if it cannot.
-  Clients(boost::asio::io_context& io, const Config& config, std::size_t most_connections,
-          RequestHandler& handler, int listener = -1);
-  ~Clients();
-  Clients(const Clients&) = delete;
-  Clients& operator=(const Clients&) = delete;
+  ClientListener(boost::asio::io_context& io, const Config& config, std::size_t most_connections,
+                 RequestHandler& handler, int listener = -1);
+  ~ClientListener();
+  ClientListener(const ClientListener&) = delete;
+  ClientListener& operator=(const ClientListener&) = delete;
 
   // From now on each connection closes after its answer; new ones are still served. After the grace,
   // nothing is accepted any more, and `done` is called when no connection is left.
-  void Stop(Duration grace, std::function<void()> done);
+  void ShutDown(Duration grace, std::function<void()> done);
 
   // While drained, connections that stand idle are closed, and the others after their next answer; new ones
   // are served all the same.
-  void Drain(bool drained);
+  void SetDraining(bool drained);
 
   // Another process accepts from now on, from the same queue; what is connected here is answered, and then
   // sent there. Nothing if it is too late for that. The descriptor stays this one's.
-  std::optional<int> HandOver();
-  void TakeBack();  // the other process has gone
+  std::optional<int> ReleaseListener();
+  void ResumeAccepting();  // the other process has gone
 
-  void SetLimit(std::size_t connections);
+  void SetConnectionLimit(std::size_t connections);
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t connections() const { return sessions_.size(); }
+  std::size_t connection_count() const { return sessions_.size(); }
 
  private:
   class Session;
@@ -105,4 +105,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_DOWNSTREAM_CLIENTS_H_
+#endif  // COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
--- a/src/proxy/http/pieces.h
+++ b/src/proxy/http/body_stream.h
@@ -2,8 +2,8 @@
 //
 // The rest of a body that is too large to be held whole, passed on a piece at a time. The next piece is asked
 // for once the last one is written: that is all the back-pressure there is, and all that is ever held.
-#ifndef COPPERPOINT_PROXY_HTTP_PIECES_H_
-#define COPPERPOINT_PROXY_HTTP_PIECES_H_
+#ifndef COPPERPOINT_PROXY_HTTP_BODY_STREAM_H_
+#define COPPERPOINT_PROXY_HTTP_BODY_STREAM_H_
 
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -22,27 +22,27 @@
 
 namespace copperpoint::proxy {
 
-inline constexpr std::size_t kMostWhole = 64 * 1024;        // of a body that is held whole
-inline constexpr std::size_t kMostBody = 33 * 1024 * 1024;  // of any body, either way
-inline constexpr std::size_t kPiece = 32 * 1024;
+inline constexpr std::size_t kMaxBufferedBody = 64 * 1024;  // of a body that is held whole
+inline constexpr std::size_t kMaxBody = 33 * 1024 * 1024;   // of any body, either way
+inline constexpr std::size_t kBodyChunkSize = 32 * 1024;
 
-class PieceSource {
+class BodySource {
  public:
   // `whole` is false if the body broke off; `last` if nothing follows. The piece lasts for the call.
-  using OnPiece = std::function<void(bool whole, std::string_view piece, bool last)>;
-  virtual ~PieceSource() = default;
+  using OnBodyChunk = std::function<void(bool whole, std::string_view piece, bool last)>;
+  virtual ~BodySource() = default;
   // One at a time. `on_piece` is called once, never from within this call; not at all if the reader has gone.
-  virtual void Read(OnPiece on_piece) = 0;
+  virtual void Read(OnBodyChunk on_piece) = 0;
 };
 
 // The rest of a request's body on its way to a backend.
-struct Upload {
-  std::shared_ptr<PieceSource> rest;
+struct RequestBodyStream {
+  std::shared_ptr<BodySource> source;
   bool consumed = false;  // some of it has left, so that the request can't be sent again
 };
 
 // As it is written, in a chunk if the message is chunked.
-inline std::string Framed(std::string_view piece, bool last, bool chunked) {
+inline std::string EncodeBodyChunk(std::string_view piece, bool last, bool chunked) {
   if (!chunked) return std::string(piece);
   std::string text;
   if (!piece.empty()) {
@@ -56,9 +56,9 @@
 
 // Reads what comes next of the body that `parser` is at. `done(error, n)`: n bytes are in `piece`.
 template <typename Socket, typename Buffer, typename Parser, typename Done>
-void ReadPiece(Socket& socket, Buffer& buffer, Parser& parser, std::vector<char>& piece, Done done) {
+void ReadBodyChunk(Socket& socket, Buffer& buffer, Parser& parser, std::vector<char>& piece, Done done) {
   namespace http = boost::beast::http;
-  piece.resize(kPiece);
+  piece.resize(kBodyChunkSize);
   parser.get().body().data = piece.data();
   parser.get().body().size = piece.size();
   parser.get().body().more = true;
@@ -73,4 +73,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_HTTP_PIECES_H_
+#endif  // COPPERPOINT_PROXY_HTTP_BODY_STREAM_H_
--- a/src/proxy/http/framing.cpp
+++ b/src/proxy/http/framing.cpp
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-bool FramingIsPlain(const http::fields& fields, unsigned version) {
+bool IsFramingUnambiguous(const http::fields& fields, unsigned version) {
   const auto lengths = fields.count(http::field::content_length);
   const auto codings = fields.count(http::field::transfer_encoding);
   if (lengths + codings > 1) return false;
@@ -74,32 +74,32 @@
          (version >= 11 && boost::beast::iequals(fields[http::field::transfer_encoding], "chunked"));
 }
 
-std::optional<Complaint> CheckHeader(const http::request_header<>& header) {
-  if (!FramingIsPlain(header, header.version()))
-    return Complaint{http::status::bad_request, "ambiguous framing"};
+std::optional<RequestError> ValidateRequestHeader(const http::request_header<>& header) {
+  if (!IsFramingUnambiguous(header, header.version()))
+    return RequestError{http::status::bad_request, "ambiguous framing"};
   const auto length = header.find(http::field::content_length);
   const bool has_body = length != header.end() ? length->value().find_first_not_of('0') != std::string::npos
                                                : header.count(http::field::transfer_encoding) > 0;
   if (header.method() == http::verb::get && has_body)
-    return Complaint{http::status::bad_request, "a body on GET"};
+    return RequestError{http::status::bad_request, "a body on GET"};
   return std::nullopt;
 }
 
-std::optional<Complaint> Understand(HttpRequest message, Steady::time_point read_at, const Config& config,
-                                    ClientRequest* request) {
-  const auto bad = [](const char* what) { return Complaint{http::status::bad_request, what}; };
+std::optional<RequestError> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
+                                               const Config& config, ClientRequest* request) {
+  const auto bad = [](const char* what) { return RequestError{http::status::bad_request, what}; };
   EraseHopByHop(message);  // first: what is named there is not to be believed
   for (const char* once : {"Req-Id", "Idempotency-Key", "Req-Kind", "Req-Deadline-Ms"}) {
     if (message.count(once) > 1) return bad("a header is repeated");
   }
   const std::string_view class_name = FirstOfPath(View(message.target()));
   request->request_class = IndexOf(config.classes, class_name);
-  if (request->request_class < 0) return Complaint{http::status::not_found, "unknown class"};
+  if (request->request_class < 0) return RequestError{http::status::not_found, "unknown class"};
   const auto kind = message.find("Req-Kind");
   if (kind != message.end() && View(kind->value()) != class_name) return bad("Req-Kind is not the path's");
   const ClassSettings& c = config.settings.classes[request->request_class];
   const http::verb method = c.idempotency == Idempotency::kIdempotent ? http::verb::get : http::verb::post;
-  if (message.method() != method) return Complaint{http::status::method_not_allowed, "wrong method"};
+  if (message.method() != method) return RequestError{http::status::method_not_allowed, "wrong method"};
   const auto id = message["Req-Id"];
   if (id.empty() || id.size() > kMostId) return bad("Req-Id is missing or too long");
   if (c.idempotency == Idempotency::kIdempotencyKey && message["Idempotency-Key"].empty())
@@ -113,19 +113,19 @@
     if (!value) return bad("Req-Deadline-Ms is no whole number");
     deadline_ms = std::min(*value, kMostDeadlineMs);
   }
-  request->due = read_at + std::chrono::duration_cast<Steady::duration>(Duration(deadline_ms));
+  request->deadline = read_at + std::chrono::duration_cast<Steady::duration>(Duration(deadline_ms));
   if (const auto text = message.find("Req-Cost"); text != message.end()) {
     const auto value = Number(View(text->value()));
     if (!value || *value < 0) return bad("Req-Cost is no number");
-    request->has_hint = true;
-    request->work_ms = std::min(*value, kMostCostUs) / 1000;
+    request->has_work_estimate = true;
+    request->estimated_work_ms = std::min(*value, kMostCostUs) / 1000;
   }
   if (!config.tenants.empty()) {
     request->tenant = IndexOf(config.tenants, View(message["Req-Owner"]));
     if (request->tenant < 0) return bad("unknown Req-Owner");
   }
   request->client_retry = message["Req-Retry"] == "1";
-  request->key = KeyOf(message[http::field::cookie]);
+  request->affinity_key = KeyOf(message[http::field::cookie]);
 
   message.version(11);
   message.prepare_payload();
--- a/src/proxy/http/framing.h
+++ b/src/proxy/http/framing.h
@@ -14,7 +14,7 @@
 
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/http/pieces.h"
+#include "proxy/http/body_stream.h"
 
 namespace copperpoint::proxy {
 
@@ -24,31 +24,31 @@
 // True if every reader takes the same bytes for the body: at most one Content-Length, which is a number, or
 // one Transfer-Encoding, which is `chunked`, never both. The parser lets unknown codings pass beside a
 // length.
-bool FramingIsPlain(const boost::beast::http::fields& fields, unsigned version);
+bool IsFramingUnambiguous(const boost::beast::http::fields& fields, unsigned version);
 
 // A request as read from a client, its headers understood.
 struct ClientRequest {
-  HttpRequest message;                // what goes on to backends; its body may go on in `rest`
-  std::shared_ptr<PieceSource> rest;  // null if the body is whole
-  Steady::time_point due{};
+  HttpRequest message;                      // what goes on to backends; its body may go on in `body_stream`
+  std::shared_ptr<BodySource> body_stream;  // null if the body is whole
+  Steady::time_point deadline{};
   int request_class = 0;
   int tenant = 0;
-  std::uint64_t key = 0;
-  bool has_hint = false, client_retry = false;
-  double work_ms = 0;
+  std::uint64_t affinity_key = 0;
+  bool has_work_estimate = false, client_retry = false;
+  double estimated_work_ms = 0;
 };
 
-struct Complaint {
+struct RequestError {
   boost::beast::http::status status = boost::beast::http::status::bad_request;
   std::string text;
 };
 
 // What is wrong with the header of a request whose body is still to come; nothing if it may.
-std::optional<Complaint> CheckHeader(const boost::beast::http::request_header<>& header);
+std::optional<RequestError> ValidateRequestHeader(const boost::beast::http::request_header<>& header);
 
 // Understands the headers of a request whose last byte was read at `read_at`; a complaint if it can't.
-std::optional<Complaint> Understand(HttpRequest message, Steady::time_point read_at, const Config& config,
-                                    ClientRequest* request);
+std::optional<RequestError> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
+                                               const Config& config, ClientRequest* request);
 
 }  // namespace copperpoint::proxy
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -34,7 +34,7 @@
 }
 double PeerDescriptors(const Config& config) { return config.sockets - OwnDescriptors(config); }
 
-Backends::Limits BackendLimits(const Config& config) {
+BackendPool::Limits BackendLimits(const Config& config) {
   return {config.connect_timeout, config.conn_idle,
           static_cast<std::size_t>(PeerDescriptors(config) * (1 - config.shares.clients)), config.patience};
 }
@@ -75,7 +75,7 @@
       timer_(io),
       look_(io),
       fresh_list_(io) {
-  backends_ = std::make_unique<Backends>(io, BackendLimits(config_));
+  backends_ = std::make_unique<BackendPool>(io, BackendLimits(config_));
   discovery_ = std::make_unique<Discovery>(
       io, DiscoveryOptions(config_),
       [this](const MemberList& list) {
@@ -110,7 +110,7 @@
 
 void Proxy::Reload(const Config& config) {
   config_.patience = config.patience;  // of the clients too, who look here
-  backends_->SetPatience(config.patience);
+  backends_->SetTimeouts(config.patience);
   discovery_->Move(config.discovery);
 }
 
@@ -119,7 +119,7 @@
   if (fleet_) fleet_->Leave();
   fresh_list_.cancel();
   if (!clients_) return done();
-  clients_->Stop(kStopGrace, std::move(done));
+  clients_->ShutDown(kStopGrace, std::move(done));
 }
 
 OperatorCalls::Verdict Proxy::Disable(const std::string& backend) {
@@ -143,14 +143,14 @@
 
 OperatorCalls::Verdict Proxy::Drain() {
   if (!lifecycle_.Drain()) return Verdict::kStopping;
-  if (clients_) clients_->Drain(true);
+  if (clients_) clients_->SetDraining(true);
   TellFleet();
   return Verdict::kDone;
 }
 
 OperatorCalls::Verdict Proxy::Undrain() {
   if (!lifecycle_.Undrain()) return Verdict::kStopping;
-  if (clients_) clients_->Drain(false);
+  if (clients_) clients_->SetDraining(false);
   TellFleet();
   return Verdict::kDone;
 }
@@ -189,19 +189,20 @@
 }
 
 int Proxy::Descriptors() const {
-  return static_cast<int>(clients_->connections() + backends_->connections()) + OwnDescriptors(config_);
+  return static_cast<int>(clients_->connection_count() + backends_->connection_count()) +
+         OwnDescriptors(config_);
 }
 
 void Proxy::Serve(int listener) {
-  clients_ = std::make_unique<Clients>(io_, config_, ClientLimit(config_), *this, listener);
-  if (lifecycle_.state() == Lifecycle::State::kDrained) clients_->Drain(true);
+  clients_ = std::make_unique<ClientListener>(io_, config_, ClientLimit(config_), *this, listener);
+  if (lifecycle_.state() == Lifecycle::State::kDrained) clients_->SetDraining(true);
   if (!config_.state_folder.empty()) {
     successor_ = std::make_unique<HandoverServer>(
         io_, StateFile(config_, "handover.sock"), config_.listen, [this] { return GiveOver(); },
         [this] {
           log::Global().Warn("upgrade_next_gone");
-          clients_->TakeBack();
-          backends_->SetLimit(BackendLimits(config_).connections);
+          clients_->ResumeAccepting();
+          backends_->SetConnectionLimit(BackendLimits(config_).max_connections);
         });
   }
   if (listed_) lifecycle_.Started();
@@ -248,15 +249,15 @@
 void Proxy::LeaveTo(int other_descriptors) {
   const double rest =
       std::max<double>(kLeastPeers, PeerDescriptors(config_) - std::max(0, other_descriptors));
-  clients_->SetLimit(static_cast<std::size_t>(rest * config_.shares.clients));
-  backends_->SetLimit(static_cast<std::size_t>(rest * (1 - config_.shares.clients)));
+  clients_->SetConnectionLimit(static_cast<std::size_t>(rest * config_.shares.clients));
+  backends_->SetConnectionLimit(static_cast<std::size_t>(rest * (1 - config_.shares.clients)));
 }
 
 std::optional<Gift> Proxy::GiveOver() {
-  const auto listener = clients_->HandOver();
+  const auto listener = clients_->ReleaseListener();
   if (!listener) return std::nullopt;
   log::Global().Info("upgrade_listener_given");
-  backends_->SetLimit(std::max<std::size_t>(backends_->connections(), 1));
+  backends_->SetConnectionLimit(std::max<std::size_t>(backends_->connection_count(), 1));
   return Gift{*listener, LearntText()};
 }
 
@@ -365,7 +366,7 @@
   if (kind != EndpointUpdateKind::kIncremental) {
     std::unordered_set<BackendId> named;
     for (const Member& m : list.members) named.insert(numbers_.Of(m.id));
-    backends_->RetireOthers(named);
+    backends_->DrainAllExcept(named);
   }
   EndpointUpdate update;
   update.kind = kind;
@@ -390,9 +391,9 @@
     entry.up_since = clock_.FromUnix(m.up_since_unix_ms);
     update.endpoints.push_back(entry);
     if (m.state == EndpointState::kReady) {
-      backends_->Set(entry.backend, m.address, m.up_since_unix_ms);
+      backends_->SetEndpoint(entry.backend, m.address, m.up_since_unix_ms);
     } else {
-      backends_->Retire(entry.backend);
+      backends_->DrainBackend(entry.backend);
     }
   }
   std::unordered_set<std::string_view> here;
@@ -417,7 +418,7 @@
 void Proxy::ForgetLongGone() {
   std::erase_if(gone_since_, [this, until = Steady::now() - config_.patience.forgotten](const auto& gone) {
     if (gone.second > until) return false;
-    backends_->Forget(numbers_.Of(gone.first));
+    backends_->RemoveBackend(numbers_.Of(gone.first));
     numbers_.Forget(gone.first);
     return true;
   });
@@ -434,18 +435,18 @@
   const RequestId id = ++last_request_;
   RequestReceived submit;
   submit.request = id;
-  submit.deadline = clock_.At(request.due);
+  submit.deadline = clock_.At(request.deadline);
   submit.request_class = request.request_class;
   submit.tenant = request.tenant;
-  submit.key = request.key;
-  submit.has_work_estimate = request.has_hint;
+  submit.key = request.affinity_key;
+  submit.has_work_estimate = request.has_work_estimate;
   submit.client_retry = request.client_retry;
-  submit.estimated_work_ms = request.work_ms;
+  submit.estimated_work_ms = request.estimated_work_ms;
   Pending& pending = pending_[id];
   pending.arrived = Steady::now();
   pending.request_class = request.request_class;
   pending.tenant = request.tenant;
-  pending.work_ms = request.work_ms;
+  pending.work_ms = request.estimated_work_ms;
   if (log::Global().Enabled(log::Level::kDebug)) {
     log::Global().Debug("request_taken", {{"request", id},
                                           {"id", std::string(request.message["Req-Id"])},
@@ -455,18 +456,19 @@
   }
   open_ids_.emplace(request.message["Req-Id"]);
   pending.message = std::make_shared<const HttpRequest>(std::move(request.message));
-  pending.due = request.due;
-  if (request.rest) pending.upload = std::make_shared<Upload>(Upload{std::move(request.rest)});
+  pending.due = request.deadline;
+  if (request.body_stream)
+    pending.upload = std::make_shared<RequestBodyStream>(RequestBodyStream{std::move(request.body_stream)});
   pending.responder = std::move(responder);
   Feed(submit);
   return id;
 }
 
-void Proxy::OnClientGone(RequestId request) {
+void Proxy::OnClientDisconnected(RequestId request) {
   if (!Conclude(request, End::kClientGone)) return;
   // Nothing begins for a client that has gone: an attempt that is still being dialled is not written.
   if (const auto found = pending_.find(request); found != pending_.end() && found->second.attempt_out)
-    backends_->AbortUnsent(found->second.attempt);
+    backends_->CancelUnsent(found->second.attempt);
   ForgetIfOver(request);
   Feed(ClientDisconnected{request});
 }
@@ -494,7 +496,7 @@
                                        {"work_ms", pending.work_ms}});
   Duration timeout = pending.due - now;
   if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
-  pending.attempt = backends_->Send(
+  pending.attempt = backends_->SendRequest(
       action.backend, pending.message, timeout,
       [this, id = action.request, attempt, server = action.backend, now](AttemptResult result) {
         OnAttemptDone(id, attempt, server, now, std::move(result));
@@ -509,7 +511,7 @@
   end.attempt = attempt;
   end.backend = server;
   end.outcome = result.outcome;
-  end.duration = Steady::now() - result.written.value_or(sent);
+  end.duration = Steady::now() - result.request_written_at.value_or(sent);
   const auto found = pending_.find(request);
   log::Global().Debug("attempt_ended", {{"request", request},
                                         {"attempt", attempt},
@@ -519,22 +521,23 @@
   if (found != pending_.end()) found->second.attempt_out = false;
   if (result.outcome == AttemptOutcome::kSuccess) {
     Give(Conclude(request, End::kServed), [&](Responder& to) {
-      to.Served(std::move(result.response), std::move(result.rest), result.length);
+      to.SendResponse(std::move(result.response), std::move(result.body_stream), result.body_length);
     });
   } else if (result.outcome == AttemptOutcome::kUnknown) {
-    Give(Conclude(request, End::kRejected), [&](Responder& to) { to.Rejected(result.response.result()); });
-  } else if (result.local) {
+    Give(Conclude(request, End::kRejected),
+         [&](Responder& to) { to.SendClientError(result.response.result()); });
+  } else if (result.local_failure) {
     // Over a limit of this process: no backend is to blame, and another attempt would fare no better.
     const bool began = attempt > 0;
     Give(Conclude(request, began ? End::kFailed : End::kRefused, RejectReason::kProcessLimit),
-         [&](Responder& to) { began ? to.Failed() : to.Refused(config_.shares.refusal); });
+         [&](Responder& to) { began ? to.SendBadGateway() : to.SendUnavailable(config_.shares.refusal); });
   } else if (found != pending_.end() && found->second.upload && found->second.upload->consumed) {
     // Some of the body has left for good: there is no other attempt.
     const bool ran = result.outcome != AttemptOutcome::kConnectFailure &&
                      result.outcome != AttemptOutcome::kBackendRejected &&
                      result.outcome != AttemptOutcome::kNotSent;
     Give(Conclude(request, ran ? End::kFailed : End::kRefused, RejectReason::kRequestBodyConsumed),
-         [&](Responder& to) { ran ? to.Failed() : to.Refused(config_.shares.refusal); });
+         [&](Responder& to) { ran ? to.SendBadGateway() : to.SendUnavailable(config_.shares.refusal); });
   }
   end.request_completed = found == pending_.end() || !found->second.responder;
   ForgetIfOver(request);
@@ -550,7 +553,7 @@
   } catch (const std::exception& error) {
     log::Global().Error("answer_failed", {{"error", error.what()}});
     try {
-      responder->Failed();  // nothing, if the answer has begun
+      responder->SendBadGateway();  // nothing, if the answer has begun
     } catch (const std::exception&) {
     }
   }
@@ -587,12 +590,12 @@
 
 void Proxy::Do(const RejectRequest& action) {
   Give(Conclude(action.request, End::kRefused, action.reason),
-       [&](Responder& to) { to.Refused(action.retry_after); });
+       [&](Responder& to) { to.SendUnavailable(action.retry_after); });
   ForgetIfOver(action.request);
 }
 
 void Proxy::Do(const FailRequest& action) {
-  Give(Conclude(action.request, End::kFailed, action.reason), [](Responder& to) { to.Failed(); });
+  Give(Conclude(action.request, End::kFailed, action.reason), [](Responder& to) { to.SendBadGateway(); });
   ForgetIfOver(action.request);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -26,9 +26,9 @@
 #include "proxy/control/lifecycle.h"
 #include "proxy/discovery/discovery.h"
 #include "proxy/discovery/members.h"
-#include "proxy/downstream/clients.h"
+#include "proxy/downstream/client_listener.h"
 #include "proxy/membership/host.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
@@ -46,8 +46,8 @@
   void Stop(std::function<void()> done);
 
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
-  void OnClientGone(RequestId request) override;
-  bool IsOpen(std::string_view id) const override { return open_ids_.contains(std::string(id)); }
+  void OnClientDisconnected(RequestId request) override;
+  bool IsRequestOpen(std::string_view id) const override { return open_ids_.contains(std::string(id)); }
   bool Ready() const override { return lifecycle_.Ready(); }
 
   std::string StateName() const override { return NameOf(lifecycle_.state()); }
@@ -61,24 +61,24 @@
 
   boost::asio::ip::tcp::endpoint address() const { return clients_->address(); }
   boost::asio::ip::tcp::endpoint operator_address() const { return operator_->address(); }
-  std::size_t client_connections() const { return clients_->connections(); }
-  std::size_t backend_connections() const { return backends_->connections(); }
+  std::size_t client_connections() const { return clients_->connection_count(); }
+  std::size_t backend_connections() const { return backends_->connection_count(); }
   std::uint64_t last_revision() const { return discovery_->revision(); }
-  std::size_t backends_known() const { return backends_->known(); }
+  std::size_t backends_known() const { return backends_->backend_count(); }
   std::size_t held() const { return pending_.size(); }
 
  private:
   // From its Submit until it has its answer and no attempt is out.
   struct Pending {
     std::shared_ptr<const HttpRequest> message;
-    std::shared_ptr<Upload> upload;  // null if the message is whole
+    std::shared_ptr<RequestBodyStream> upload;  // null if the message is whole
     Steady::time_point arrived{}, due{};
     int request_class = -1, tenant = -1;
     double work_ms = 0;                    // hinted
     std::shared_ptr<Responder> responder;  // null once answered
     int attempts = 0;
     bool attempt_out = false;
-    Backends::Ticket attempt;  // the one that is out
+    BackendPool::AttemptHandle attempt;  // the one that is out
   };
 
   void Feed(Event event);
@@ -135,8 +135,8 @@
   std::multimap<TimePoint, std::uint64_t> timers_;
   TimePoint armed_for_;
   boost::asio::steady_timer timer_, look_, fresh_list_;
-  std::unique_ptr<Backends> backends_;
-  std::unique_ptr<Clients> clients_;
+  std::unique_ptr<BackendPool> backends_;
+  std::unique_ptr<ClientListener> clients_;
   std::unique_ptr<Discovery> discovery_;
   std::unique_ptr<Operator> operator_;
   std::unique_ptr<HandoverClient> predecessor_;
--- a/src/proxy/upstream/backends.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/upstream/backends.h"
+#include "proxy/upstream/backend_pool.h"
 
 #include <algorithm>
 #include <array>
@@ -46,9 +46,9 @@
 
 // One connection and the attempt on it, if any. Once closed it is never used again, so that an answer which
 // comes after its attempt's time-out has nowhere to go.
-class Backends::Connection : public std::enable_shared_from_this<Connection> {
+class BackendPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Backends& owner, BackendId server, std::uint64_t generation)
+  Connection(BackendPool& owner, BackendId server, std::uint64_t generation)
       : owner_(&owner), server_(server), generation_(generation), socket_(owner.io_), timer_(owner.io_) {}
 
   BackendId server() const { return server_; }
@@ -74,7 +74,7 @@
   }
 
   void Assign(std::shared_ptr<const HttpRequest> request, Duration timeout, AttemptDone done,
-              std::shared_ptr<Upload> upload) {
+              std::shared_ptr<RequestBodyStream> upload) {
     ++use_;
     request_ = std::move(request);
     done_ = std::move(done);
@@ -106,7 +106,7 @@
 
   // Ends an attempt that cannot have run yet: the backend has not been given its last byte. One whose body
   // has partly left for good goes on, as there is no other try.
-  void AbortUnsent() {
+  void CancelUnsent() {
     if (!done_ || aborted_ || written_ || (upload_ && upload_->consumed)) return;
     FinishSoon(AttemptOutcome::kNotSent);
   }
@@ -140,11 +140,11 @@
   }
 
   // The rest of a large answer. Without a reader the connection is of no more use.
-  class Rest : public PieceSource {
+  class Rest : public BodySource {
    public:
     explicit Rest(std::shared_ptr<Connection> connection) : connection_(std::move(connection)) {}
     ~Rest() override { connection_->EndStream(); }
-    void Read(OnPiece on_piece) override { connection_->ReadStream(std::move(on_piece)); }
+    void Read(OnBodyChunk on_piece) override { connection_->ReadStream(std::move(on_piece)); }
 
    private:
     std::shared_ptr<Connection> connection_;
@@ -198,7 +198,8 @@
     const auto left = deadline_ - Steady::now();
     if (left <= Steady::duration(0)) return FinishSoon(AttemptOutcome::kNotSent);
     if (upload_)
-      return WritePiece(Head(timeout_) + Framed(request_->body(), false, request_->chunked()), false);
+      return WritePiece(Head(timeout_) + EncodeBodyChunk(request_->body(), false, request_->chunked()),
+                        false);
     out_ = Head(left);
     out_at_ = 0;
     Flush(/*last=*/true);
@@ -209,7 +210,7 @@
   void WritePiece(std::string text, bool last) {
     out_ = std::move(text);
     out_at_ = 0;
-    SetTimer(Steady::now() + owner_->limits_.patience.stalled);
+    SetTimer(Steady::now() + owner_->limits_.timeouts.stalled);
     Flush(last);
   }
 
@@ -251,12 +252,12 @@
   void ReadUpload() {
     upload_->consumed = true;
     SetTimer(Steady::time_point::max());
-    upload_->rest->Read(
+    upload_->source->Read(
         [self = shared_from_this(), use = use_](bool whole, std::string_view piece, bool last) {
           if (!self->Carries(use)) return;
           if (!whole)
             return self->Finish(AttemptOutcome::kNotSent);  // the client's doing, and nothing has run
-          self->WritePiece(Framed(piece, last, self->request_->chunked()), last);
+          self->WritePiece(EncodeBodyChunk(piece, last, self->request_->chunked()), last);
         });
   }
 
@@ -271,11 +272,11 @@
     });
   }
 
-  void ExpectMore() { SetTimer(std::min(deadline_, Steady::now() + owner_->limits_.patience.answer_whole)); }
+  void ExpectMore() { SetTimer(std::min(deadline_, Steady::now() + owner_->limits_.timeouts.answer_whole)); }
 
   void Read() {
     parser_.emplace();
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxBody);
     parser_->header_limit(kMostAnswerHeader);
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this(), use = use_](const Error& failed, std::size_t) {
@@ -296,7 +297,8 @@
     // has said that it will close: then a plain end is the answer's, and a reset is not.
     const bool ends_it =
         header.version() >= 11 && http::token_list(header[http::field::connection]).exists("close");
-    if (!FramingIsPlain(header, header.version()) || (parser_->need_eof() && !parser_->chunked() && !ends_it))
+    if (!IsFramingUnambiguous(header, header.version()) ||
+        (parser_->need_eof() && !parser_->chunked() && !ends_it))
       return Finish(AttemptOutcome::kConnectionReset);
     ReadBody();
   }
@@ -307,19 +309,19 @@
     if (parser_->is_done()) {
       reusable_ = parser_->keep_alive() && buffer_.size() == 0;
       HttpResponse response(parser_->get().base(), std::move(body_));
-      const AttemptOutcome outcome = OutcomeOf(*request_, response);
+      const AttemptOutcome outcome = ClassifyResponse(*request_, response);
       return Finish(outcome, std::move(response));
     }
-    if (body_.size() > kMostWhole || (length && *length > kMostWhole))
+    if (body_.size() > kMaxBufferedBody || (length && *length > kMaxBufferedBody))
       return ok ? BeginStream() : Finish(AttemptOutcome::kConnectionReset);
-    ReadPiece(socket_, buffer_, *parser_, piece_,
-              [self = shared_from_this(), use = use_](const Error& failed, auto got) {
-                if (!self->Carries(use)) return;
-                if (failed) return self->Finish(AttemptOutcome::kConnectionReset);
-                self->body_.append(self->piece_.data(), got());
-                self->ExpectMore();
-                self->ReadBody();
-              });
+    ReadBodyChunk(socket_, buffer_, *parser_, piece_,
+                  [self = shared_from_this(), use = use_](const Error& failed, auto got) {
+                    if (!self->Carries(use)) return;
+                    if (failed) return self->Finish(AttemptOutcome::kConnectionReset);
+                    self->body_.append(self->piece_.data(), got());
+                    self->ExpectMore();
+                    self->ReadBody();
+                  });
   }
 
   // The answer counts from its first bytes on; what follows is between this connection and the client.
@@ -327,19 +329,19 @@
     const auto self = shared_from_this();
     AttemptResult result;
     result.outcome = AttemptOutcome::kSuccess;
-    if (parser_->content_length()) result.length = *parser_->content_length();
+    if (parser_->content_length()) result.body_length = *parser_->content_length();
     result.response = HttpResponse(parser_->get().base(), std::move(body_));
-    if (upload_) result.written = written_at_;
+    if (upload_) result.request_written_at = written_at_;
     const AttemptDone done = std::exchange(done_, nullptr);
     request_ = {};
     upload_.reset();
     streaming_ = true;
     SetTimer(Steady::time_point::max());
-    result.rest = std::make_shared<Rest>(self);
+    result.body_stream = std::make_shared<Rest>(self);
     done(std::move(result));
   }
 
-  void ReadStream(PieceSource::OnPiece on_piece) {
+  void ReadStream(BodySource::OnBodyChunk on_piece) {
     on_piece_ = std::move(on_piece);
     if (closed_) {
       asio::post(socket_.get_executor(), [self = shared_from_this()] {
@@ -347,14 +349,15 @@
       });
       return;
     }
-    SetTimer(Steady::now() + owner_->limits_.patience.stalled);
-    ReadPiece(socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
-      if (!self->streaming_ || self->closed_ || !self->on_piece_) return;
-      if (failed) return self->Close();
-      self->SetTimer(Steady::time_point::max());  // how long the client takes is not the backend's doing
-      const auto on_piece = std::exchange(self->on_piece_, nullptr);
-      on_piece(true, {self->piece_.data(), got()}, self->parser_->is_done());
-    });
+    SetTimer(Steady::now() + owner_->limits_.timeouts.stalled);
+    ReadBodyChunk(
+        socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
+          if (!self->streaming_ || self->closed_ || !self->on_piece_) return;
+          if (failed) return self->Close();
+          self->SetTimer(Steady::time_point::max());  // how long the client takes is not the backend's doing
+          const auto on_piece = std::exchange(self->on_piece_, nullptr);
+          on_piece(true, {self->piece_.data(), got()}, self->parser_->is_done());
+        });
   }
 
   void EndStream() {
@@ -396,23 +399,23 @@
     AttemptResult result;
     result.outcome = outcome;
     result.response = std::move(response);
-    if (uploaded) result.written = written_at_;
-    result.local = local;
+    if (uploaded) result.request_written_at = written_at_;
+    result.local_failure = local;
     done(std::move(result));
   }
 
-  Backends* owner_;
+  BackendPool* owner_;
   BackendId server_;
   std::uint64_t generation_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
-  boost::beast::flat_buffer buffer_{kMostWhole + kMostAnswerHeader};
+  boost::beast::flat_buffer buffer_{kMaxBufferedBody + kMostAnswerHeader};
   std::optional<http::response_parser<http::buffer_body>> parser_;
   std::string body_, out_;   // an answer's body as far as it is held; what is being written of a request
   std::size_t out_at_ = 0;   // what the system has taken of that, and of the body behind it
   std::vector<char> piece_;  // of a body that is being read
-  std::shared_ptr<Upload> upload_;
-  PieceSource::OnPiece on_piece_;  // wants the next piece of a large answer
+  std::shared_ptr<RequestBodyStream> upload_;
+  BodySource::OnBodyChunk on_piece_;  // wants the next piece of a large answer
   std::shared_ptr<const HttpRequest> request_;
   AttemptDone done_;  // set while an attempt is out
   Steady::duration timeout_{};
@@ -426,9 +429,9 @@
   bool reusable_ = false, closed_ = false;
 };
 
-Backends::Backends(asio::io_context& io, Limits limits) : io_(io), limits_(limits) {}
+BackendPool::BackendPool(asio::io_context& io, Limits limits) : io_(io), limits_(limits) {}
 
-Backends::~Backends() {
+BackendPool::~BackendPool() {
   const auto live = std::move(live_);
   live_.clear();
   for (const auto& [key, weak] : live) {
@@ -436,16 +439,16 @@
   }
 }
 
-void Backends::Set(BackendId server, const Tcp::endpoint& address, double up_since) {
+void BackendPool::SetEndpoint(BackendId server, const Tcp::endpoint& address, double up_since) {
   Backend& backend = backends_[server];
   if (backend.usable && backend.address == address && backend.up_since == up_since) return;
-  Retire(server);
+  DrainBackend(server);
   backend.address = address;
   backend.up_since = up_since;
   backend.usable = true;
 }
 
-void Backends::Retire(BackendId server) {
+void BackendPool::DrainBackend(BackendId server) {
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   Backend& backend = found->second;
@@ -457,17 +460,17 @@
   // What is still being dialled or written would begin at a backend that wants nothing new.
   for (const auto& [key, weak] : live_) {
     if (const auto connection = weak.lock(); connection && connection->server() == server)
-      connection->AbortUnsent();
+      connection->CancelUnsent();
   }
 }
 
-void Backends::RetireOthers(const std::unordered_set<BackendId>& named) {
+void BackendPool::DrainAllExcept(const std::unordered_set<BackendId>& named) {
   for (const auto& [server, backend] : backends_) {
-    if (!named.contains(server)) Retire(server);
+    if (!named.contains(server)) DrainBackend(server);
   }
 }
 
-void Backends::CloseIdleConnections(BackendId server) {
+void BackendPool::CloseIdleConnections(BackendId server) {
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   const auto idle = std::move(found->second.idle);
@@ -475,18 +478,20 @@
   for (const auto& connection : idle) connection->Close();
 }
 
-void Backends::Forget(BackendId server) {
+void BackendPool::RemoveBackend(BackendId server) {
   const auto found = backends_.find(server);
   if (found != backends_.end() && !found->second.usable && found->second.live == 0) backends_.erase(found);
 }
 
-void Backends::AbortUnsent(const Ticket& ticket) {
-  const auto connection = std::static_pointer_cast<Connection>(ticket.connection.lock());
-  if (connection && connection->use() == ticket.use) connection->AbortUnsent();
+void BackendPool::CancelUnsent(const AttemptHandle& handle) {
+  const auto connection = std::static_pointer_cast<Connection>(handle.connection.lock());
+  if (connection && connection->use() == handle.use) connection->CancelUnsent();
 }
 
-Backends::Ticket Backends::Send(BackendId server, std::shared_ptr<const HttpRequest> request,
-                                Duration timeout, AttemptDone done, std::shared_ptr<Upload> upload) {
+BackendPool::AttemptHandle BackendPool::SendRequest(BackendId server,
+                                                    std::shared_ptr<const HttpRequest> request,
+                                                    Duration timeout, AttemptDone done,
+                                                    std::shared_ptr<RequestBodyStream> upload) {
   Backend& backend = backends_[server];
   std::shared_ptr<Connection> connection = TakeIdle(backend);
   if (connection) {
@@ -503,10 +508,10 @@
   // fault.
   if (backend.address.port() == 0) {
     connection->FinishSoon(AttemptOutcome::kConnectFailure);
-  } else if (open_ > limits_.connections && !CloseOldestIdle()) {
+  } else if (open_ > limits_.max_connections && !CloseOldestIdle()) {
     connection->FinishSoon(AttemptOutcome::kNotSent, /*local=*/true);
   } else {
-    ++opened_;
+    ++connections_opened_;
     log::Global().Debug("connection_opened", {{"server", server}});
     connection->Open(backend.address, limits_.connect_timeout);
   }
@@ -515,8 +520,8 @@
 
 // The most recently used of those that have rested. A backend may close just after an answer, or send more
 // than belongs to it: what has rested has shown that.
-std::shared_ptr<Backends::Connection> Backends::TakeIdle(Backend& backend) {
-  const auto rested_since = Steady::now() - limits_.patience.rest;
+std::shared_ptr<BackendPool::Connection> BackendPool::TakeIdle(Backend& backend) {
+  const auto rested_since = Steady::now() - limits_.timeouts.rest;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > rested_since) --end;
   while (end != backend.idle.begin()) {
@@ -530,7 +535,7 @@
   return nullptr;
 }
 
-bool Backends::CloseOldestIdle() {
+bool BackendPool::CloseOldestIdle() {
   std::shared_ptr<Connection> oldest;
   for (const auto& [server, backend] : backends_) {
     if (backend.idle.empty()) continue;
@@ -541,7 +546,7 @@
   return oldest != nullptr;
 }
 
-void Backends::Keep(const std::shared_ptr<Connection>& connection) {
+void BackendPool::Keep(const std::shared_ptr<Connection>& connection) {
   const auto found = backends_.find(connection->server());
   if (found == backends_.end()) return connection->Close();
   Backend& backend = found->second;
@@ -550,7 +555,7 @@
   connection->WatchIdle(limits_.conn_idle * kIdleShare);
 }
 
-void Backends::Drop(const Connection* connection) {
+void BackendPool::Drop(const Connection* connection) {
   const bool was_live = live_.erase(connection) > 0;
   open_ -= was_live;
   const auto found = backends_.find(connection->server());
--- a/src/proxy/upstream/outcome.cpp
+++ b/src/proxy/upstream/outcome.cpp
@@ -4,7 +4,7 @@
 namespace copperpoint::proxy {
 
 // 503 and 504 alone may come from anything on the way; only the backend's own word proves that it never ran.
-AttemptOutcome OutcomeOf(const HttpRequest&, const HttpResponse& response) {
+AttemptOutcome ClassifyResponse(const HttpRequest&, const HttpResponse& response) {
   const unsigned status = response.result_int();
   if (status == 200) return AttemptOutcome::kSuccess;
   if ((status == 503 || status == 504) && response["Srv-Declined"] == "1")
--- a/src/proxy/upstream/outcome.h
+++ b/src/proxy/upstream/outcome.h
@@ -9,7 +9,7 @@
 
 namespace copperpoint::proxy {
 
-AttemptOutcome OutcomeOf(const HttpRequest& request, const HttpResponse& response);
+AttemptOutcome ClassifyResponse(const HttpRequest& request, const HttpResponse& response);
 
 }  // namespace copperpoint::proxy
 
--- a/tests/fault_testing/harmful_outcome.cpp
+++ b/tests/fault_testing/harmful_outcome.cpp
@@ -7,7 +7,7 @@
 
 namespace copperpoint::proxy {
 
-AttemptOutcome OutcomeOf(const HttpRequest& request, const HttpResponse& response) {
+AttemptOutcome ClassifyResponse(const HttpRequest& request, const HttpResponse& response) {
   const auto id = request["Req-Id"];
   if (StableHash({id.data(), id.size()}) % 4 == 0) return AttemptOutcome::kServerError;
   return response.result_int() == 200 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError;
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -8,7 +8,7 @@
 #include <functional>
 #include <optional>
 
-#include "proxy/upstream/backends.h"
+#include "proxy/upstream/backend_pool.h"
 #include "scripted.h"
 
 namespace copperpoint::testing {
@@ -20,10 +20,10 @@
  protected:
   Attempts() : acceptor_(peer_io_, kAnyPort) {
     limits_.connect_timeout = Duration(60000);
-    limits_.patience.answer_whole = limits_.patience.stalled = std::chrono::minutes(1);
-    limits_.patience.rest = milliseconds(0);
-    backends_ = std::make_unique<proxy::Backends>(io_, limits_);
-    backends_->Set(kServer, acceptor_.local_endpoint(), 0);
+    limits_.timeouts.answer_whole = limits_.timeouts.stalled = std::chrono::minutes(1);
+    limits_.timeouts.rest = milliseconds(0);
+    backends_ = std::make_unique<proxy::BackendPool>(io_, limits_);
+    backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 0);
   }
 
   static std::shared_ptr<const HttpRequest> Request(const std::string& body = "text") {
@@ -37,8 +37,8 @@
 
   void Send(milliseconds timeout, std::shared_ptr<const HttpRequest> request = Request()) {
     result_.reset();
-    ticket_ = backends_->Send(kServer, std::move(request), Duration(timeout),
-                              [this](proxy::AttemptResult result) { result_ = std::move(result); });
+    ticket_ = backends_->SendRequest(kServer, std::move(request), Duration(timeout),
+                                     [this](proxy::AttemptResult result) { result_ = std::move(result); });
   }
   Tcp::socket Accepted() {
     Tcp::socket socket(peer_io_);
@@ -61,9 +61,9 @@
   static constexpr BackendId kServer = 7;
   asio::io_context io_{1}, peer_io_;
   Tcp::acceptor acceptor_;
-  proxy::Backends::Limits limits_;
-  std::unique_ptr<proxy::Backends> backends_;
-  proxy::Backends::Ticket ticket_;
+  proxy::BackendPool::Limits limits_;
+  std::unique_ptr<proxy::BackendPool> backends_;
+  proxy::BackendPool::AttemptHandle ticket_;
   std::optional<proxy::AttemptResult> result_;
 };
 
@@ -109,7 +109,7 @@
   {
     Tcp::socket peer = unread(Request(std::string(64 * 1024 * 1024, 'y')), milliseconds(60000));
     taken = HearSoFar(peer).bytes.size();
-    backends_->AbortUnsent(ticket_);
+    backends_->CancelUnsent(ticket_);
     ASSERT_TRUE(Ended());
   }
   int whole = 0;
@@ -129,21 +129,21 @@
 TEST_F(Attempts, AbortedWhenItsDialStandsReadyItIsNeverWritten) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();  // it is up, and the loop has not heard of it
-  backends_->AbortUnsent(ticket_);
+  backends_->CancelUnsent(ticket_);
   EXPECT_FALSE(result_) << "not from within the call";
   ASSERT_TRUE(Ended());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
-  EXPECT_FALSE(result_->local);
+  EXPECT_FALSE(result_->local_failure);
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
-  EXPECT_EQ(backends_->connections(), 0u);
+  EXPECT_EQ(backends_->connection_count(), 0u);
 }
 
 // Both are ready in one turn of the loop: what ends the attempt comes first, and the dial right behind it.
 TEST_F(Attempts, EndedInTheTurnInWhichItsDialComesUpItIsNeverWritten) {
-  const std::function<void()> ends[] = {[this] { backends_->AbortUnsent(ticket_); },
-                                        [this] { backends_->Retire(kServer); }};
+  const std::function<void()> ends[] = {[this] { backends_->CancelUnsent(ticket_); },
+                                        [this] { backends_->DrainBackend(kServer); }};
   for (const auto& end : ends) {
-    backends_->Set(kServer, acceptor_.local_endpoint(), 0);
+    backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 0);
     asio::local::stream_protocol::socket trigger(io_), pulls(io_);
     asio::local::connect_pair(trigger, pulls);
     trigger.async_wait(asio::socket_base::wait_read, [&](const error_code&) { end(); });
@@ -159,17 +159,17 @@
 TEST_F(Attempts, ABackendThatDrainsWhileItIsDialledGetsNothing) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
-  backends_->Retire(kServer);
+  backends_->DrainBackend(kServer);
   ASSERT_TRUE(Ended());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
-  EXPECT_FALSE(result_->local);
+  EXPECT_FALSE(result_->local_failure);
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
 }
 
 TEST_F(Attempts, ABackendThatAListLeavesOutWhileItIsDialledGetsNothing) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
-  backends_->RetireOthers({});
+  backends_->DrainAllExcept({});
   ASSERT_TRUE(Ended());
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
 }
@@ -177,7 +177,7 @@
 TEST_F(Attempts, ABackendThatStartsAnewWhileItIsDialledGetsNothingThatWasMeantForTheOneBefore) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
-  backends_->Set(kServer, acceptor_.local_endpoint(), 1234);
+  backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 1234);
   ASSERT_TRUE(Ended());
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
   Send(milliseconds(60000));  // and is dialled anew for the next
@@ -194,7 +194,7 @@
     bytes += HearSoFar(peer).bytes;
     return !bytes.empty();
   }));
-  backends_->Retire(kServer);
+  backends_->DrainBackend(kServer);
   ASSERT_TRUE(Ended());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   bytes += HearToTheEnd(peer).bytes;
@@ -205,8 +205,8 @@
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
-  backends_->AbortUnsent(ticket_);
-  backends_->Retire(kServer);
+  backends_->CancelUnsent(ticket_);
+  backends_->DrainBackend(kServer);
   SendRaw(peer, OkAnswer("it ran"));
   ASSERT_TRUE(Ended());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kSuccess);
@@ -215,13 +215,13 @@
 
 TEST_F(Attempts, ATicketOfAnEarlierUseEndsNothing) {
   Send(milliseconds(60000));
-  const proxy::Backends::Ticket first = ticket_;
+  const proxy::BackendPool::AttemptHandle first = ticket_;
   Tcp::socket peer = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
   SendRaw(peer, OkAnswer("one"));
   ASSERT_TRUE(Ended());
   Send(milliseconds(60000));  // on the same connection
-  backends_->AbortUnsent(first);
+  backends_->CancelUnsent(first);
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
   SendRaw(peer, OkAnswer("two"));
   ASSERT_TRUE(Ended());
@@ -305,7 +305,7 @@
     EXPECT_EQ(result_->outcome, AttemptOutcome::kSuccess);
     EXPECT_EQ(result_->response.body(), "body");
     peer.close();
-    ASSERT_TRUE(StepUntil(io_, [&] { return backends_->connections() == 0; }));
+    ASSERT_TRUE(StepUntil(io_, [&] { return backends_->connection_count() == 0; }));
   }
 }
 
--- a/tests/proxy/closing_test.cpp
+++ b/tests/proxy/closing_test.cpp
@@ -133,12 +133,12 @@
 // What goes wrong while one action is carried out does not cost the answers that others are.
 class Throws : public proxy::Responder {
  public:
-  void Served(HttpResponse, std::shared_ptr<proxy::PieceSource>, std::optional<std::uint64_t>) override {
+  void SendResponse(HttpResponse, std::shared_ptr<proxy::BodySource>, std::optional<std::uint64_t>) override {
     Fall();
   }
-  void Refused(Duration) override { Fall(); }
-  void Failed() override { Fall(); }
-  void Rejected(http::status) override { Fall(); }
+  void SendUnavailable(Duration) override { Fall(); }
+  void SendBadGateway() override { Fall(); }
+  void SendClientError(http::status) override { Fall(); }
 
  private:
   static void Fall() { throw std::runtime_error("no memory"); }
@@ -146,7 +146,7 @@
 class Notes : public Throws {
  public:
   explicit Notes(Watched<int>& refused) : refused_(refused) {}
-  void Refused(Duration) override {
+  void SendUnavailable(Duration) override {
     refused_.Do([](int& n) { ++n; });
   }
 
@@ -166,7 +166,7 @@
       request.message.method(http::verb::get);
       request.message.target("/look");
       request.message.set("Req-Id", Numbered("t", i));
-      request.due = due;
+      request.deadline = due;
       if (i % 2 == 0) {
         p.OnRequest(std::move(request), std::make_shared<Throws>());
       } else {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -708,21 +708,21 @@
     return true;
   });
   asio::io_context io(1);
-  proxy::Backends::Limits limits;
-  limits.connections = 1;
-  proxy::Backends backends(io, limits);
-  backends.Set(1, backend.address(), 0);
+  proxy::BackendPool::Limits limits;
+  limits.max_connections = 1;
+  proxy::BackendPool backends(io, limits);
+  backends.SetEndpoint(1, backend.address(), 0);
   const auto message = std::make_shared<const HttpRequest>(http::verb::get, "/look", 11);
   std::vector<proxy::AttemptResult> results;
   const auto keep = [&](proxy::AttemptResult r) {
     results.push_back(std::move(r));
     release.Do([](bool& go) { go = true; });
   };
-  backends.Send(1, message, Duration(60000), keep);
-  backends.Send(1, message, Duration(60000), keep);
+  backends.SendRequest(1, message, Duration(60000), keep);
+  backends.SendRequest(1, message, Duration(60000), keep);
   while (results.size() < 2) io.run_one();
   EXPECT_EQ(results[0].outcome, AttemptOutcome::kNotSent);  // never ran, and says nothing of the backend
-  EXPECT_TRUE(results[0].local);
+  EXPECT_TRUE(results[0].local_failure);
   EXPECT_EQ(results[1].outcome, AttemptOutcome::kSuccess);
 }
 
@@ -972,27 +972,27 @@
   message.set("X-End", "1");
   const auto at = proxy::Steady::now();
   proxy::ClientRequest request;
-  EXPECT_FALSE(proxy::Understand(message, at, config, &request));
+  EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &request));
   EXPECT_EQ(request.request_class, 0);
   EXPECT_EQ(request.tenant, 1);
-  EXPECT_TRUE(request.has_hint);
-  EXPECT_DOUBLE_EQ(request.work_ms, 2.5);
+  EXPECT_TRUE(request.has_work_estimate);
+  EXPECT_DOUBLE_EQ(request.estimated_work_ms, 2.5);
   EXPECT_TRUE(request.client_retry);
-  EXPECT_EQ(request.due - at, std::chrono::milliseconds(480));
-  EXPECT_NE(request.key, 0u);
+  EXPECT_EQ(request.deadline - at, std::chrono::milliseconds(480));
+  EXPECT_NE(request.affinity_key, 0u);
   EXPECT_EQ(request.message.count("X-Hop"), 0u);
   EXPECT_EQ(request.message.count("Connection"), 0u);
   EXPECT_EQ(request.message["X-End"], "1");
 
   proxy::ClientRequest other;
   message.set("Cookie", "obj=7f3a9c21e0b4d655");
-  EXPECT_FALSE(proxy::Understand(message, at, config, &other));
-  EXPECT_EQ(other.key, request.key);
+  EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &other));
+  EXPECT_EQ(other.affinity_key, request.affinity_key);
   message.erase("Cookie");
-  EXPECT_FALSE(proxy::Understand(message, at, config, &other));
-  EXPECT_EQ(other.key, 0u);
+  EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &other));
+  EXPECT_EQ(other.affinity_key, 0u);
   message.set("Req-Owner", "nobody");
-  EXPECT_TRUE(proxy::Understand(message, at, config, &other));
+  EXPECT_TRUE(proxy::ParseClientRequest(message, at, config, &other));
 }
 
 TEST(Proxy, MoreClientsThanItMayHoldTakeThePlacesOfIdleOnes) {
