--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 
 #include "proxy/upstream/backend_pool.h"
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
