--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -34,7 +34,7 @@
 }
 double PeerDescriptors(const Config& config) { return config.sockets - OwnDescriptors(config); }
 
-Backends::Limits BackendLimits(const Config& config) {
+BackendPool::Limits BackendLimits(const Config& config) {
   return {config.connect_timeout, config.backend_idle_timeout,
           static_cast<std::size_t>(PeerDescriptors(config) * (1 - config.shares.client_descriptors)),
           config.timeouts};
@@ -76,7 +76,7 @@
       timer_(io),
       look_(io),
       fresh_list_(io) {
-  backends_ = std::make_unique<Backends>(io, BackendLimits(config_));
+  backends_ = std::make_unique<BackendPool>(io, BackendLimits(config_));
   discovery_ = std::make_unique<DiscoveryClient>(
       io, DiscoveryOptions(config_),
       [this](const EndpointList& list) {
@@ -120,7 +120,7 @@
   if (fleet_) fleet_->Leave();
   fresh_list_.cancel();
   if (!clients_) return done();
-  clients_->Stop(kStopGrace, std::move(done));
+  clients_->ShutDown(kStopGrace, std::move(done));
 }
 
 AdminHandler::AdminResult Proxy::Disable(const std::string& backend) {
@@ -145,14 +145,14 @@
 
 AdminHandler::AdminResult Proxy::Drain() {
   if (!lifecycle_.StartDraining()) return AdminResult::kStopping;
-  if (clients_) clients_->Drain(true);
+  if (clients_) clients_->SetDraining(true);
   TellFleet();
   return AdminResult::kDone;
 }
 
 AdminHandler::AdminResult Proxy::Undrain() {
   if (!lifecycle_.StopDraining()) return AdminResult::kStopping;
-  if (clients_) clients_->Drain(false);
+  if (clients_) clients_->SetDraining(false);
   TellFleet();
   return AdminResult::kDone;
 }
@@ -193,19 +193,20 @@
 }
 
 int Proxy::Descriptors() const {
-  return static_cast<int>(clients_->connections() + backends_->connections()) + OwnDescriptors(config_);
+  return static_cast<int>(clients_->connection_count() + backends_->connection_count()) +
+         OwnDescriptors(config_);
 }
 
 void Proxy::Serve(int listener) {
-  clients_ = std::make_unique<Clients>(io_, config_, ClientLimit(config_), *this, listener);
-  if (lifecycle_.draining()) clients_->Drain(true);
+  clients_ = std::make_unique<ClientListener>(io_, config_, ClientLimit(config_), *this, listener);
+  if (lifecycle_.draining()) clients_->SetDraining(true);
   if (!config_.state_directory.empty()) {
     successor_ = std::make_unique<HandoverServer>(
         io_, StateFile(config_, "handover.sock"), config_.listen, [this] { return GiveOver(); },
         [this] {
           log::Global().Warn("upgrade_next_gone");
-          clients_->TakeBack();
-          backends_->SetLimit(BackendLimits(config_).connections);
+          clients_->ResumeAccepting();
+          backends_->SetConnectionLimit(BackendLimits(config_).max_connections);
         });
   }
   if (listed_) lifecycle_.OnStarted();
@@ -252,15 +253,15 @@
 void Proxy::LeaveTo(int other_descriptors) {
   const double rest =
       std::max<double>(kLeastPeers, PeerDescriptors(config_) - std::max(0, other_descriptors));
-  clients_->SetLimit(static_cast<std::size_t>(rest * config_.shares.client_descriptors));
-  backends_->SetLimit(static_cast<std::size_t>(rest * (1 - config_.shares.client_descriptors)));
+  clients_->SetConnectionLimit(static_cast<std::size_t>(rest * config_.shares.client_descriptors));
+  backends_->SetConnectionLimit(static_cast<std::size_t>(rest * (1 - config_.shares.client_descriptors)));
 }
 
 std::optional<Gift> Proxy::GiveOver() {
-  const auto listener = clients_->HandOver();
+  const auto listener = clients_->ReleaseListener();
   if (!listener) return std::nullopt;
   log::Global().Info("upgrade_listener_given");
-  backends_->SetLimit(std::max<std::size_t>(backends_->connections(), 1));
+  backends_->SetConnectionLimit(std::max<std::size_t>(backends_->connection_count(), 1));
   return Gift{*listener, LearntText()};
 }
 
@@ -369,7 +370,7 @@
   if (kind != EndpointUpdateKind::kIncremental) {
     std::unordered_set<BackendId> named;
     for (const DiscoveredEndpoint& m : list.endpoints) named.insert(backend_ids_.IdOf(m.id));
-    backends_->RetireOthers(named);
+    backends_->DrainAllExcept(named);
   }
   EndpointUpdate update;
   update.kind = kind;
@@ -394,9 +395,9 @@
     entry.up_since = clock_.FromUnix(m.up_since_unix_ms);
     update.endpoints.push_back(entry);
     if (m.state == EndpointState::kReady) {
-      backends_->Set(entry.backend, m.address, m.up_since_unix_ms);
+      backends_->SetEndpoint(entry.backend, m.address, m.up_since_unix_ms);
     } else {
-      backends_->Retire(entry.backend);
+      backends_->DrainBackend(entry.backend);
     }
   }
   std::unordered_set<std::string_view> here;
@@ -422,7 +423,7 @@
   std::erase_if(gone_since_,
                 [this, until = Steady::now() - config_.timeouts.removed_backend_retention](const auto& gone) {
                   if (gone.second > until) return false;
-                  backends_->Forget(backend_ids_.IdOf(gone.first));
+                  backends_->RemoveBackend(backend_ids_.IdOf(gone.first));
                   backend_ids_.Release(gone.first);
                   return true;
                 });
@@ -439,18 +440,18 @@
   const RequestId id = ++last_request_;
   RequestReceived submit;
   submit.request = id;
-  submit.deadline = clock_.At(request.due);
+  submit.deadline = clock_.At(request.deadline);
   submit.request_class = request.request_class;
   submit.tenant = request.tenant;
-  submit.key = request.key;
-  submit.has_work_estimate = request.has_hint;
+  submit.key = request.affinity_key;
+  submit.has_work_estimate = request.has_work_estimate;
   submit.client_retry = request.client_retry;
-  submit.estimated_work_ms = request.work_ms;
+  submit.estimated_work_ms = request.estimated_work_ms;
   Pending& pending = pending_[id];
   pending.arrived = Steady::now();
   pending.request_class = request.request_class;
   pending.tenant = request.tenant;
-  pending.work_ms = request.work_ms;
+  pending.work_ms = request.estimated_work_ms;
   if (log::Global().Enabled(log::Level::kDebug)) {
     log::Global().Debug("request_taken", {{"request", id},
                                           {"id", std::string(request.message["Req-Id"])},
@@ -460,18 +461,19 @@
   }
   open_ids_.emplace(request.message["Req-Id"]);
   pending.message = std::make_shared<const HttpRequest>(std::move(request.message));
-  pending.due = request.due;
-  if (request.rest) pending.upload = std::make_shared<Upload>(Upload{std::move(request.rest)});
+  pending.due = request.deadline;
+  if (request.body_stream)
+    pending.upload = std::make_shared<RequestBodyStream>(RequestBodyStream{std::move(request.body_stream)});
   pending.responder = std::move(responder);
   Feed(submit);
   return id;
 }
 
-void Proxy::OnClientGone(RequestId request) {
+void Proxy::OnClientDisconnected(RequestId request) {
   if (!Conclude(request, RequestOutcome::kClientGone)) return;
   // Nothing begins for a client that has gone: an attempt that is still being dialled is not written.
   if (const auto found = pending_.find(request); found != pending_.end() && found->second.attempt_out)
-    backends_->AbortUnsent(found->second.attempt);
+    backends_->CancelUnsent(found->second.attempt);
   ForgetIfOver(request);
   Feed(ClientDisconnected{request});
 }
@@ -499,7 +501,7 @@
                                        {"work_ms", pending.work_ms}});
   Duration timeout = pending.due - now;
   if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
-  pending.attempt = backends_->Send(
+  pending.attempt = backends_->SendRequest(
       action.backend, pending.message, timeout,
       [this, id = action.request, attempt, server = action.backend, now](AttemptResult result) {
         OnAttemptDone(id, attempt, server, now, std::move(result));
@@ -514,7 +516,7 @@
   end.attempt = attempt;
   end.backend = server;
   end.outcome = result.outcome;
-  end.duration = Steady::now() - result.written.value_or(sent);
+  end.duration = Steady::now() - result.request_written_at.value_or(sent);
   const auto found = pending_.find(request);
   log::Global().Debug("attempt_ended", {{"request", request},
                                         {"attempt", attempt},
@@ -524,17 +526,17 @@
   if (found != pending_.end()) found->second.attempt_out = false;
   if (result.outcome == AttemptOutcome::kSuccess) {
     Give(Conclude(request, RequestOutcome::kServed), [&](Responder& to) {
-      to.Served(std::move(result.response), std::move(result.rest), result.length);
+      to.SendResponse(std::move(result.response), std::move(result.body_stream), result.body_length);
     });
   } else if (result.outcome == AttemptOutcome::kUnknown) {
     Give(Conclude(request, RequestOutcome::kRejected),
-         [&](Responder& to) { to.Rejected(result.response.result()); });
-  } else if (result.local) {
+         [&](Responder& to) { to.SendClientError(result.response.result()); });
+  } else if (result.local_failure) {
     // Over a limit of this process: no backend is to blame, and another attempt would fare no better.
     const bool began = attempt > 0;
     Give(Conclude(request, began ? RequestOutcome::kFailed : RequestOutcome::kRefused,
                   RejectReason::kProcessLimit),
-         [&](Responder& to) { began ? to.Failed() : to.Refused(config_.shares.overload_retry_after); });
+         [&](Responder& to) { began ? to.SendBadGateway() : to.SendUnavailable(config_.shares.overload_retry_after); });
   } else if (found != pending_.end() && found->second.upload && found->second.upload->consumed) {
     // Some of the body has left for good: there is no other attempt.
     const bool ran = result.outcome != AttemptOutcome::kConnectFailure &&
@@ -542,7 +544,7 @@
                      result.outcome != AttemptOutcome::kNotSent;
     Give(Conclude(request, ran ? RequestOutcome::kFailed : RequestOutcome::kRefused,
                   RejectReason::kRequestBodyConsumed),
-         [&](Responder& to) { ran ? to.Failed() : to.Refused(config_.shares.overload_retry_after); });
+         [&](Responder& to) { ran ? to.SendBadGateway() : to.SendUnavailable(config_.shares.overload_retry_after); });
   }
   end.request_completed = found == pending_.end() || !found->second.responder;
   ForgetIfOver(request);
@@ -558,7 +560,7 @@
   } catch (const std::exception& error) {
     log::Global().Error("answer_failed", {{"error", error.what()}});
     try {
-      responder->Failed();  // nothing, if the answer has begun
+      responder->SendBadGateway();  // nothing, if the answer has begun
     } catch (const std::exception&) {
     }
   }
@@ -595,12 +597,12 @@
 
 void Proxy::Do(const RejectRequest& action) {
   Give(Conclude(action.request, RequestOutcome::kRefused, action.reason),
-       [&](Responder& to) { to.Refused(action.retry_after); });
+       [&](Responder& to) { to.SendUnavailable(action.retry_after); });
   ForgetIfOver(action.request);
 }
 
 void Proxy::Do(const FailRequest& action) {
-  Give(Conclude(action.request, RequestOutcome::kFailed, action.reason), [](Responder& to) { to.Failed(); });
+  Give(Conclude(action.request, RequestOutcome::kFailed, action.reason), [](Responder& to) { to.SendBadGateway(); });
   ForgetIfOver(action.request);
 }
 
