--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -4,6 +4,8 @@
 #ifndef COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 #define COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 
+#include <gtest/gtest.h>
+
 #include <map>
 #include <optional>
 #include <set>
@@ -127,6 +129,57 @@
   std::map<RequestId, int> attempts_;
 };
 
+inline RequestId next_id = 1;
+
+// One request and its answer, which fails if it came from one of `failing`.
+inline void AnswerOne(Rig& rig, AttemptOutcome outcome, std::set<BackendId> failing, double took = 10) {
+  const RequestId id = next_id++;
+  const auto server = rig.Ask(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
+  ASSERT_TRUE(server.has_value());
+  const bool fails = failing.count(*server) > 0;
+  rig.End(id, 0, *server, fails ? outcome : AttemptOutcome::kSuccess, took);
+}
+
+inline std::optional<BackendId> AskAndEnd(Rig& rig) {
+  const RequestId id = next_id++;
+  const auto server = rig.Ask(id);
+  if (server) rig.End(id, 0, *server, AttemptOutcome::kSuccess);
+  return server;
+}
+
+inline bool InService(Rig& rig, BackendId server) {
+  std::vector<std::pair<RequestId, BackendId>> open;
+  bool seen = false;
+  for (int i = 0; i < 3; ++i) {
+    const RequestId id = next_id++;
+    const auto s = rig.Ask(id, 2, 10, 5000);
+    if (!s) break;
+    open.emplace_back(id, *s);
+    seen |= *s == server;
+  }
+  for (const auto& [id, s] : open) rig.End(id, 0, s, AttemptOutcome::kCancelled);
+  return seen;
+}
+
+// Gives each of three servers `per_server` answers; `failures` of server 1's fail, first ones first.
+inline void Answers(Rig& rig, int per_server, int failures,
+                    AttemptOutcome outcome = AttemptOutcome::kServerError) {
+  for (int i = 0; i < per_server; ++i) {
+    std::map<BackendId, RequestId> open;
+    for (int k = 0; k < 3; ++k) {
+      const RequestId id = next_id++;
+      const auto s = rig.Ask(id, 2, 10, 5000);
+      ASSERT_TRUE(s.has_value());
+      open[*s] = id;
+    }
+    // Server 1 last: the others qualify by then.
+    for (auto it = open.rbegin(); it != open.rend(); ++it) {
+      const auto [s, id] = *it;
+      rig.End(id, 0, s, s == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
+    }
+  }
+}
+
 }  // namespace copperpoint::testing
 
 #endif  // COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
