--- a/src/proxy/downstream/client_listener.cpp
+++ b/src/proxy/downstream/client_listener.cpp
@@ -301,12 +301,13 @@
   void ReadBody() {
     if (parser_->is_done() || (kept_.size() >= may_keep_ && !KeepMore())) return OnRead(Steady::now());
     until_ = std::max(until_, body_began_ + timeouts().body_grace + TimeFor(kept_.size()));
-    ReadBodyChunk(socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
-      if (self->state_ != State::kReading) return;
-      self->kept_.append(self->piece_.data(), got());
-      if (failed) return self->OnUnreadable(failed);
-      self->ReadBody();
-    });
+    ReadBodyChunk(socket_, buffer_, *parser_, piece_,
+                  [self = shared_from_this()](const Error& failed, auto got) {
+                    if (self->state_ != State::kReading) return;
+                    self->kept_.append(self->piece_.data(), got());
+                    if (failed) return self->OnUnreadable(failed);
+                    self->ReadBody();
+                  });
   }
 
   // A body of middling size is held whole as well while there is memory for it: until it is here no backend's
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -536,7 +536,9 @@
     const bool began = attempt > 0;
     Give(Conclude(request, began ? RequestOutcome::kFailed : RequestOutcome::kRefused,
                   RejectReason::kProcessLimit),
-         [&](Responder& to) { began ? to.SendBadGateway() : to.SendUnavailable(config_.shares.overload_retry_after); });
+         [&](Responder& to) {
+           began ? to.SendBadGateway() : to.SendUnavailable(config_.shares.overload_retry_after);
+         });
   } else if (found != pending_.end() && found->second.upload && found->second.upload->consumed) {
     // Some of the body has left for good: there is no other attempt.
     const bool ran = result.outcome != AttemptOutcome::kConnectFailure &&
@@ -544,7 +546,9 @@
                      result.outcome != AttemptOutcome::kNotSent;
     Give(Conclude(request, ran ? RequestOutcome::kFailed : RequestOutcome::kRefused,
                   RejectReason::kRequestBodyConsumed),
-         [&](Responder& to) { ran ? to.SendBadGateway() : to.SendUnavailable(config_.shares.overload_retry_after); });
+         [&](Responder& to) {
+           ran ? to.SendBadGateway() : to.SendUnavailable(config_.shares.overload_retry_after);
+         });
   }
   end.request_completed = found == pending_.end() || !found->second.responder;
   ForgetIfOver(request);
@@ -602,7 +606,8 @@
 }
 
 void Proxy::Do(const FailRequest& action) {
-  Give(Conclude(action.request, RequestOutcome::kFailed, action.reason), [](Responder& to) { to.SendBadGateway(); });
+  Give(Conclude(action.request, RequestOutcome::kFailed, action.reason),
+       [](Responder& to) { to.SendBadGateway(); });
   ForgetIfOver(action.request);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -22,11 +22,11 @@
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
 #include "proxy/control/disabled_backends.h"
-#include "proxy/handover/handover.h"
-#include "proxy/lifecycle/lifecycle.h"
 #include "proxy/discovery/discovery_client.h"
 #include "proxy/discovery/endpoints.h"
 #include "proxy/downstream/client_listener.h"
+#include "proxy/handover/handover.h"
+#include "proxy/lifecycle/lifecycle.h"
 #include "proxy/membership/host.h"
 #include "proxy/upstream/backend_pool.h"
 
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -352,13 +352,14 @@
       return;
     }
     SetTimer(Steady::now() + owner_->limits_.timeouts.body_stall);
-    ReadBodyChunk(socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
-      if (!self->streaming_ || self->closed_ || !self->on_piece_) return;
-      if (failed) return self->Close();
-      self->SetTimer(Steady::time_point::max());  // how long the client takes is not the backend's doing
-      const auto on_piece = std::exchange(self->on_piece_, nullptr);
-      on_piece(true, {self->piece_.data(), got()}, self->parser_->is_done());
-    });
+    ReadBodyChunk(
+        socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
+          if (!self->streaming_ || self->closed_ || !self->on_piece_) return;
+          if (failed) return self->Close();
+          self->SetTimer(Steady::time_point::max());  // how long the client takes is not the backend's doing
+          const auto on_piece = std::exchange(self->on_piece_, nullptr);
+          on_piece(true, {self->piece_.data(), got()}, self->parser_->is_done());
+        });
   }
 
   void EndStream() {
--- a/src/proxy/upstream/backend_pool.h
+++ b/src/proxy/upstream/backend_pool.h
@@ -36,7 +36,7 @@
   struct Limits {
     Duration connect_timeout{250};
     Duration backend_idle_timeout{15000};
-    std::size_t connections = 300;  // over all backends
+    std::size_t max_connections = 300;  // over all backends
     Timeouts timeouts{};
   };
 
@@ -69,11 +69,11 @@
   // Ends that attempt as moot, soon, unless its last byte is out.
   void CancelUnsent(const AttemptHandle& handle);
 
-  void SetLimit(std::size_t connections) { limits_.connections = connections; }
+  void SetConnectionLimit(std::size_t connections) { limits_.max_connections = connections; }
   void SetTimeouts(const Timeouts& timeouts) { limits_.timeouts = timeouts; }
-  std::size_t connections() const { return open_; }
-  std::size_t opened() const { return opened_; }  // since the start
-  std::size_t known() const { return backends_.size(); }
+  std::size_t connection_count() const { return open_; }
+  std::size_t connections_opened() const { return connections_opened_; }  // since the start
+  std::size_t backend_count() const { return backends_.size(); }
 
  private:
   class Connection;
