--- /dev/null
+++ b/src/decision/backend_picker.cpp
@@ -0,0 +1,151 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "decision/backend_picker.h"
+
+#include <algorithm>
+#include <array>
+
+#include "decision/proxy_fleet.h"
+#include "decision/relative_latency.h"
+#include "decision/retry_policy.h"
+
+namespace copperpoint {
+namespace {
+
+constexpr double kSlownessWeight = 1;  // of the time lost at a slow backend, against outstanding work
+constexpr double kAffinityWeight = 2;  // of the work of a request, at a backend that served its key lately
+
+bool WasAttempted(const RequestState& request, BackendIndex index) {
+  return std::any_of(request.attempts.begin(), request.attempts.end(),
+                     [index](const AttemptState& attempt) { return attempt.backend == index; });
+}
+
+}  // namespace
+
+// One pick: what it is for, and the best backend so far.
+struct BackendPicker::Search {
+  const RequestState& request;
+  const Endpoint* deduplication_anchor;
+  DeduplicationScope deduplication_scope;
+  TimePoint now;
+  Random& random;
+
+  BackendState* best = nullptr;
+  int best_rank = 0;  // 0: in service; 1: and attempted before; 2, 3: the same out of service
+  double best_score = 0;
+  int ties = 0;
+  double crossing_work_ms = 0;
+  PreferredBackends preferred{};
+  bool any_in_service = false;  // though perhaps over its budget
+  BackendState* over_budget = nullptr;
+
+  bool best_in_service() const { return best != nullptr && best_rank < 2; }
+};
+
+BackendPicker::Result BackendPicker::Pick(const RequestState& request,
+                                          std::optional<BackendIndex> deduplication_anchor, TimePoint now,
+                                          Random& random) {
+  Search search{request, deduplication_anchor ? &in_.endpoints[*deduplication_anchor].endpoint : nullptr,
+                in_.settings.classes[request.request_class].deduplication_scope, now, random};
+  const std::vector<BackendIndex>& all = in_.endpoints.ring().order();
+  BackendState* picked = deduplication_anchor ? nullptr : PickFrom(in_.subset.backends(), search);
+  if (!picked && (deduplication_anchor || in_.subset.backends().size() < all.size()))
+    picked = PickFrom(all, search);
+  return {picked, search.over_budget};
+}
+
+BackendState* BackendPicker::PickFrom(const std::vector<BackendIndex>& candidates, Search& search) {
+  search.best = nullptr;
+  search.preferred = {};
+  search.crossing_work_ms = in_.zone_locality.CrossingWorkMs(in_.latencies.mean_work_ms(), search.random);
+  if (in_.settings.key_affinity && search.request.key != 0 && HasManyProxies(in_.settings) &&
+      candidates.size() <= kMaxRanked)
+    FindPreferredBackends(candidates, search);
+  if (candidates.size() > kMaxRanked) {
+    if (BackendState* picked = PickFromSample(candidates, search)) return picked;
+  }
+  for (const BackendIndex index : candidates) Consider(index, search);
+  return search.best && !search.best_in_service() && search.any_in_service ? nullptr : search.best;
+}
+
+BackendState* BackendPicker::PickFromSample(const std::vector<BackendIndex>& candidates, Search& search) {
+  const bool all = &candidates == &in_.endpoints.ring().order();
+  const auto consider_candidate = [&](BackendIndex index) {
+    if (all || in_.subset.Contains(in_.endpoints[index])) Consider(index, search);
+  };
+  std::array<BackendIndex, kSampleSize> sample;
+  for (BackendIndex& index : sample) {
+    index = candidates[search.random.Below(candidates.size())];
+    Prefetch(index);
+  }
+  for (const BackendIndex index : recent_) Prefetch(index);
+  for (const BackendIndex index : sample) Consider(index, search);
+  for (const BackendIndex index : recent_) consider_candidate(index);
+  in_.key_memory.ForLatest(search.request.key, search.now, consider_candidate);
+  if (!search.best_in_service()) return nullptr;
+  if (recent_.size() < kRecentPicks) recent_.push_back(0);
+  recent_[next_recent_++ % recent_.size()] = in_.endpoints.IndexOf(*search.best);
+  return search.best;
+}
+
+void BackendPicker::FindPreferredBackends(const std::vector<BackendIndex>& candidates, Search& search) const {
+  for (const BackendIndex index : candidates) {
+    const BackendState& backend = in_.endpoints[index];
+    if (!backend.ready() || !backend.in_service()) continue;
+    search.preferred.Offer(search.request.key, backend.endpoint.backend, index);
+  }
+}
+
+// So that the memory of several backends is waited for once.
+void BackendPicker::Prefetch(BackendIndex index) const {
+  const char* const at = reinterpret_cast<const char*>(&in_.endpoints[index]);
+  __builtin_prefetch(at);
+  __builtin_prefetch(at + 64);
+}
+
+void BackendPicker::Consider(BackendIndex index, Search& search) const {
+  BackendState& backend = in_.endpoints[index];
+  if (!backend.ready()) return;
+  if (search.deduplication_anchor &&
+      !RetryPolicy::InDeduplicationScope(search.deduplication_scope, *search.deduplication_anchor,
+                                         backend.endpoint))
+    return;
+  search.any_in_service |= backend.in_service();
+  if (!HasSlowStartBudget(backend, search)) {
+    if (!search.over_budget) search.over_budget = &backend;
+    return;
+  }
+  const int rank = 2 * !backend.in_service() + WasAttempted(search.request, index);
+  const double score = ScoreOf(backend, index, search);
+  if (search.best && (rank > search.best_rank || (rank == search.best_rank && score > search.best_score)))
+    return;
+  const bool tie = search.best && rank == search.best_rank && score == search.best_score;
+  search.ties = tie ? search.ties + 1 : 1;
+  if (tie && search.random.Below(search.ties) != 0) return;
+  search.best = &backend;
+  search.best_rank = rank;
+  search.best_score = score;
+}
+
+bool BackendPicker::HasSlowStartBudget(BackendState& backend, const Search& search) const {
+  const double fraction = in_.slow_start.CapacityFraction(backend.endpoint, search.now);
+  if (fraction >= 1) return true;
+  SlowStart::Budget budget;
+  budget.capacity_fraction = fraction;
+  budget.in_subset = in_.subset.Contains(backend);
+  budget.backends_per_subset_slot =
+      static_cast<double>(in_.endpoints.ring().size()) / static_cast<double>(in_.subset.backends().size());
+  budget.mean_work_ms = in_.latencies.mean_work_ms();
+  return in_.slow_start.HasBudget(backend, search.request.work_ms, budget, search.now);
+}
+
+double BackendPicker::ScoreOf(const BackendState& backend, BackendIndex index, const Search& search) const {
+  const RequestState& request = search.request;
+  const bool has_affinity = request.key != 0 && (search.preferred.Contains(index) ||
+                                                 in_.key_memory.Contains(request.key, index, search.now));
+  return backend.outstanding_work_ms +
+         kSlownessWeight * request.work_ms * (RelativeLatency::Of(backend.latency, search.now) - 1) -
+         (has_affinity ? kAffinityWeight * request.work_ms : 0) +
+         (backend.endpoint.zone != in_.settings.zone ? search.crossing_work_ms : 0);
+}
+
+}  // namespace copperpoint
--- a/src/decision/backend_ring.h
+++ b/src/decision/backend_ring.h
@@ -1,59 +1,66 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Servers in an order that all proxies share: by a hash of their ids. Bookkeeping, no decisions.
+// Backends in an order that all proxies share: by a hash of their ids.
 #ifndef COPPERPOINT_DECISION_BACKEND_RING_H_
 #define COPPERPOINT_DECISION_BACKEND_RING_H_
 
 #include <algorithm>
+#include <cstddef>
 #include <cstdint>
-#include <utility>
 #include <vector>
 
-#include "copperpoint/balancer.h"
-#include "decision/measures.h"
+#include "decision/backend_state.h"
 #include "decision/random.h"
 
 namespace copperpoint {
 
-class Ring {
+class BackendRing {
  public:
-  const std::vector<ServerIndex>& order() const { return order_; }
+  const std::vector<BackendIndex>& order() const { return order_; }
   std::size_t size() const { return order_.size(); }
 
-  // A change of one server must not sort the fleet anew. `id_of` tells the id of an index.
+  // Inserts a backend unless it is there, without sorting all. `id_of(index)` is the BackendId.
   template <typename IdOf>
-  void Join(ServerIndex i, const IdOf& id_of) {
-    const auto place = std::lower_bound(order_.begin(), order_.end(), i, [&](ServerIndex a, ServerIndex b) {
-      return PlaceOf(a, id_of) < PlaceOf(b, id_of);
-    });
-    if (place == order_.end() || *place != i) order_.insert(place, i);
+  void Insert(BackendIndex index, const IdOf& id_of) {
+    const auto at = std::lower_bound(
+        order_.begin(), order_.end(), index,
+        [&](BackendIndex a, BackendIndex b) { return PositionOf(a, id_of) < PositionOf(b, id_of); });
+    if (at == order_.end() || *at != index) order_.insert(at, index);
   }
 
-  // All of 0 to `count`, less one.
+  // All backends of index 0 to below `count`.
   template <typename IdOf>
-  void Build(std::size_t count, const IdOf& id_of) {
-    std::vector<Place> places;
-    places.reserve(count);
-    for (std::size_t i = 0; i < count; ++i) places.push_back(PlaceOf(static_cast<ServerIndex>(i), id_of));
-    std::sort(places.begin(), places.end());
+  void Rebuild(std::size_t count, const IdOf& id_of) {
+    std::vector<Position> positions;
+    positions.reserve(count);
+    for (std::size_t i = 0; i < count; ++i)
+      positions.push_back(PositionOf(static_cast<BackendIndex>(i), id_of));
+    std::sort(positions.begin(), positions.end());
     order_.clear();
-    for (const auto& [place, i] : places) order_.push_back(i);
+    order_.reserve(count);
+    for (const Position& position : positions) order_.push_back(position.index);
   }
 
-  void Leave(ServerIndex i) { std::erase(order_, i); }
+  void Remove(BackendIndex index) { std::erase(order_, index); }
   template <typename Predicate>
-  void LeaveIf(const Predicate& predicate) {
+  void RemoveIf(const Predicate& predicate) {
     std::erase_if(order_, predicate);
   }
 
  private:
-  using Place = std::pair<std::uint32_t, ServerIndex>;
+  struct Position {
+    std::uint32_t hash = 0;  // of the id
+    BackendIndex index = 0;
+    friend bool operator<(const Position& a, const Position& b) {
+      return a.hash != b.hash ? a.hash < b.hash : a.index < b.index;
+    }
+  };
   template <typename IdOf>
-  static Place PlaceOf(ServerIndex i, const IdOf& id_of) {
-    return {MixBits(id_of(i)), i};
+  static Position PositionOf(BackendIndex index, const IdOf& id_of) {
+    return {MixBits(id_of(index)), index};
   }
 
-  std::vector<ServerIndex> order_;
+  std::vector<BackendIndex> order_;
 };
 
 }  // namespace copperpoint
--- /dev/null
+++ b/src/decision/balancer.cpp
@@ -0,0 +1,115 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The path of an event through the decision module. The rules that decide are listed in decision_state.h, and
+// docs/decisions.md has a table of them.
+#include "copperpoint/balancer.h"
+
+#include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "decision/decision_state.h"
+#include "decision/dispatcher.h"
+#include "decision/fleet_updates.h"
+#include "decision/never.h"
+#include "decision/outcome_observer.h"
+#include "decision/rate_sampler.h"
+#include "decision/request_admission.h"
+
+namespace copperpoint {
+
+// Owns the state of all rules, and conducts the steps that work on it.
+class Balancer::Impl {
+ public:
+  Impl(Settings settings, std::uint64_t seed) : state_(std::move(settings), seed) {}
+
+  void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
+    state_.now = now;
+    state_.actions = actions;
+    // The event comes first: a list may remove a backend that a due retry would go to.
+    std::visit([this](const auto& e) { On(e); }, event);
+    AdvanceTime();
+    dispatcher_.DispatchQueued();
+    SetNextTimer();
+    state_.actions = nullptr;
+  }
+
+  std::vector<BackendSnapshot> ExportState(TimePoint now) { return fleet_.Export(now); }
+
+ private:
+  void On(const EndpointUpdate& event) { fleet_.OnEndpointUpdate(event); }
+  void On(const StateRestored& event) { fleet_.OnStateRestored(event); }
+  void On(const SubsetPosition& event) { fleet_.OnSubsetPosition(event); }
+  void On(const RequestReceived& event) { admission_.OnRequestReceived(event); }
+  void On(const TimerFired&) {}  // the time is all that it brings
+
+  void On(const ResponseStarted& event) {
+    const auto found = state_.requests.find(event.request);
+    if (found != state_.requests.end()) found->second.response_started = true;
+  }
+
+  void On(const AttemptCompleted& event) {
+    const auto found = state_.requests.find(event.request);
+    if (found == state_.requests.end()) return;
+    RequestState& request = found->second;
+    if (event.attempt < 0 || event.attempt >= static_cast<int>(request.attempts.size())) return;
+    AttemptState& attempt = request.attempts[event.attempt];
+    if (!attempt.outstanding) return;
+    attempt.outstanding = false;
+    attempt.may_have_run = RetryPolicy::MayHaveRun(event.outcome);
+    observer_.OnAttemptCompleted(request, event);
+    state_.retry_queue = true;
+    if (event.request_completed && !request.finished)
+      dispatcher_.MarkFinished(request,
+                               /*client_may_retry=*/event.outcome != AttemptOutcome::kSuccess);
+    if (!request.finished && !request.queued && !request.has_outstanding_attempt())
+      dispatcher_.Retry(
+          request, /*adds_load=*/attempt.may_have_run || event.outcome == AttemptOutcome::kBackendRejected);
+    dispatcher_.EraseIfDone(found);
+  }
+
+  void On(const ClientDisconnected& event) {
+    const auto found = state_.requests.find(event.request);
+    if (found == state_.requests.end()) return;
+    if (!found->second.finished) dispatcher_.MarkFinished(found->second, /*client_may_retry=*/true);
+    dispatcher_.EraseIfDone(found);
+  }
+
+  void AdvanceTime() {
+    if (state_.now >= timer_at_) timer_at_ = kNever;
+    fleet_.Advance();
+    sampler_.Advance();
+    if (state_.poller.TakeDuePoll(state_.now)) state_.Emit(PollEndpoints{});
+    dispatcher_.RejectOverdue();
+  }
+
+  void SetNextTimer() {
+    const TimePoint next_sample = state_.queue.empty() ? kNever : sampler_.next_sample_at();
+    const TimePoint at = std::min({state_.poller.next_poll_at(), next_sample, state_.queue.next_deadline()});
+    if (at >= timer_at_) return;
+    timer_at_ = at;
+    state_.Emit(SetTimer{at, 0});
+  }
+
+  DecisionState state_;
+  FleetUpdates fleet_{state_};
+  Dispatcher dispatcher_{state_};
+  OutcomeObserver observer_{state_, fleet_};
+  RequestAdmission admission_{state_, dispatcher_};
+  RateSampler sampler_{state_, fleet_, observer_};
+  TimePoint timer_at_ = kNever;  // the timer that is set
+};
+
+Balancer::Balancer(Settings settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
+Balancer::~Balancer() = default;
+Balancer::Balancer(Balancer&&) noexcept = default;
+Balancer& Balancer::operator=(Balancer&&) noexcept = default;
+
+void Balancer::Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
+  impl_->Handle(now, event, actions);
+}
+
+std::vector<BackendSnapshot> Balancer::ExportState(TimePoint now) { return impl_->ExportState(now); }
+
+}  // namespace copperpoint
--- /dev/null
+++ b/src/decision/concurrency_limit.cpp
@@ -0,0 +1,42 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "decision/concurrency_limit.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace copperpoint {
+namespace {
+
+constexpr double kMaxObjectiveFraction = 0.33;  // of the mean objective that an attempt may take, in the mean
+constexpr double kMaxLatencyMultiple = 3;       // of the uncongested latency that it may take, in the mean
+constexpr double kDeviations = 1;               // of a random number in flight that are no overload
+constexpr double kMinPerBackend = 3;            // in flight at one backend, of all proxies, always permitted
+constexpr double kMaxMinInFlight = 4;           // of the smallest limit, while answers are uncongested
+constexpr double kCongestionGain = 0.1;         // of one answer
+constexpr double kMaxCongestion = 16;           // that one answer counts as
+constexpr Duration kCongestionMemory{8000};     // without further answers
+
+}  // namespace
+
+bool ConcurrencyLimit::HasCapacity(const Inputs& inputs) const {
+  const double least = std::max(MinInFlight(), kMinPerBackend * inputs.ready_capacity / inputs.proxy_count);
+  const double useful_latency_ms = std::min(kMaxObjectiveFraction * inputs.mean_objective_ms,
+                                            kMaxLatencyMultiple * inputs.uncongested_latency_ms);
+  const double mean = inputs.answers_per_ms * useful_latency_ms;
+  return in_flight_ - overdue_ < std::max(least, mean + kDeviations * std::sqrt(mean));
+}
+
+// With many proxies this bounds what backends hold: it is smaller the more congested they are.
+double ConcurrencyLimit::MinInFlight() const {
+  return std::clamp(1.5 * kMaxMinInFlight / std::max(congestion_, 0.1), 1.0, kMaxMinInFlight);
+}
+
+void ConcurrencyLimit::OnLatency(double latency_ms, double uncongested_ms) {
+  congestion_ += kCongestionGain * (std::min(latency_ms / uncongested_ms, kMaxCongestion) - congestion_);
+}
+
+void ConcurrencyLimit::Decay(Duration elapsed) {
+  congestion_ += std::min(1.0, elapsed.count() / kCongestionMemory.count()) * (1 - congestion_);
+}
+
+}  // namespace copperpoint
--- /dev/null
+++ b/src/decision/outcome_observer.h
@@ -0,0 +1,37 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Passes the outcome of an attempt to the rules and statistics that learn from it.
+#ifndef COPPERPOINT_DECISION_OUTCOME_OBSERVER_H_
+#define COPPERPOINT_DECISION_OUTCOME_OBSERVER_H_
+
+#include "copperpoint/balancer.h"
+#include "decision/decision_state.h"
+#include "decision/fleet_updates.h"
+#include "decision/request_state.h"
+
+namespace copperpoint {
+
+// Holds no state of its own.
+class OutcomeObserver {
+ public:
+  OutcomeObserver(DecisionState& state, FleetUpdates& fleet) : state_(state), fleet_(fleet) {}
+
+  // The attempt `completed.attempt` of `request` has ended; it is no longer outstanding.
+  void OnAttemptCompleted(const RequestState& request, const AttemptCompleted& completed);
+  // Marks attempts that are outstanding for longer than such answers take.
+  void MarkOverdueAttempts();
+
+ private:
+  void ReleaseBackend(const RequestState& request, AttemptOutcome outcome, BackendState& backend);
+  void ObserveAnswer(const RequestState& request, const AttemptCompleted& completed, BackendState& backend);
+  void ObserveSuccess(const RequestState& request, const BackendState& backend);
+  void ObserveLocality(const RequestState& request, bool success, const BackendState& backend);
+  void ObserveLatency(const RequestState& request, const AttemptCompleted& completed, BackendState& backend);
+
+  DecisionState& state_;
+  FleetUpdates& fleet_;
+};
+
+}  // namespace copperpoint
+
+#endif  // COPPERPOINT_DECISION_OUTCOME_OBSERVER_H_
--- /dev/null
+++ b/src/decision/rate_sampler.h
@@ -0,0 +1,38 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The periodic step: samples rates, ages averages and refits the rules that depend on them.
+#ifndef COPPERPOINT_DECISION_RATE_SAMPLER_H_
+#define COPPERPOINT_DECISION_RATE_SAMPLER_H_
+
+#include "copperpoint/balancer.h"
+#include "decision/decision_state.h"
+#include "decision/fleet_updates.h"
+#include "decision/outcome_observer.h"
+
+namespace copperpoint {
+
+// Owns the times of the samples.
+class RateSampler {
+ public:
+  RateSampler(DecisionState& state, FleetUpdates& fleet, OutcomeObserver& observer)
+      : state_(state), fleet_(fleet), observer_(observer) {}
+
+  // Takes a sample if kInterval is over.
+  void Advance();
+  TimePoint next_sample_at() const { return next_sample_at_; }
+
+ private:
+  static constexpr Duration kInterval{100};
+
+  void UpdateRates(Duration elapsed);
+  void UpdateSlowStart(Duration elapsed);
+
+  DecisionState& state_;
+  FleetUpdates& fleet_;
+  OutcomeObserver& observer_;
+  TimePoint next_sample_at_{}, sampled_at_{};
+};
+
+}  // namespace copperpoint
+
+#endif  // COPPERPOINT_DECISION_RATE_SAMPLER_H_
--- /dev/null
+++ b/src/decision/request_admission.h
@@ -0,0 +1,37 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Decides on arrival whether a request is rejected at once, and how long it may wait for capacity otherwise.
+#ifndef COPPERPOINT_DECISION_REQUEST_ADMISSION_H_
+#define COPPERPOINT_DECISION_REQUEST_ADMISSION_H_
+
+#include "copperpoint/balancer.h"
+#include "decision/decision_state.h"
+#include "decision/dispatcher.h"
+#include "decision/request_state.h"
+
+namespace copperpoint {
+
+// Holds no state of its own.
+class RequestAdmission {
+ public:
+  RequestAdmission(DecisionState& state, Dispatcher& dispatcher) : state_(state), dispatcher_(dispatcher) {}
+
+  void OnRequestReceived(const RequestReceived& received);
+
+ private:
+  RequestState Describe(const RequestReceived& received);
+  // The latency objective less what has passed of it before the request arrived.
+  Duration RemainingObjective(const RequestReceived& received, const LogicalRequest& logical);
+  void TakeQuota(RequestState& request);
+  // What the answer will be worth, less or nothing if it can't be in time.
+  void WeighByServiceTime(RequestState& request, Duration remaining_objective);
+  bool ShouldShed(const RequestState& request);
+  void SetMaxWait(RequestState& request, Duration remaining_objective) const;
+
+  DecisionState& state_;
+  Dispatcher& dispatcher_;
+};
+
+}  // namespace copperpoint
+
+#endif  // COPPERPOINT_DECISION_REQUEST_ADMISSION_H_
--- /dev/null
+++ b/src/decision/request_queue.h
@@ -0,0 +1,83 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Requests that wait for capacity, in the order in which they are served, and the times at which they are
+// looked at again.
+#ifndef COPPERPOINT_DECISION_REQUEST_QUEUE_H_
+#define COPPERPOINT_DECISION_REQUEST_QUEUE_H_
+
+#include <cstddef>
+#include <optional>
+#include <set>
+
+#include "copperpoint/balancer.h"
+#include "decision/never.h"
+#include "decision/request_state.h"
+
+namespace copperpoint {
+
+// The highest queue_priority first, and of equal ones the oldest. Owns RequestState::queued; the priority of
+// a queued request must not change.
+class RequestQueue {
+ public:
+  void Add(RequestState& request) {
+    request.queued = true;
+    queue_.insert(EntryOf(request));
+  }
+  // Does nothing if the request isn't queued.
+  void Remove(RequestState& request) {
+    if (request.queued) queue_.erase(EntryOf(request));
+    request.queued = false;
+  }
+  std::size_t size() const { return queue_.size(); }
+  bool empty() const { return queue_.empty(); }
+
+  // Calls visit(id) in the order of service until it returns false. It may remove the request that it is
+  // called with.
+  template <typename Visit>
+  void VisitInOrder(const Visit& visit) {
+    for (auto it = queue_.begin(); it != queue_.end();) {
+      const RequestId id = (it++)->id;
+      if (!visit(id)) return;
+    }
+  }
+
+  // Has the request looked at again at `at`. Deadlines of requests that have ended since are still returned.
+  void AddDeadline(TimePoint at, RequestId id) { deadlines_.insert({at, id}); }
+  // Removes and returns a request whose deadline has come, the earliest first.
+  std::optional<RequestId> TakeDue(TimePoint now) {
+    if (deadlines_.empty() || deadlines_.begin()->at > now) return std::nullopt;
+    const RequestId id = deadlines_.begin()->id;
+    deadlines_.erase(deadlines_.begin());
+    return id;
+  }
+  TimePoint next_deadline() const { return deadlines_.empty() ? kNever : deadlines_.begin()->at; }
+
+ private:
+  struct Entry {
+    double priority = 0;
+    TimePoint received_at{};
+    RequestId id = 0;
+    // In the order of service.
+    friend bool operator<(const Entry& a, const Entry& b) {
+      if (a.priority != b.priority) return a.priority > b.priority;
+      return a.received_at != b.received_at ? a.received_at < b.received_at : a.id < b.id;
+    }
+  };
+  struct Deadline {
+    TimePoint at{};
+    RequestId id = 0;
+    friend bool operator<(const Deadline& a, const Deadline& b) {
+      return a.at != b.at ? a.at < b.at : a.id < b.id;
+    }
+  };
+  static Entry EntryOf(const RequestState& request) {
+    return {request.queue_priority, request.received_at, request.id};
+  }
+
+  std::set<Entry> queue_;
+  std::set<Deadline> deadlines_;
+};
+
+}  // namespace copperpoint
+
+#endif  // COPPERPOINT_DECISION_REQUEST_QUEUE_H_
--- /dev/null
+++ b/src/decision/request_state.h
@@ -0,0 +1,49 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// What a proxy knows of one open request and its attempts.
+#ifndef COPPERPOINT_DECISION_REQUEST_STATE_H_
+#define COPPERPOINT_DECISION_REQUEST_STATE_H_
+
+#include <algorithm>
+#include <cstdint>
+#include <vector>
+
+#include "copperpoint/balancer.h"
+#include "decision/backend_state.h"
+#include "decision/client_retry_detector.h"
+
+namespace copperpoint {
+
+struct AttemptState {
+  BackendIndex backend = 0;
+  TimePoint started_at{};
+  bool outstanding = true;
+  bool may_have_run = true;  // the backend may have executed it
+  bool overdue = false;      // outstanding for longer than such answers take: it may never end by itself
+};
+
+struct RequestState {
+  RequestId id = 0;
+  int request_class = 0, tenant = -1;
+  double work_ms = 1;          // estimated, on a standard core
+  double priority_weight = 0;  // after quota and latency objective
+  double queue_priority = 0;   // while queued
+  std::uint64_t key = 0;       // for affinity; 0: none
+  TimePoint received_at{}, deadline{};
+  TimePoint reject_at{};       // while queued: rejected then
+  TimePoint max_wait_until{};  // and then at the latest, where no request is answered
+  std::uint64_t fingerprint = 0;
+  bool has_work_estimate = false;
+  LogicalRequest logical_request;
+  std::vector<AttemptState> attempts;
+  bool finished = false, response_started = false, queued = false;
+
+  bool has_outstanding_attempt() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const AttemptState& attempt) { return attempt.outstanding; });
+  }
+};
+
+}  // namespace copperpoint
+
+#endif  // COPPERPOINT_DECISION_REQUEST_STATE_H_
--- /dev/null
+++ b/src/decision/slow_start.cpp
@@ -0,0 +1,71 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "decision/slow_start.h"
+
+namespace copperpoint {
+namespace {
+
+constexpr double kBudgetFraction = 0.6;      // of the overload factor; the rest is for chance and late lists
+constexpr double kMaxSubsetMultiple = 0.75;  // of capacity, where only some proxies send to a backend
+constexpr double kMinServingFraction = 0.5;  // of the backends of late that served what is served now
+constexpr double kMinWarmCores = 0.25;       // standard cores that a warm backend has at least
+constexpr double kWindowSlack = 1.1;         // over the overload window, for delays
+
+}  // namespace
+
+SlowStart::SlowStart(const Settings& settings)
+    : slow_start_window_(settings.slow_start_window),
+      overload_window_(settings.overload_window),
+      min_capacity_(settings.slow_start_min_capacity),
+      overload_factor_(settings.overload_factor),
+      proxy_count_(settings.proxy_count) {}
+
+Duration SlowStart::Window() const { return overload_window_ * kWindowSlack; }
+
+bool SlowStart::HasBudget(BackendState& backend, double work_ms, const Budget& budget, TimePoint now) const {
+  const Duration window = Window();
+  const double sent_ms = backend.slow_start.sent.Within(now, window);
+  if (!budget.in_subset) return false;
+  // With subsets, only some proxies send to a backend, and each may send so much the more. The warm rate is
+  // that of the mean machine: one of a slow kind gets less, one of a fast kind no more.
+  const double multiple = kBudgetFraction * overload_factor_;
+  const double per_slot = budget.backends_per_subset_slot;
+  const double rate =
+      (per_slot > 1 ? std::min(kMaxSubsetMultiple, multiple) * per_slot : multiple) *
+      budget.capacity_fraction * warm_rate_ *
+      std::min(1.0, kinds_.RelativeRate(backend.endpoint.kind, kMinOutcomes * budget.mean_work_ms));
+  if (sent_ms + work_ms <= rate * overload_window_.count()) return true;
+  const double min_rate = overload_factor_ * min_capacity_ * kMinWarmCores * per_slot / proxy_count_;
+  const double paying_rate = std::max(rate, min_rate);
+  return paying_rate > 0 &&
+         now - backend.slow_start.last_sent >=
+             backend.slow_start.wait_fraction * std::max(window, Duration(work_ms / paying_rate));
+}
+
+void SlowStart::OnStarted(SlowStartState& state, TimePoint now, Random& random) const {
+  state.sent.Clear();
+  state.last_sent = now;
+  state.wait_fraction = random.Unit();
+}
+
+void SlowStart::OnSent(SlowStartState& state, bool warming_up, double work_ms, TimePoint now) {
+  if (warming_up) state.sent.Add(now, work_ms);
+  state.last_sent = now;
+  state.wait_fraction = 1;
+}
+
+// Pooled over all backends, as the outcomes of one are too few. A rate once seen is forgotten slowly: while a
+// rolling deployment leaves no warm backend, a budget of what is served just now would reduce itself. After
+// the loss of most backends, the rest can't serve the work of all: mean_in_service keeps the rate from rising
+// with it.
+void SlowStart::UpdateWarmRate(const ServiceRates& rates, Duration elapsed) {
+  if (rates.in_service <= 0) return;
+  // A proxy that has just started has no outcomes yet, and goes by what it receives.
+  const double served =
+      outcomes_ < kMinOutcomes ? std::max(rates.served_work, rates.received_work) : rates.served_work;
+  const double current_rate =
+      served / std::max(rates.in_service, kMinServingFraction * rates.mean_in_service);
+  warm_rate_ += std::min(1.0, elapsed / kWarmRateMemory) * (current_rate - warm_rate_);
+  warm_rate_ = std::max(warm_rate_, current_rate);
+}
+
+}  // namespace copperpoint
--- a/src/log_analysis/count.cpp
+++ b/src/log_analysis/count.cpp
@@ -121,13 +121,14 @@
   if (cold) server.cold_work[static_cast<std::int64_t>(std::floor(record.at_ms / 1000))] += work;
 }
 
-// "server N ejected: ..."
+// "backend N ejected: ...", of the version before "server N ejected: ..."
 void Counter::OnDecision(std::string_view text) {
-  constexpr std::string_view kServer = "server ";
   const std::size_t verb = text.find(" ejected");
-  if (!text.starts_with(kServer) || verb == std::string_view::npos) return;
-  ++ejections_;
-  servers_[std::string(text.substr(kServer.size(), verb - kServer.size()))].ejected_by.insert(proxy_);
+  for (const std::string_view subject : {"backend ", "server "}) {
+    if (!text.starts_with(subject) || verb == std::string_view::npos) continue;
+    ++ejections_;
+    servers_[std::string(text.substr(subject.size(), verb - subject.size()))].ejected_by.insert(proxy_);
+  }
 }
 
 void Counter::Keep(const Record& record, std::string_view line) {
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1307,7 +1307,7 @@
     note();
   }
   ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
-  EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
+  EXPECT_NE(lines[0].find("rejected: not in time"), std::string::npos) << lines[0];
   rig.Tick(20000);
   rig.Tick(20000);
   rig.List({Entry(1, 0, 0, EndpointState::kReady, rig.now)});
@@ -1316,7 +1316,7 @@
     note();
   }
   ASSERT_EQ(lines.size(), 2u);
-  EXPECT_NE(lines[1].find("server 1 held back: cold, at 25%"), std::string::npos) << lines[1];
+  EXPECT_NE(lines[1].find("backend 1 passed over: in slow start, at 25%"), std::string::npos) << lines[1];
 }
 
 TEST(BadInput, IsIgnoredOrRefused) {
--- a/tests/log_analysis/count_test.cpp
+++ b/tests/log_analysis/count_test.cpp
@@ -176,6 +176,17 @@
   EXPECT_EQ(Of(counter.Attempts(), "ok"), 1);
 }
 
+TEST(Count, CountsEjectionsOfThisVersionAndTheOneBefore) {
+  Counter counter({});
+  counter.Begin("n1");
+  counter.Add(Line("200Z info decision text=\"backend 5 ejected: 3 of 3 attempts failed\""));
+  counter.Add(Line("300Z info decision text=\"backend 5 returned to service\""));
+  counter.Add(Line("400Z info decision text=\"server 6 ejected: 3 of 3 attempts failed\""));
+  EXPECT_EQ(counter.ejections(), 2);
+  EXPECT_EQ(counter.servers().at("5").ejected_by.size(), 1u);
+  EXPECT_EQ(counter.servers().at("6").ejected_by.size(), 1u);
+}
+
 TEST(Count, EjectionsAreOfProxiesAndAProcessWithoutAListIsTold) {
   Counter counter({});
   for (const char* proxy : {"n1", "n2"}) {
