--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -176,6 +176,17 @@
   EXPECT_EQ(Of(counter.Attempts(), "success"), 1);
 }
 
+TEST(Count, CountsEjectionsOfThisVersionAndTheOneBefore) {
+  LogCounter counter({});
+  counter.StartProxy("n1");
+  counter.AddLine(Line("200Z info decision text=\"backend 5 ejected: 3 of 3 attempts failed\""));
+  counter.AddLine(Line("300Z info decision text=\"backend 5 returned to service\""));
+  counter.AddLine(Line("400Z info decision text=\"server 6 ejected: 3 of 3 attempts failed\""));
+  EXPECT_EQ(counter.ejections(), 2);
+  EXPECT_EQ(counter.backends().at("5").ejected_by.size(), 1u);
+  EXPECT_EQ(counter.backends().at("6").ejected_by.size(), 1u);
+}
+
 TEST(Count, EjectionsAreOfProxiesAndAProcessWithoutAListIsTold) {
   LogCounter counter({});
   for (const char* proxy : {"n1", "n2"}) {
