--- a/tests/overload_test.cpp
+++ b/tests/decision/overload_test.cpp
@@ -7,7 +7,7 @@
 #include "decision/client_retry_detector.h"
 #include "decision/overload_monitor.h"
 #include "decision/request_priority.h"
-#include "harness.h"
+#include "support/balancer_fixture.h"
 
 namespace copperpoint {
 namespace {
--- a/tests/loopback.h
+++ b/tests/support/loopback.h
@@ -2,8 +2,8 @@
 //
 // A proxy on loopback sockets with backends and a discovery that do as the test says. Everything waits for
 // events; the only time limit is the one after which a test is given up.
-#ifndef COPPERPOINT_TESTS_LOOPBACK_H_
-#define COPPERPOINT_TESTS_LOOPBACK_H_
+#ifndef COPPERPOINT_TESTS_SUPPORT_LOOPBACK_H_
+#define COPPERPOINT_TESTS_SUPPORT_LOOPBACK_H_
 
 #include <stdlib.h>
 
@@ -372,17 +372,17 @@
   // A test that is about a time limit sets it; to all others a slow machine is none.
   explicit Site(std::vector<nlohmann::json> known)
       : config(ConfigJson(discovery.address(), std::move(known))) {
-    patience.whole_request = patience.answer_whole = std::chrono::minutes(1);
+    timeouts.request_head = timeouts.response_stall = std::chrono::minutes(1);
   }
   void Start() {
     proxy::Config all = ConfigOf(config);
-    all.patience = patience;
+    all.timeouts = timeouts;
     proxy = std::make_unique<RunningProxy>(std::move(all));
   }
 
   FakeDiscovery discovery;
   nlohmann::json config;
-  proxy::Patience patience;
+  proxy::Timeouts timeouts;
   std::unique_ptr<RunningProxy> proxy;
 };
 
@@ -441,4 +441,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_LOOPBACK_H_
+#endif  // COPPERPOINT_TESTS_SUPPORT_LOOPBACK_H_
