--- a/src/proxy/downstream/client_listener.h
+++ b/src/proxy/downstream/client_listener.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The side of the clients: accepts connections, reads requests, writes the one answer to each.
+// The listening socket of the clients: accepts connections, hands the socket over to another process and
+// takes it back, and ends accepting at the shutdown.
 #ifndef COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
 #define COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
 
@@ -9,98 +10,67 @@
 #include <boost/asio/steady_timer.hpp>
 #include <cstddef>
 #include <functional>
-#include <list>
 #include <memory>
 #include <optional>
-#include <string>
-#include <string_view>
 
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/upstream/backend_pool.h"
+#include "proxy/downstream/request_handler.h"
+#include "proxy/downstream/session_manager.h"
 
 namespace copperpoint::proxy {
 
-// Where the one answer to a request goes.
-class Responder {
- public:
-  virtual ~Responder() = default;
-  // The body may go on in `rest`, and is then `length` long if that is known.
-  virtual void SendResponse(HttpResponse answer, std::shared_ptr<BodySource> rest,
-                            std::optional<std::uint64_t> length) = 0;
-  virtual void SendUnavailable(Duration retry_after) = 0;
-  virtual void SendBadGateway() = 0;
-  // A backend found the request itself faulty.
-  virtual void SendClientError(boost::beast::http::status status) = 0;
-};
-
-// What is done with requests. Neither call may throw.
-class RequestHandler {
- public:
-  virtual ~RequestHandler() = default;
-  virtual RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) = 0;
-  virtual void OnClientDisconnected(RequestId request) = 0;
-  virtual bool Ready() const = 0;
-  // Whether a request of this Req-Id has no answer yet, or an attempt of it is out.
-  virtual bool IsRequestOpen(std::string_view id) const = 0;
-};
-
+// Owns the listening socket and, by its SessionManager, the accepted connections.
 class ClientListener {
  public:
-  // Listens at once, at `listener` if one was inherited; throws boost::system::system_error if it cannot.
-  ClientListener(boost::asio::io_context& io, const Config& config, std::size_t most_connections,
-                 RequestHandler& handler, int listener = -1);
-  ~ClientListener();
+  // Listens at once, on the socket `inherited_fd` if that is not negative, at the address of `config`
+  // otherwise. Throws boost::system::system_error if it cannot. `config` and `handler` must outlive it.
+  ClientListener(boost::asio::io_context& io, const Config& config, std::size_t max_connections,
+                 RequestHandler& handler, int inherited_fd = -1);
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  // From now on each connection closes after its answer; new ones are still served. After the grace,
-  // nothing is accepted any more, and `done` is called when no connection is left.
+  // Graceful shutdown. From now on each connection closes after its response; new ones are still served.
+  // After `grace`, nothing is accepted any more, and `done` is called when no connection is left.
   void ShutDown(Duration grace, std::function<void()> done);
 
-  // While drained, connections that stand idle are closed, and the others after their next answer; new ones
-  // are served all the same.
-  void SetDraining(bool drained);
+  // While draining, idle connections are closed, and the others after their next response; new ones are
+  // served all the same.
+  void SetDraining(bool draining) { sessions_.SetDraining(draining); }
 
-  // Another process accepts from now on, from the same queue; what is connected here is answered, and then
-  // sent there. Nothing if it is too late for that. The descriptor stays this one's.
+  // Stops accepting, as another process accepts from the same queue; each open connection closes after its
+  // next response. The result is the listening socket, which remains this object's; nothing if it is closed,
+  // shut down or released already.
   std::optional<int> ReleaseListener();
-  void ResumeAccepting();  // the other process has gone
+  // The other process has ended: accepts again.
+  void ResumeAccepting();
 
-  void SetConnectionLimit(std::size_t connections);
+  void SetConnectionLimit(std::size_t max_connections) { sessions_.SetLimit(max_connections); }
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t connection_count() const { return sessions_.size(); }
+  std::size_t connection_count() const { return sessions_.connection_count(); }
 
  private:
-  class Session;
-  friend class Session;
-
+  void Listen(int inherited_fd);
   void Accept();
-  void AcceptSoon();
-  void AwaitClient();
-  void Begin(boost::asio::ip::tcp::socket socket);
-  void AcceptLater();
-  bool MakeRoom();
-  bool Reserve(std::size_t bytes);
-  void Sweep();
-  void Remove(Session* session);
-  void Shut();
+  void ScheduleAccept();
+  void WaitForConnection();
+  void RetryAcceptLater();
+  void ContinueShutdown();
   void CloseListener(bool at_once);
 
   boost::asio::io_context& io_;
   const Config& config_;
-  std::size_t most_connections_, most_bytes_, reserved_ = 0;
-  RequestHandler& handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, grace_, sweep_;
-  std::list<std::shared_ptr<Session>> sessions_;  // in the order of their last change of state
-  bool waiting_for_room_ = false, awaiting_ = false, accepting_soon_ = false;
-  std::optional<Steady::time_point> queued_since_;  // until the queue has been seen empty again
+  boost::asio::steady_timer accept_retry_timer_, shutdown_timer_;
+  bool waiting_for_connection_ = false, accept_scheduled_ = false;
+  // Since when connections may wait in the accept queue; until it has been seen empty.
+  std::optional<Steady::time_point> queued_since_;
+  bool closing_ = false;  // the grace of the shutdown is over
+  Steady::time_point read_grace_end_{};
+  std::function<void()> on_shutdown_done_;
   std::shared_ptr<int> alive_ = std::make_shared<int>();
-  bool stopping_ = false, shut_ = false, drained_ = false, handed_over_ = false;
-  std::function<void()> stopped_;
-  Steady::time_point half_read_until_{};
+  SessionManager sessions_;
 };
 
 }  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/downstream/session_manager.cpp
@@ -0,0 +1,150 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/downstream/session_manager.h"
+
+#include <algorithm>
+#include <chrono>
+#include <iterator>
+#include <utility>
+
+namespace copperpoint::proxy {
+namespace {
+
+using Error = boost::system::error_code;
+
+constexpr std::chrono::milliseconds kSweepInterval{50};
+// For a new connection to send its first request, while draining or shutting down.
+constexpr std::chrono::milliseconds kFirstRequestGrace{500};
+// For the rest of a header, where another connection waits to be accepted.
+constexpr std::chrono::milliseconds kPartialHeaderGrace{500};
+// Fraction of the connection limit up to which idle connections are not closed ahead of need.
+constexpr double kIdleCloseThreshold = 0.4;
+
+std::size_t BodyMemoryBytes(const Config& config) {
+  return static_cast<std::size_t>(config.memory_mb * config.shares.bodies * 1024 * 1024);
+}
+
+// True of a connection that has just been accepted.
+bool MayBeAboutToSend(const ClientSession& session, Steady::time_point now) {
+  return session.IsUnusedSince(now) && !session.IsUnusedSince(now - kFirstRequestGrace);
+}
+
+}  // namespace
+
+SessionManager::SessionManager(boost::asio::io_context& io, const Config& config, std::size_t max_connections,
+                               RequestHandler& handler, std::function<void()> on_capacity)
+    : config_(config),
+      max_connections_(max_connections),
+      handler_(handler),
+      on_capacity_(std::move(on_capacity)),
+      body_memory_(BodyMemoryBytes(config)),
+      sweep_timer_(io) {}
+
+SessionManager::~SessionManager() {
+  const auto sessions = std::move(sessions_);
+  sessions_.clear();
+  for (const auto& session : sessions) session->Detach();
+}
+
+void SessionManager::Add(boost::asio::ip::tcp::socket socket,
+                         std::optional<Steady::time_point> queued_since) {
+  if (sessions_.empty()) ScheduleSweep();
+  sessions_.push_back(std::make_shared<ClientSession>(*this, std::move(socket)));
+  const auto session = sessions_.back();
+  session->position = std::prev(sessions_.end());
+  session->Start(queued_since);
+}
+
+bool SessionManager::EnsureCapacity() { return sessions_.size() < max_connections_ || Evict(); }
+
+template <typename Predicate>
+bool SessionManager::EvictFirst(Predicate predicate) {
+  const auto found = std::find_if(sessions_.begin(), sessions_.end(),
+                                  [&](const auto& session) { return predicate(*session); });
+  if (found == sessions_.end()) return false;
+  const auto session = *found;
+  session->CloseImmediately();
+  return true;
+}
+
+// Takes the first kind of which there is one, and of that kind the connection that has been so for longest:
+// one whose last response is written; one kept alive for long; one idle, used or not; one whose header does
+// not arrive. Those in their state for less time stay, as their request may be on its way.
+bool SessionManager::Evict() {
+  const auto now = Steady::now();
+  const auto& timeouts = config_.patience;
+  return EvictFirst([](const ClientSession& s) { return s.IsLingering(); }) ||
+         EvictFirst([&](const ClientSession& s) { return s.IsKeptAliveSince(now - timeouts.spare); }) ||
+         EvictFirst([&](const ClientSession& s) { return s.IsIdleSince(now - timeouts.silent); }) ||
+         EvictFirst(
+             [&](const ClientSession& s) { return s.HasPartialHeaderSince(now - kPartialHeaderGrace); });
+}
+
+void SessionManager::SetLimit(std::size_t max_connections) {
+  max_connections_ = max_connections;
+  NotifyCapacity();
+}
+
+void SessionManager::ScheduleSweep() {
+  sweep_timer_.expires_after(kSweepInterval);
+  sweep_timer_.async_wait([this](const Error& cancelled) {
+    if (!cancelled) Sweep();
+  });
+}
+
+// Applies time limits, and closes idle connections ahead of need.
+void SessionManager::Sweep() {
+  const auto now = Steady::now();
+  const auto threshold =
+      static_cast<std::size_t>(static_cast<double>(max_connections_) * kIdleCloseThreshold);
+  for (auto it = sessions_.begin(); it != sessions_.end();) {
+    const auto session = *it++;
+    if (draining_ && (session->IsKeptAliveSince(now) || session->IsUnusedSince(now - kFirstRequestGrace))) {
+      session->CloseLingering();
+    } else if (sessions_.size() > threshold && session->IsKeptAliveSince(now - config_.patience.spare)) {
+      session->CloseLingering();
+    } else {
+      session->OnDeadlineCheck(now);
+    }
+  }
+  NotifyCapacity();
+  if (!sessions_.empty()) ScheduleSweep();
+}
+
+void SessionManager::SetDraining(bool draining) {
+  draining_ = draining;
+  if (!draining) return;
+  const auto now = Steady::now();
+  for (auto it = sessions_.begin(); it != sessions_.end();) {
+    const auto session = *it++;
+    if (session->IsKeptAliveSince(now)) session->CloseLingering();
+  }
+}
+
+bool SessionManager::CloseForShutdown(Steady::time_point now, bool read_grace_over) {
+  bool unfinished = false;
+  for (auto it = sessions_.begin(); it != sessions_.end();) {
+    const auto session = *it++;
+    if (session->IsIdle() && (read_grace_over || !MayBeAboutToSend(*session, now))) {
+      session->CloseLingering();
+    } else if (session->ExpectsRequest() && read_grace_over) {
+      session->CloseLingering();
+    }
+    unfinished |= session->HasUndeliveredResponse() || session->ExpectsRequest();
+  }
+  return unfinished;
+}
+
+void SessionManager::OnStateChanged(ClientSession& session) {
+  sessions_.splice(sessions_.end(), sessions_, session.position);
+}
+
+void SessionManager::Remove(ClientSession& session) {
+  sessions_.erase(session.position);
+  NotifyCapacity();
+}
+
+void SessionManager::NotifyCapacity() {
+  if (capacity_awaited_) on_capacity_();
+}
+
+}  // namespace copperpoint::proxy
