--- a/src/proxy/downstream/client_session.cpp
+++ b/src/proxy/downstream/client_session.cpp
@@ -40,9 +40,9 @@
   Error ignored;
   socket_.set_option(Tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  EnterState(SessionState::kIdle, timeouts().whole_request);
+  EnterState(SessionState::kIdle, timeouts().request_head);
   if (queued_since && !reader_.ReadAhead(*queued_since, /*may_discard=*/false)) return Close();
-  AwaitRequest(timeouts().whole_request);
+  AwaitRequest(timeouts().request_head);
 }
 
 bool ClientSession::IsIdle() const {
@@ -93,7 +93,7 @@
 void ClientSession::ReadRequest() {
   // The time of a first request counts from the connection's start.
   EnterState(SessionState::kReadingRequest,
-             has_sent_request_ ? Steady::duration(timeouts().whole_request) : deadline_ - Steady::now());
+             has_sent_request_ ? Steady::duration(timeouts().request_head) : deadline_ - Steady::now());
   reader_.ReadRequest();
 }
 
@@ -206,14 +206,14 @@
 }
 
 void ClientSession::WriteResponse(HttpResponse response) {
-  EnterState(SessionState::kWritingResponse, timeouts().answer_taken);
+  EnterState(SessionState::kWritingResponse, timeouts().response_write);
   close_after_response_ = ClosesAfterResponse();
   writer_.Write(std::move(response), !close_after_response_);
 }
 
 void ClientSession::WriteStream(HttpResponse&& response, std::shared_ptr<BodySource> body_stream,
                                 std::optional<std::uint64_t> body_length) {
-  EnterState(SessionState::kWritingResponse, timeouts().answer_taken);
+  EnterState(SessionState::kWritingResponse, timeouts().response_write);
   // Only the connection's end can delimit a body of unknown length for an HTTP/1.0 client.
   close_after_response_ = ClosesAfterResponse() || (!body_length && http_1_0_);
   writer_.WriteStream(std::move(response), std::move(body_stream),
@@ -224,7 +224,7 @@
 
 void ClientSession::OnResponseWritten() {
   if (close_after_response_) return CloseLingering();
-  AwaitRequest(timeouts().kept);
+  AwaitRequest(timeouts().keep_alive);
   manager_->NotifyCapacity();
 }
 
@@ -259,7 +259,7 @@
   // The wait for the next request, or its reading, ends here.
   if (!IsWritingResponse()) CancelReads();
   reader_.ReleaseMemory();
-  EnterState(SessionState::kLingering, timeouts().lingering);
+  EnterState(SessionState::kLingering, timeouts().lingering_close);
   Error ignored;
   socket_.shutdown(Tcp::socket::shutdown_send, ignored);
   DiscardInput();
@@ -287,7 +287,7 @@
 }
 
 MemoryBudget& ClientSession::body_memory() { return manager_->body_memory(); }
-const Patience& ClientSession::timeouts() const { return manager_->config().patience; }
-const Shares& ClientSession::shares() const { return manager_->config().shares; }
+const Timeouts& ClientSession::timeouts() const { return manager_->config().timeouts; }
+const ResourceShares& ClientSession::shares() const { return manager_->config().shares; }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/downstream/client_session.h
+++ b/src/proxy/downstream/client_session.h
@@ -101,8 +101,8 @@
   void SetDeadline(Steady::time_point at) { deadline_ = at; }
   void ExtendDeadline(Steady::time_point at) { deadline_ = std::max(deadline_, at); }
   MemoryBudget& body_memory();
-  const Patience& timeouts() const;
-  const Shares& shares() const;
+  const Timeouts& timeouts() const;
+  const ResourceShares& shares() const;
 
  private:
   void EnterState(SessionState state, std::optional<Steady::duration> time_limit);
--- a/src/proxy/downstream/request_reader.cpp
+++ b/src/proxy/downstream/request_reader.cpp
@@ -114,7 +114,7 @@
 // A medium-sized body is buffered as well while memory allows: until it is complete it uses no backend's
 // capacity, and afterwards the request can be retried.
 bool RequestReader::ExtendBodyBuffer() {
-  const auto max_bytes = static_cast<std::size_t>(session_.shares().kept_body);
+  const auto max_bytes = static_cast<std::size_t>(session_.shares().max_buffered_body_bytes);
   if (body_limit_bytes_ >= max_bytes || parser_->content_length().value_or(0) > max_bytes) return false;
   if (!session_.body_memory().Reserve(kMaxBufferedBody)) return false;
   reserved_bytes_ += kMaxBufferedBody;
@@ -124,7 +124,7 @@
 
 Steady::duration RequestReader::TimeAtLeastRate(std::size_t bytes) const {
   return std::chrono::milliseconds(bytes * 1000 /
-                                   static_cast<std::size_t>(session_.shares().least_body_rate));
+                                   static_cast<std::size_t>(session_.shares().min_body_rate_bytes_per_s));
 }
 
 void RequestReader::OnReadError(const Error& error) {
--- a/src/proxy/downstream/response_writer.cpp
+++ b/src/proxy/downstream/response_writer.cpp
@@ -47,7 +47,7 @@
 }
 
 void ResponseWriter::WriteChunk(std::string bytes, bool last) {
-  session_.SetDeadline(Steady::now() + session_.timeouts().answer_taken);
+  session_.SetDeadline(Steady::now() + session_.timeouts().response_write);
   chunk_ = std::move(bytes);
   if (last) CancelStream();  // the backend's connection is free for others
   asio::async_write(socket_, asio::buffer(chunk_),
--- a/src/proxy/downstream/session_manager.cpp
+++ b/src/proxy/downstream/session_manager.cpp
@@ -20,7 +20,7 @@
 constexpr double kIdleCloseThreshold = 0.4;
 
 std::size_t BodyMemoryBytes(const Config& config) {
-  return static_cast<std::size_t>(config.memory_mb * config.shares.bodies * 1024 * 1024);
+  return static_cast<std::size_t>(config.memory_mb * config.shares.body_memory * 1024 * 1024);
 }
 
 // True of a connection that has just been accepted.
@@ -71,12 +71,13 @@
 // not arrive. Those in their state for less time stay, as their request may be on its way.
 bool SessionManager::Evict() {
   const auto now = Steady::now();
-  const auto& timeouts = config_.patience;
+  const auto kept_alive_since = now - config_.timeouts.idle_reclaim;
+  const auto idle_since = now - config_.timeouts.pressed_idle_reclaim;
+  const auto header_since = now - kPartialHeaderGrace;
   return EvictFirst([](const ClientSession& s) { return s.IsLingering(); }) ||
-         EvictFirst([&](const ClientSession& s) { return s.IsKeptAliveSince(now - timeouts.spare); }) ||
-         EvictFirst([&](const ClientSession& s) { return s.IsIdleSince(now - timeouts.silent); }) ||
-         EvictFirst(
-             [&](const ClientSession& s) { return s.HasPartialHeaderSince(now - kPartialHeaderGrace); });
+         EvictFirst([&](const ClientSession& s) { return s.IsKeptAliveSince(kept_alive_since); }) ||
+         EvictFirst([&](const ClientSession& s) { return s.IsIdleSince(idle_since); }) ||
+         EvictFirst([&](const ClientSession& s) { return s.HasPartialHeaderSince(header_since); });
 }
 
 void SessionManager::SetLimit(std::size_t max_connections) {
@@ -100,7 +101,8 @@
     const auto session = *it++;
     if (draining_ && (session->IsKeptAliveSince(now) || session->IsUnusedSince(now - kFirstRequestGrace))) {
       session->CloseLingering();
-    } else if (sessions_.size() > threshold && session->IsKeptAliveSince(now - config_.patience.spare)) {
+    } else if (sessions_.size() > threshold &&
+               session->IsKeptAliveSince(now - config_.timeouts.idle_reclaim)) {
       session->CloseLingering();
     } else {
       session->OnDeadlineCheck(now);
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -210,7 +210,7 @@
   void WritePiece(std::string text, bool last) {
     out_ = std::move(text);
     out_at_ = 0;
-    SetTimer(Steady::now() + owner_->limits_.timeouts.stalled);
+    SetTimer(Steady::now() + owner_->limits_.timeouts.body_stall);
     Flush(last);
   }
 
@@ -272,7 +272,9 @@
     });
   }
 
-  void ExpectMore() { SetTimer(std::min(deadline_, Steady::now() + owner_->limits_.timeouts.answer_whole)); }
+  void ExpectMore() {
+    SetTimer(std::min(deadline_, Steady::now() + owner_->limits_.timeouts.response_stall));
+  }
 
   void Read() {
     parser_.emplace();
@@ -349,7 +351,7 @@
       });
       return;
     }
-    SetTimer(Steady::now() + owner_->limits_.timeouts.stalled);
+    SetTimer(Steady::now() + owner_->limits_.timeouts.body_stall);
     ReadBodyChunk(
         socket_, buffer_, *parser_, piece_, [self = shared_from_this()](const Error& failed, auto got) {
           if (!self->streaming_ || self->closed_ || !self->on_piece_) return;
@@ -521,7 +523,7 @@
 // The most recently used of those that have rested. A backend may close just after an answer, or send more
 // than belongs to it: what has rested has shown that.
 std::shared_ptr<BackendPool::Connection> BackendPool::TakeIdle(Backend& backend) {
-  const auto rested_since = Steady::now() - limits_.timeouts.rest;
+  const auto rested_since = Steady::now() - limits_.timeouts.connection_rest;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > rested_since) --end;
   while (end != backend.idle.begin()) {
@@ -552,7 +554,7 @@
   Backend& backend = found->second;
   if (!backend.usable || backend.generation != connection->generation()) return connection->Close();
   backend.idle.push_back(connection);
-  connection->WatchIdle(limits_.conn_idle * kIdleShare);
+  connection->WatchIdle(limits_.backend_idle_timeout * kIdleShare);
 }
 
 void BackendPool::Drop(const Connection* connection) {
--- a/src/proxy/upstream/backend_pool.h
+++ b/src/proxy/upstream/backend_pool.h
@@ -35,9 +35,9 @@
  public:
   struct Limits {
     Duration connect_timeout{250};
-    Duration conn_idle{15000};
+    Duration backend_idle_timeout{15000};
     std::size_t max_connections = 300;  // over all backends
-    Patience timeouts{};
+    Timeouts timeouts{};
   };
 
   BackendPool(boost::asio::io_context& io, Limits limits);
@@ -70,7 +70,7 @@
   void CancelUnsent(const AttemptHandle& handle);
 
   void SetConnectionLimit(std::size_t connections) { limits_.max_connections = connections; }
-  void SetTimeouts(const Patience& timeouts) { limits_.timeouts = timeouts; }
+  void SetTimeouts(const Timeouts& timeouts) { limits_.timeouts = timeouts; }
   std::size_t connection_count() const { return open_; }
   std::size_t connections_opened() const { return connections_opened_; }  // since the start
   std::size_t backend_count() const { return backends_.size(); }
