--- /dev/null
+++ b/tests/proxy/action_failure_test.cpp
@@ -0,0 +1,70 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// An exception while one action is carried out.
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <stdexcept>
+#include <utility>
+
+#include "support/scripted.h"
+
+namespace copperpoint::testing {
+namespace {
+
+using std::chrono::milliseconds;
+
+// What goes wrong while one action is carried out does not cost the answers that others are.
+class Throws : public proxy::Responder {
+ public:
+  void Served(HttpResponse, std::shared_ptr<proxy::PieceSource>, std::optional<std::uint64_t>) override {
+    Fall();
+  }
+  void Refused(Duration) override { Fall(); }
+  void Failed() override { Fall(); }
+  void Rejected(http::status) override { Fall(); }
+
+ private:
+  static void Fall() { throw std::runtime_error("no memory"); }
+};
+class Notes : public Throws {
+ public:
+  explicit Notes(Watched<int>& refused) : refused_(refused) {}
+  void Refused(Duration) override {
+    refused_.Do([](int& n) { ++n; });
+  }
+
+ private:
+  Watched<int>& refused_;
+};
+
+TEST(Actions, OneThatThrowsDoesNotCostTheOthersTheirAnswers) {
+  Backend backend;
+  Site site({});  // without a list: all are held, and refused in one turn
+  site.Start();
+  Watched<int> refused;
+  site.proxy->Ask([&](proxy::Proxy& p) {
+    const auto due = proxy::Steady::now() + milliseconds(100);
+    for (int i = 0; i < 6; ++i) {
+      proxy::ClientRequest request;
+      request.message.method(http::verb::get);
+      request.message.target("/look");
+      request.message.set("Req-Id", Numbered("t", i));
+      request.due = due;
+      if (i % 2 == 0) {
+        p.OnRequest(std::move(request), std::make_shared<Throws>());
+      } else {
+        p.OnRequest(std::move(request), std::make_shared<Notes>(refused));
+      }
+    }
+    return 0;
+  });
+  EXPECT_TRUE(refused.WaitFor([](int n) { return n == 3; }));
+  EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- /dev/null
+++ b/tests/proxy/admin_calls_test.cpp
@@ -0,0 +1,129 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Calls of operators at the admin interface.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "proxy/admin/admin_server.h"
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+std::string Call(const std::string& method, const std::string& target) {
+  return method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n";
+}
+unsigned Ask(const Tcp::endpoint& address, const std::string& method, const std::string& target) {
+  return Client(address).Ask(Call(method, target)).result_int();
+}
+
+class OperatedSite {
+ public:
+  explicit OperatedSite(std::vector<nlohmann::json> members) {
+    auto json = ConfigJson(discovery.address(), std::move(members));
+    json["operator"] = "127.0.0.1:0";
+    proxy::Config config = ConfigOf(json);
+    config.state_folder = folder.path;
+    proxy = std::make_unique<RunningProxy>(std::move(config));
+    calls = proxy->Ask([](proxy::Proxy& p) { return p.operator_address(); });
+  }
+  unsigned Call(const std::string& method, const std::string& target) { return Ask(calls, method, target); }
+
+  Folder folder;
+  FakeDiscovery discovery;
+  std::unique_ptr<RunningProxy> proxy;
+  Tcp::endpoint calls;
+};
+
+TEST(Operation, WrongCallsAreAPlainNo) {
+  Backend backend;
+  OperatedSite site(Members(MemberJson("s-1", backend.address())));
+  EXPECT_EQ(site.Call("GET", "/ready"), 200u);
+  EXPECT_EQ(site.Call("POST", "/ready"), 405u);
+  EXPECT_EQ(site.Call("GET", "/drain"), 405u);
+  EXPECT_EQ(site.Call("POST", "/nothing"), 404u);
+  EXPECT_EQ(site.Call("POST", "/backends/disable"), 400u);
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member="), 400u);
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member=s-1&member=s-1"), 400u);
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member=s%2"), 400u);
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member=s-2"), 404u);
+  EXPECT_EQ(site.Call("POST", "/backends/enable?member=s-2"), 404u);
+  EXPECT_EQ(site.Call("GET", "/ready?" + std::string(9000, 'x')), 431u);
+  Client garbage(site.calls);
+  EXPECT_EQ(garbage.Ask("what\r\n\r\n").result_int(), 400u);
+  // One call per connection, and it says so.
+  Client twice(site.calls);
+  EXPECT_EQ(twice.Ask(Call("GET", "/ready"))[http::field::connection], "close");
+  EXPECT_TRUE(twice.Ended());
+}
+
+TEST(Operation, CallersThatFinishNoCallShutNobodyOut) {
+  Backend backend;
+  OperatedSite site(Members(MemberJson("s-1", backend.address())));
+  std::vector<std::unique_ptr<Client>> silent;
+  for (std::size_t i = 0; i < 3 * proxy::Operator::kMostConnections; ++i) {
+    silent.push_back(std::make_unique<Client>(site.calls));
+    silent.back()->Send("GET /ready HTTP/1.1\r\n");
+  }
+  EXPECT_EQ(site.Call("GET", "/ready"), 200u);
+  EXPECT_TRUE(silent.front()->Ended());
+  EXPECT_EQ(silent.back()->Ask("\r\n").result_int(), 200u);
+}
+
+TEST(Operation, ADisabledBackendGetsNothingAndOneCallPutsItBack) {
+  Backend one("one"), two("two");
+  OperatedSite site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member=s%2D1"), 200u);
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member=s-1"), 200u);
+  ASSERT_TRUE(site.discovery.WaitForWatches(1));
+  // Whatever discovery lists in the meantime.
+  site.discovery.Push(ListJson(
+      50, true,
+      Members(MemberJson("s-1", one.address(), "in_service", 1e12), MemberJson("s-2", two.address()))));
+  while (site.proxy->Ask([](proxy::Proxy& p) { return p.last_revision(); }) < 50) std::this_thread::yield();
+  Client client(site.proxy->address);
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(client.Ask(Look()).body(), "two");
+  EXPECT_EQ(site.Call("POST", "/backends/disable?member=s-2"), 200u);
+  EXPECT_EQ(site.Call("POST", "/backends/enable?member=s-1"), 200u);
+  EXPECT_EQ(client.Ask(Look()).body(), "one");
+}
+
+TEST(Operation, ADrainedProxySendsClientsAwayAndComesBack) {
+  Watched<bool> answer;
+  Backend backend([&](Tcp::socket& s, const HttpRequest&) {
+    answer.WaitFor([](bool now) { return now; });
+    SendRaw(s, OkAnswer("served"));
+    return true;
+  });
+  OperatedSite site(Members(MemberJson("s-1", backend.address())));
+  Client idle(site.proxy->address), busy(site.proxy->address), silent(site.proxy->address);
+  EXPECT_EQ(idle.Ask(Call("GET", "/ready")).result_int(), 200u);
+  busy.Send(Look());
+  ASSERT_TRUE(backend.WaitForRequests(1));
+  EXPECT_EQ(site.Call("POST", "/drain"), 200u);
+  EXPECT_EQ(site.Call("GET", "/ready"), 503u);
+  EXPECT_EQ(Ask(site.proxy->address, "GET", "/ready"), 503u);
+  EXPECT_TRUE(idle.Ended());
+  EXPECT_TRUE(silent.Ended());
+  // What is in flight finishes, and so does what still comes.
+  Client late(site.proxy->address);
+  late.Send(WithId(Look(), "0c"));
+  answer.Do([](bool& now) { now = true; });
+  const auto last = busy.Read();
+  EXPECT_EQ(last.body(), "served");
+  EXPECT_EQ(last[http::field::connection], "close");
+  EXPECT_TRUE(busy.Ended());
+  EXPECT_EQ(late.Read().body(), "served");
+  EXPECT_EQ(site.Call("POST", "/undrain"), 200u);
+  EXPECT_EQ(site.Call("GET", "/ready"), 200u);
+  Client back(site.proxy->address);
+  EXPECT_EQ(back.Ask(Look()).body(), "served");
+  EXPECT_EQ(back.Ask(Look()).body(), "served");
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- /dev/null
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -0,0 +1,117 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Clients that leave: nothing begins for them, whatever they had sent and wherever their request stood.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "support/scripted.h"
+
+namespace copperpoint::testing {
+namespace {
+
+// One backend that never comes up, and dials that are waited for as long as a test may take.
+struct HeldSite : Site {
+  explicit HeldSite(const HeldDial& dial) : Site(Members(MemberJson("s-1", dial.address()))) {
+    config["settings"]["permissions"]["connectTimeoutMs"] = 600000.0;
+    Start();
+  }
+  bool Dialling() {
+    return proxy->WaitUntil([](proxy::Proxy& p) { return p.backend_connections() == 1; });
+  }
+  // The client's end has been seen, and the attempt for it has ended with it.
+  bool AllForgotten() {
+    return proxy->WaitUntil([](proxy::Proxy& p) {
+      return p.client_connections() == 0 && p.held() == 0 && p.backend_connections() == 0;
+    });
+  }
+};
+
+// A client that asks, says more once its attempt is being dialled, and leaves.
+void ExpectForgotten(const std::string& asks, const std::string& more = "") {
+  HeldDial dial;
+  HeldSite site(dial);
+  {
+    Client client(site.proxy->address);
+    client.Send(asks);
+    ASSERT_TRUE(site.Dialling());
+    client.Send(more);
+  }
+  EXPECT_TRUE(site.AllForgotten());
+}
+
+TEST(ClientDisconnected, AnAttemptThatIsBeingDialledEndsWithIt) { ExpectForgotten(Book()); }
+TEST(ClientDisconnected, IsSeenBehindANextRequest) { ExpectForgotten(Book() + WithId(Book(), "next")); }
+TEST(ClientDisconnected, IsSeenBehindAFlood) { ExpectForgotten(Book(), std::string(2 * 1024 * 1024, 'x')); }
+
+TEST(ClientDisconnected, ByAResetIsSeenToo) {
+  HeldDial dial;
+  HeldSite site(dial);
+  Client client(site.proxy->address);
+  client.Send(Book() + WithId(Book(), "next"));
+  ASSERT_TRUE(site.Dialling());
+  CloseByReset(client.socket);
+  EXPECT_TRUE(site.AllForgotten());
+}
+
+TEST(ClientDisconnected, ManyAtOnceAreAllForgotten) {
+  HeldDial dial;
+  HeldSite site(dial);
+  {
+    std::vector<std::unique_ptr<Client>> clients;
+    for (int i = 0; i < 100; ++i) {
+      clients.push_back(std::make_unique<Client>(site.proxy->address));
+      clients.back()->Send(WithId(Book(), Numbered("r", i)));
+    }
+    ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.held() == 100; }));
+  }
+  EXPECT_TRUE(site.AllForgotten());
+}
+
+TEST(ClientDisconnected, OneThatFloodsBehindItsRequestGetsItsAnswerAndTheEnd) {
+  Watched<bool> release;
+  Backend backend([&](Tcp::socket& s, const HttpRequest&) {
+    release.WaitFor([](bool r) { return r; });
+    SendRaw(s, OkAnswer("served"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  client.Send(Book());
+  ASSERT_TRUE(backend.WaitForRequests(1));
+  client.Send(std::string(1024 * 1024, 'x'));
+  release.Do([](bool& r) { r = true; });
+  const HttpResponse answer = client.Read();
+  EXPECT_EQ(answer.body(), "served");
+  EXPECT_FALSE(answer.keep_alive());
+  EXPECT_EQ(HearToTheEnd(client.socket).how, asio::error::eof);
+}
+
+TEST(Proxy, AClientThatLeavesIsForgottenAndItsAttemptStillReports) {
+  Watched<bool> release;
+  Backend backend([&](Tcp::socket& s, const HttpRequest&) {
+    release.WaitFor([](bool r) { return r; });
+    SendRaw(s, OkAnswer("for nobody"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.patience.rest = {};
+  site.Start();
+  {
+    Client client(site.proxy->address);
+    client.Send(Book());
+    ASSERT_TRUE(backend.WaitForRequests(1));
+  }
+  release.Do([](bool& r) { r = true; });
+  EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
+  // The answer came in whole, so that the connection is good for the next request.
+  Client next(site.proxy->address);
+  EXPECT_EQ(next.Ask(Book()).body(), "for nobody");
+  EXPECT_EQ(backend.seen.Get().opened, 1);
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- /dev/null
+++ b/tests/proxy/discovery_messages_test.cpp
@@ -0,0 +1,80 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Messages of a watch of discovery: where one ends, however it is indented or split.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "proxy/discovery/messages.h"
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+using proxy::Messages;
+
+std::string List(int revision, std::vector<nlohmann::json> members = {}, bool complete = true,
+                 int indent = -1) {
+  return ListJson(revision, complete, std::move(members)).dump(indent);
+}
+
+std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* garbled) {
+  Messages messages;
+  std::vector<std::string> all;
+  std::string message;
+  for (std::size_t at = 0; at < text.size(); at += piece) {
+    messages.Add(text.substr(at, piece));
+    for (Messages::Next next; (next = messages.Take(&message)) != Messages::Next::kMore;) {
+      if (next == Messages::Next::kMessage) all.push_back(message);
+      if (next == Messages::Next::kEmptyLine) all.push_back("");
+      if (next == Messages::Next::kGarbled) {
+        *garbled = true;
+        return all;
+      }
+    }
+  }
+  return all;
+}
+
+TEST(Messages, AreTheSameHoweverTheyAreIndentedAndWhereverTheyAreSplit) {
+  const auto member = MemberJson("s-{1}\"]", Tcp::endpoint(kAnyPort.address(), 80));
+  for (const int indent : {-1, 0, 1, 4}) {
+    const std::string one = List(42, {member}, true, indent), two = List(43, {member, member}, false, indent);
+    const std::string text = "\n" + one + "\n\r\n  " + two + " \r\n\n";
+    for (std::size_t piece = 1; piece <= text.size(); ++piece) {
+      bool garbled = false;
+      const auto all = Cut(text, piece, &garbled);
+      ASSERT_FALSE(garbled) << indent << " " << piece;
+      ASSERT_EQ(all.size(), 5u);
+      EXPECT_EQ(nlohmann::json::parse(all[1]), nlohmann::json::parse(one));
+      EXPECT_EQ(nlohmann::json::parse(all[3]), nlohmann::json::parse(two));
+    }
+  }
+}
+
+TEST(Messages, GarbageIsSeenAsSoonAsItCanBe) {
+  for (const char* text : {"[]\n", "x", "{}}\n", "{} {}\n", "{\"a\n", "{\"members\":[\n\n", "{\n}\n]"}) {
+    bool garbled = false;
+    Cut(text, 1, &garbled);
+    EXPECT_TRUE(garbled) << text;
+  }
+}
+
+TEST(Messages, AtTheEndOnlyTheLineEndMayBeMissing) {
+  std::string message;
+  Messages whole;
+  whole.Add("{\"a\":\"\\\"}\"}  ");
+  EXPECT_EQ(whole.Take(&message), Messages::Next::kMore);
+  EXPECT_TRUE(whole.TakeLast(&message));
+  EXPECT_EQ(nlohmann::json::parse(message)["a"], "\"}");
+  for (const char* text : {"", "{\"a\":1", "{\"a", " "}) {
+    Messages half;
+    half.Add(text);
+    EXPECT_EQ(half.Take(&message), Messages::Next::kMore);
+    EXPECT_FALSE(half.TakeLast(&message)) << text;
+  }
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- a/tests/proxy/watch_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -4,87 +4,33 @@
 // failed.
 #include <gtest/gtest.h>
 
-#include <optional>
+#include <chrono>
+#include <functional>
+#include <memory>
+#include <string>
+#include <thread>
+#include <utility>
+#include <vector>
 
 #include "proxy/discovery/discovery.h"
-#include "proxy/discovery/messages.h"
 #include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
 
-using proxy::Messages;
 using std::chrono::milliseconds;
 
 std::string List(int revision, std::vector<nlohmann::json> members = {}, bool complete = true,
                  int indent = -1) {
   return ListJson(revision, complete, std::move(members)).dump(indent);
 }
+
 std::string Chunk(const std::string& text) {
   char size[24];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   return std::string(size).append(text).append("\r\n");
 }
 
-// ---- messages -------------------------------------------------------------------------------------------
-std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* garbled) {
-  Messages messages;
-  std::vector<std::string> all;
-  std::string message;
-  for (std::size_t at = 0; at < text.size(); at += piece) {
-    messages.Add(text.substr(at, piece));
-    for (Messages::Next next; (next = messages.Take(&message)) != Messages::Next::kMore;) {
-      if (next == Messages::Next::kMessage) all.push_back(message);
-      if (next == Messages::Next::kEmptyLine) all.push_back("");
-      if (next == Messages::Next::kGarbled) {
-        *garbled = true;
-        return all;
-      }
-    }
-  }
-  return all;
-}
-
-TEST(Messages, AreTheSameHoweverTheyAreIndentedAndWhereverTheyAreSplit) {
-  const auto member = MemberJson("s-{1}\"]", Tcp::endpoint(kAnyPort.address(), 80));
-  for (const int indent : {-1, 0, 1, 4}) {
-    const std::string one = List(42, {member}, true, indent), two = List(43, {member, member}, false, indent);
-    const std::string text = "\n" + one + "\n\r\n  " + two + " \r\n\n";
-    for (std::size_t piece = 1; piece <= text.size(); ++piece) {
-      bool garbled = false;
-      const auto all = Cut(text, piece, &garbled);
-      ASSERT_FALSE(garbled) << indent << " " << piece;
-      ASSERT_EQ(all.size(), 5u);
-      EXPECT_EQ(nlohmann::json::parse(all[1]), nlohmann::json::parse(one));
-      EXPECT_EQ(nlohmann::json::parse(all[3]), nlohmann::json::parse(two));
-    }
-  }
-}
-
-TEST(Messages, GarbageIsSeenAsSoonAsItCanBe) {
-  for (const char* text : {"[]\n", "x", "{}}\n", "{} {}\n", "{\"a\n", "{\"members\":[\n\n", "{\n}\n]"}) {
-    bool garbled = false;
-    Cut(text, 1, &garbled);
-    EXPECT_TRUE(garbled) << text;
-  }
-}
-
-TEST(Messages, AtTheEndOnlyTheLineEndMayBeMissing) {
-  std::string message;
-  Messages whole;
-  whole.Add("{\"a\":\"\\\"}\"}  ");
-  EXPECT_EQ(whole.Take(&message), Messages::Next::kMore);
-  EXPECT_TRUE(whole.TakeLast(&message));
-  EXPECT_EQ(nlohmann::json::parse(message)["a"], "\"}");
-  for (const char* text : {"", "{\"a\":1", "{\"a", " "}) {
-    Messages half;
-    half.Add(text);
-    EXPECT_EQ(half.Take(&message), Messages::Next::kMore);
-    EXPECT_FALSE(half.TakeLast(&message)) << text;
-  }
-}
-
-// ---- watches over sockets --------------------------------------------------------------------------------
 // A discovery that plays a script for each connection, in turn; after the last it holds its connections open.
 class ScriptedDiscovery {
  public:
@@ -286,34 +232,38 @@
   EXPECT_LE(2 * options.connect_timeout, std::chrono::seconds(3));
 }
 
-// ---- what lists say
-// -----------------------------------------------------------------------------------------
-TEST(WatchLists, AWholeListThatLeavesABackendOutTakesItAway) {
-  Backend one("one"), two("two");
-  Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address(), "terminating")));
-  site.Start();
-  site.discovery.Push(ListJson(50, true, Members(MemberJson("s-2", two.address()))));
-  Client client(site.proxy->address);
-  ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.last_revision() == 50; }));
-  for (int i = 0; i < 8; ++i) EXPECT_EQ(client.Ask(WithId(Look(), Numbered("w", i))).body(), "two");
+TEST(DiscoveryWatch, AWatchWhoseHeartbeatStaysAwayIsAskedAgain) {
+  FakeDiscovery fake;
+  asio::io_context io(1);
+  proxy::Discovery::Options options;
+  options.address = fake.address();
+  options.revision = 7;
+  options.silence = std::chrono::milliseconds(50);
+  proxy::Discovery discovery(
+      io, options, [](const proxy::MemberList&) {}, [] {});
+  discovery.Watch();
+  std::thread loop([&] { io.run(); });
+  EXPECT_TRUE(fake.WaitForWatches(3));
+  io.stop();
+  loop.join();
 }
 
-// A request that is being dialled when its backend drains is served by another, and that dial is given up.
-TEST(WatchLists, ADialToABackendThatDrainsIsGivenUpAndAnotherServes) {
-  HeldDial held;
-  Backend other("other");
-  Site site(Members(MemberJson("s-1", held.address())));
-  site.config["settings"]["permissions"]["connectTimeoutMs"] = 600000.0;
-  site.Start();
-  ASSERT_TRUE(site.discovery.WaitForWatches(1));
-  Client client(site.proxy->address);
-  client.Send(Book());
-  ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.backend_connections() == 1; }));
-  site.discovery.Push(ListJson(
-      50, false,
-      Members(MemberJson("s-1", held.address(), "terminating"), MemberJson("s-2", other.address()))));
-  EXPECT_EQ(client.Read().body(), "other");
-  EXPECT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.backend_connections() == 1; }));
+TEST(DiscoveryWatch, WhereItMustBeAskedAFailureIsReportedAndNotMended) {
+  Tcp::endpoint nobody;
+  {
+    FakeDiscovery gone;
+    nobody = gone.address();
+  }
+  asio::io_context io(1);
+  proxy::Discovery::Options options;
+  options.address = nobody;
+  options.reconnect = proxy::Discovery::Reconnect::kWhenAsked;
+  int failures = 0;
+  proxy::Discovery discovery(
+      io, options, [](const proxy::MemberList&) {}, [&] { ++failures; });
+  discovery.Watch();
+  io.run();  // comes to an end: nothing is tried again
+  EXPECT_EQ(failures, 1);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/proxy/forwarding_test.cpp
@@ -0,0 +1,159 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// A request is forwarded, and its response returned, unchanged; what cannot be trusted of a response.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+TEST(Proxy, PassesARequestOnAndItsAnswerBackUnchanged) {
+  Backend backend("a body");
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  const HttpResponse answer = client.Ask(Post("change", "Idempotency-Key: 7e\r\nReq-Deadline-Ms: 30000\r\n"));
+  EXPECT_EQ(answer.result_int(), 200u);
+  EXPECT_EQ(answer.body(), "a body");
+  const auto requests = backend.seen.Get().requests;
+  ASSERT_EQ(requests.size(), 1u);
+  EXPECT_EQ(requests[0].method(), http::verb::post);
+  EXPECT_EQ(requests[0].target(), "/change");
+  EXPECT_EQ(requests[0]["Req-Id"], "0b");
+  EXPECT_EQ(requests[0]["Idempotency-Key"], "7e");
+  EXPECT_EQ(requests[0].body(), "text");
+  const int left = std::stoi(std::string(requests[0]["Req-Deadline-Ms"]));
+  EXPECT_GT(left, 0);
+  EXPECT_LE(left, 30000);
+
+  EXPECT_EQ(client.Ask(Look()).body(), "a body");
+  EXPECT_EQ(backend.seen.Get().requests[1].target(), "/look/it?page=2");
+}
+
+TEST(Proxy, AnAnswerCutShortIsAFailureAndUnsafeWorkIsNotSentAgain) {
+  const auto cut = [](Tcp::socket& s, const HttpRequest&) {
+    SendRaw(s, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+    return false;
+  };
+  Backend one(cut), two(cut);
+  Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+  EXPECT_EQ(one.seen.Get().requests.size() + two.seen.Get().requests.size(), 1u);
+}
+
+TEST(Proxy, AnAnswerThatOnlyTheConnectionsEndDelimitsIsNotTrusted) {
+  Backend backend([](Tcp::socket& s, const HttpRequest&) {
+    SendRaw(s, "HTTP/1.1 200 OK\r\n\r\nperhaps not all");
+    return false;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+}
+
+TEST(Proxy, AnAnswerThatEndsWithItsConnectionIsTakenIfTheBackendSaidSo) {
+  for (const std::size_t size : {std::size_t{10}, std::size_t{300 * 1000}}) {
+    const std::string answer(size, 'z');
+    Backend backend([&](Tcp::socket& s, const HttpRequest&) {
+      SendRaw(s, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + answer);
+      return false;
+    });
+    Site site(Members(MemberJson("s-1", backend.address())));
+    site.Start();
+    Client client(site.proxy->address);
+    EXPECT_EQ(client.Ask(Book()).body(), answer);
+    EXPECT_EQ(client.Ask(Book()).body(), answer);
+  }
+}
+
+TEST(Proxy, AnAnswerThatClaimsToBeHugeIsAFailure) {
+  Backend backend([](Tcp::socket& s, const HttpRequest&) {
+    SendRaw(s, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on");
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+}
+
+TEST(Proxy, GarbageFromABackendIsAFailureAndTheProxyLivesOn) {
+  Watched<int> asked;
+  Backend backend([&](Tcp::socket& s, const HttpRequest&) {
+    asked.Do([](int& n) { ++n; });
+    SendRaw(s, asked.Get() == 1 ? "\x01\x02 no HTTP at all\r\n\r\n" : OkAnswer("well"));
+    return asked.Get() > 1;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+  EXPECT_EQ(client.Ask(Book()).body(), "well");
+}
+
+TEST(Proxy, InterimAnswersAreSkippedAndTheFinalOneServed) {
+  Backend backend([](Tcp::socket& s, const HttpRequest&) {
+    SendRaw(
+        s, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OkAnswer("final"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).body(), "final");
+}
+
+TEST(Proxy, InterimAnswersWithoutEndAreAFailure) {
+  Backend backend([](Tcp::socket& s, const HttpRequest&) {
+    for (int i = 0; i < 50; ++i) SendRaw(s, "HTTP/1.1 103 Early Hints\r\n\r\n");
+    SendRaw(s, OkAnswer("too late"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+}
+
+TEST(Proxy, AnswersThatCanBeReadInTwoWaysAreFailuresAndTheirConnectionsCloseAtOnce) {
+  for (const char* head :
+       {"Content-Length: 4\r\nContent-Length: 4\r\n", "Content-Length: 4, 4\r\n", "Content-Length: +4\r\n",
+        "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n", "Transfer-Encoding: gzip, chunked\r\n",
+        "Connection: keep-alive\r\n", "Content-Length: 3000000000\r\n"}) {
+    // The backend keeps its side open, so that only the proxy can end the connection.
+    Backend backend([head](Tcp::socket& s, const HttpRequest&) {
+      SendRaw(s, std::string("HTTP/1.1 200 OK\r\n") + head + "\r\nbody");
+      return true;
+    });
+    Site site(Members(MemberJson("s-1", backend.address())));
+    site.Start();
+    Client client(site.proxy->address);
+    EXPECT_EQ(client.Ask(Book()).result_int(), 502u) << head;
+    EXPECT_TRUE(backend.WaitForClosed(1)) << head;
+    EXPECT_EQ(backend.seen.Get().requests.size(), 1u) << head;
+  }
+}
+
+TEST(Proxy, AnAnswerThatBeginsAndStallsIsGivenUp) {
+  Backend backend([](Tcp::socket& s, const HttpRequest& r) {
+    SendRaw(s, r["Req-Kind"] == "book" ? "HTTP/1.1 200 OK\r\nContent-" : OkAnswer("well"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.patience.answer_whole = std::chrono::milliseconds(20);
+  site.Start();
+  Client client(site.proxy->address);
+  // Its deadline is a minute away: longer than the test waits.
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+  EXPECT_TRUE(backend.WaitForClosed(1));
+  EXPECT_EQ(client.Ask(Look()).body(), "well");
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- a/tests/proxy/closing_test.cpp
+++ b/tests/proxy/graceful_shutdown_test.cpp
@@ -3,6 +3,12 @@
 // Connections that the proxy ends while bytes are on their way, and its own end with requests in flight.
 #include <gtest/gtest.h>
 
+#include <chrono>
+#include <future>
+#include <memory>
+#include <string>
+#include <vector>
+
 #include "support/scripted.h"
 
 namespace copperpoint::testing {
@@ -130,53 +136,35 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
 }
 
-// What goes wrong while one action is carried out does not cost the answers that others are.
-class Throws : public proxy::Responder {
- public:
-  void Served(HttpResponse, std::shared_ptr<proxy::PieceSource>, std::optional<std::uint64_t>) override {
-    Fall();
-  }
-  void Refused(Duration) override { Fall(); }
-  void Failed() override { Fall(); }
-  void Rejected(http::status) override { Fall(); }
-
- private:
-  static void Fall() { throw std::runtime_error("no memory"); }
-};
-class Notes : public Throws {
- public:
-  explicit Notes(Watched<int>& refused) : refused_(refused) {}
-  void Refused(Duration) override {
-    refused_.Do([](int& n) { ++n; });
-  }
-
- private:
-  Watched<int>& refused_;
-};
-
-TEST(Actions, OneThatThrowsDoesNotCostTheOthersTheirAnswers) {
-  Backend backend;
-  Site site({});  // without a list: all are held, and refused in one turn
-  site.Start();
-  Watched<int> refused;
-  site.proxy->Ask([&](proxy::Proxy& p) {
-    const auto due = proxy::Steady::now() + milliseconds(100);
-    for (int i = 0; i < 6; ++i) {
-      proxy::ClientRequest request;
-      request.message.method(http::verb::get);
-      request.message.target("/look");
-      request.message.set("Req-Id", Numbered("t", i));
-      request.due = due;
-      if (i % 2 == 0) {
-        p.OnRequest(std::move(request), std::make_shared<Throws>());
-      } else {
-        p.OnRequest(std::move(request), std::make_shared<Notes>(refused));
-      }
-    }
-    return 0;
+TEST(Proxy, AtTheStopItServesWhatItHoldsAndWhatComesAndThenEnds) {
+  Watched<bool> release;
+  Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
+    if (r["Req-Kind"] == "book") release.WaitFor([](bool r) { return r; });
+    SendRaw(s, OkAnswer("served"));
+    return true;
   });
-  EXPECT_TRUE(refused.WaitFor([](int n) { return n == 3; }));
-  EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client holding(site.proxy->address), kept(site.proxy->address), idle(site.proxy->address);
+  EXPECT_EQ(kept.Ask(Look()).result_int(), 200u);
+  holding.Send(Book());
+  ASSERT_TRUE(backend.WaitForRequests(2));
+  auto stopped = site.proxy->Stop();
+  // The first that the stopping proxy says: it takes no new front traffic.
+  Client asks(site.proxy->address);
+  EXPECT_EQ(asks.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 503u);
+  Client late(site.proxy->address);
+  HttpResponse answer = late.Ask(Look());
+  EXPECT_EQ(answer.result_int(), 200u);
+  EXPECT_FALSE(answer.keep_alive());
+  answer = kept.Ask(Look());
+  EXPECT_EQ(answer.result_int(), 200u);
+  EXPECT_TRUE(kept.Ended());
+  EXPECT_TRUE(idle.Ended());
+  EXPECT_NE(stopped.wait_for(std::chrono::seconds(0)), std::future_status::ready);
+  release.Do([](bool& r) { r = true; });
+  EXPECT_EQ(holding.Read().result_int(), 200u);
+  EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 }
 
 }  // namespace
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -2,84 +2,19 @@
 //
 // The program as it is started: its configuration, its signals, its limits.
 #include <gtest/gtest.h>
-#include <signal.h>
-#include <stdlib.h>
-#include <sys/resource.h>
-#include <sys/wait.h>
-#include <unistd.h>
 
-#include <filesystem>
-#include <fstream>
+#include <algorithm>
 #include <map>
+#include <memory>
+#include <string>
+#include <vector>
 
+#include "support/child_process.h"
 #include "support/loopback.h"
 
 namespace copperpoint::testing {
 namespace {
 
-// The program as a child, with what it writes to standard error.
-class Child {
- public:
-  explicit Child(const std::map<std::string, std::string>& env, rlim_t descriptors = 0,
-                 const std::string& operators_file = "") {
-    int pipe_ends[2];
-    if (pipe(pipe_ends) != 0) throw std::runtime_error("no pipe");
-    pid_ = fork();
-    if (pid_ == 0) {
-      dup2(pipe_ends[1], STDERR_FILENO);
-      close(pipe_ends[0]);
-      close(pipe_ends[1]);
-      for (const auto& [name, value] : env) setenv(name.c_str(), value.c_str(), 1);
-      const rlimit limit{descriptors, descriptors};
-      if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
-      execl(PROXY_PATH, PROXY_PATH, "serve", operators_file.empty() ? nullptr : "--config",
-            operators_file.c_str(), nullptr);
-      _exit(127);
-    }
-    close(pipe_ends[1]);
-    stderr_ = pipe_ends[0];
-  }
-  ~Child() {
-    if (pid_ > 0) kill(pid_, SIGKILL), Wait();
-    close(stderr_);
-  }
-  void Signal(int signal) { kill(pid_, signal); }
-  // The exit status, or 1000 and the signal that ended it.
-  int Wait() {
-    int status = 0;
-    waitpid(std::exchange(pid_, -1), &status, 0);
-    return WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
-  }
-  std::string StderrLine() {
-    std::string line;
-    for (char c; (line.empty() || line.back() != '\n') && read(stderr_, &c, 1) == 1;) line += c;
-    return line;
-  }
-  std::string Stderr() {
-    std::string text;
-    char piece[4096];
-    for (ssize_t n; (n = read(stderr_, piece, sizeof piece)) > 0;)
-      text.append(piece, static_cast<std::size_t>(n));
-    return text;
-  }
-
- private:
-  pid_t pid_ = -1;
-  int stderr_ = -1;
-};
-
-class ConfigFile {
- public:
-  explicit ConfigFile(const std::string& text) {
-    char name[] = "/tmp/copperpoint-test-XXXXXX";
-    close(mkstemp(name));
-    path = name;
-    std::ofstream(path) << text;
-  }
-  ~ConfigFile() { std::filesystem::remove(path); }
-  std::string path;
-};
-
 void ExpectComplaint(const std::map<std::string, std::string>& env, const std::string& part) {
   Child child(env);
   const std::string text = child.Stderr();
@@ -116,29 +51,6 @@
   with(changed("/limits/memory_mb", 1), "memory_mb");
 }
 
-// A port that was free a moment ago; the child says nothing of the one it took.
-Tcp::endpoint FreePort() {
-  asio::io_context io;
-  return Tcp::acceptor(io, kAnyPort).local_endpoint();
-}
-
-unsigned ReadyStatus(const Tcp::endpoint& address) {
-  try {
-    Client client(address);
-    return client.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
-  } catch (const std::exception&) {
-    return 0;
-  }
-}
-bool WaitUntilReady(const Tcp::endpoint& address) {
-  const auto until = std::chrono::steady_clock::now() + kGiveUp;
-  while (ReadyStatus(address) != 200) {
-    if (std::chrono::steady_clock::now() > until) return false;
-    std::this_thread::yield();
-  }
-  return true;
-}
-
 TEST(Process, EndsWellAtSigtermAndStartsAgainOnTheSameAddress) {
   Backend backend;
   FakeDiscovery discovery;
@@ -160,11 +72,6 @@
   }
 }
 
-void Replace(const ConfigFile& file, const std::string& text) {
-  std::ofstream(file.path + ".new") << text;
-  std::filesystem::rename(file.path + ".new", file.path);
-}
-
 // While it ends it is asked to end again, and to reload: what it holds is answered all the same.
 TEST(Process, FurtherSignalsWhileItEndsCostNoRequestItsAnswer) {
   Watched<bool> release;
@@ -253,96 +160,6 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-TEST(Process, AtSighupDiscoveryMovesAndItsWholeListIsTaken) {
-  Backend before("before"), after("after"), later("later");
-  FakeDiscovery here, there;
-  const ConfigFile file(ConfigJson(here.address(), Members(MemberJson("s-1", before.address()))).dump());
-  const auto address = FreePort();
-  // The environment names the first discovery for as long as the process lives: the file goes before it.
-  Child child({{"ROUTER_CONFIG", file.path},
-               {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())},
-               {"ROUTER_DISCOVERY", "127.0.0.1:" + std::to_string(here.address().port())}});
-  ASSERT_TRUE(WaitUntilReady(address));
-  ASSERT_TRUE(here.WaitForWatches(1));
-  Client client(address);
-  EXPECT_EQ(client.Ask(Look()).body(), "before");
-
-  Replace(file, ConfigJson(there.address(), {}).dump());
-  child.Signal(SIGHUP);
-  // Until the new one has spoken, the old one is listened to.
-  ASSERT_TRUE(there.seen.WaitFor([](const FakeDiscovery::Seen& s) { return s.asked == 1; }));
-  here.Push(ListJson(42, false, Members(MemberJson("s-1", before.address(), "in_service", 1e12))));
-  ASSERT_TRUE(before.WaitForClosed(1));
-  // The new one's revisions are lower than the old one's, and it does not name what is gone.
-  there.SetWhole(ListJson(7, true, Members(MemberJson("s-2", after.address()))));
-  ASSERT_TRUE(there.WaitForWatches(1));
-  EXPECT_EQ(there.seen.Get().watches[0], "/v1/endpoints?stream=1&index=7");
-  EXPECT_EQ(client.Ask(Look()).body(), "after");
-  there.Push(ListJson(
-      8, false,
-      Members(MemberJson("s-2", after.address(), "terminating"), MemberJson("s-3", later.address()))));
-  ASSERT_TRUE(after.WaitForClosed(1));
-  EXPECT_EQ(client.Ask(Look()).body(), "later");
-  child.Signal(SIGTERM);
-  EXPECT_EQ(child.Wait(), 0);
-}
-
-TEST(Process, TheOperatorsFileRulesPatienceAndABadOneAtSighupLeavesTheOldInForce) {
-  Backend backend("here");
-  FakeDiscovery discovery;
-  const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address())));
-  const ConfigFile file(config.dump());
-  const ConfigFile operating("[patience]\nkept_ms = 3600000\n[log]\nformat = \"json\"\n");
-  const auto address = FreePort();
-  Child child(
-      {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}}, 0,
-      operating.path);
-  ASSERT_TRUE(WaitUntilReady(address));
-  EXPECT_NE(child.StderrLine().find("\"event\":\"state_changed\""), std::string::npos);
-  Replace(operating, "[patience]\nkept_ms = 0\nkept = 1\n");
-  child.Signal(SIGHUP);
-  for (const char* fault :
-       {":2:11: patience.kept_ms: 0 is out of range", ":3:1: patience.kept: unknown key"}) {
-    const std::string line = child.StderrLine();
-    EXPECT_NE(line.find("configuration_refused"), std::string::npos) << line;
-    EXPECT_NE(line.find(fault), std::string::npos) << line;
-  }
-  EXPECT_EQ(Client(address).Ask(Look()).body(), "here");
-  // A client that stands idle is kept by the first file, and soon closed by the third.
-  Replace(operating, "[patience]\nkept_ms = 1\n[log]\nlevel = \"info\"\n");
-  child.Signal(SIGHUP);
-  EXPECT_NE(child.StderrLine().find(" info configuration_reloaded"), std::string::npos);
-  Client idle(address);
-  EXPECT_EQ(idle.Ask(Look()).body(), "here");
-  EXPECT_TRUE(idle.Ended());
-}
-
-TEST(Process, ABadFileAtSighupIsOneLineAndTheOldConfigurationStays) {
-  Backend before("before"), after("after");
-  FakeDiscovery discovery;
-  const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", before.address())));
-  const ConfigFile file(config.dump());
-  const auto address = FreePort();
-  Child child(
-      {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}});
-  ASSERT_TRUE(WaitUntilReady(address));
-  ASSERT_TRUE(discovery.WaitForWatches(1));
-  Client client(address);
-  EXPECT_EQ(client.Ask(Look()).body(), "before");
-  Replace(file, "{\"listen\":");
-  child.Signal(SIGHUP);
-  EXPECT_NE(child.StderrLine().find("state_changed from=starting to=ready"), std::string::npos);
-  EXPECT_NE(child.StderrLine().find("configuration_refused"), std::string::npos);
-  discovery.Push(ListJson(42, true, Members(MemberJson("s-2", after.address()))));
-  ASSERT_TRUE(before.WaitForClosed(1));
-  EXPECT_EQ(client.Ask(Look()).body(), "after");
-  child.Signal(SIGTERM);
-  const std::string rest = child.Stderr();
-  EXPECT_NE(rest.find("state_changed from=ready to=stopping"), std::string::npos) << rest;
-  EXPECT_EQ(std::count(rest.begin(), rest.end(), '\n'), 1) << rest;
-  EXPECT_EQ(child.Wait(), 0);
-}
-
 TEST(Process, OutlivesRunningOutOfDescriptors) {
   Backend backend;
   FakeDiscovery discovery;
@@ -364,105 +181,5 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// ---- one process after another ------------------------------------------------------------------------
-std::string Text(const Tcp::endpoint& address) { return "127.0.0.1:" + std::to_string(address.port()); }
-
-std::map<std::string, std::string> Environment(const ConfigFile& file, const Tcp::endpoint& listen,
-                                               const Tcp::endpoint& calls, const Folder& folder) {
-  return {{"ROUTER_CONFIG", file.path},
-          {"ROUTER_LISTEN", Text(listen)},
-          {"ROUTER_OPERATOR", Text(calls)},
-          {"TMPDIR", folder.path}};
-}
-
-unsigned Operate(const Tcp::endpoint& address, const std::string& target) {
-  return Client(address).Ask("POST " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
-}
-
-TEST(Upgrade, ANextProcessTakesOverWithoutLosingAConnectionOrABan) {
-  Backend one("one"), two("two");
-  FakeDiscovery discovery;
-  const auto list = Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address()));
-  const ConfigFile file(ConfigJson(discovery.address(), list).dump());
-  const Folder folder;
-  const auto address = FreePort(), first_calls = FreePort(), next_calls = FreePort();
-  auto env = Environment(file, address, first_calls, folder);
-  Child first(env);
-  ASSERT_TRUE(WaitUntilReady(first_calls));
-  ASSERT_TRUE(discovery.WaitForWatches(1));
-  EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-1"), 200u);
-  Client kept(address);
-  EXPECT_EQ(kept.Ask(Look()).body(), "two");
-
-  env["ROUTER_OPERATOR"] = Text(next_calls);
-  Child next(env);
-  ASSERT_TRUE(discovery.WaitForWatches(2));
-  discovery.Push(ListJson(42, true, list));
-  ASSERT_TRUE(WaitUntilReady(next_calls));
-  EXPECT_EQ(ReadyStatus(first_calls), 200u);
-  // A call at either process holds for both.
-  EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-2"), 200u);
-  EXPECT_EQ(Operate(next_calls, "/backends/enable?member=s-1"), 200u);
-  Client fresh(address);
-  EXPECT_EQ(fresh.Ask(Look()).body(), "one");
-  first.Signal(SIGTERM);
-  const auto last = kept.Ask(WithId(Look(), "0c"));
-  EXPECT_EQ(last.result_int(), 200u);
-  EXPECT_EQ(last[http::field::connection], "close");
-  EXPECT_EQ(first.Wait(), 0);
-  EXPECT_EQ(fresh.Ask(Look()).body(), "one");
-  Client later(address);
-  EXPECT_EQ(later.Ask(Look()).body(), "one");
-  next.Signal(SIGTERM);
-  EXPECT_EQ(next.Wait(), 0);
-  const std::string said = next.Stderr();
-  EXPECT_NE(said.find("upgrade_listener_taken"), std::string::npos) << said;
-  EXPECT_NE(said.find("upgrade_before_gone"), std::string::npos) << said;
-}
-
-TEST(Upgrade, WhenTheNextProcessDiesTheOldOneServesOn) {
-  Backend backend;
-  FakeDiscovery discovery;
-  const auto list = Members(MemberJson("s-1", backend.address()));
-  const ConfigFile file(ConfigJson(discovery.address(), list).dump());
-  const Folder folder;
-  const auto address = FreePort(), first_calls = FreePort(), next_calls = FreePort();
-  auto env = Environment(file, address, first_calls, folder);
-  Child first(env);
-  ASSERT_TRUE(WaitUntilReady(first_calls));
-  env["ROUTER_OPERATOR"] = Text(next_calls);
-  for (std::size_t i = 1; i < 3; ++i) {
-    Child next(env);
-    ASSERT_TRUE(discovery.WaitForWatches(i + 1));
-    discovery.Push(ListJson(41 + static_cast<int>(i), true, list));
-    ASSERT_TRUE(WaitUntilReady(next_calls));
-    next.Signal(SIGKILL);
-    EXPECT_EQ(next.Wait(), 1000 + SIGKILL);
-    Client client(address);
-    EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
-  }
-  first.Signal(SIGTERM);
-  EXPECT_EQ(first.Wait(), 0);
-}
-
-TEST(Upgrade, ADeadOrForeignSocketDoesNotStopTheStart) {
-  Backend backend;
-  FakeDiscovery discovery;
-  const ConfigFile file(
-      ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump());
-  for (const bool torn : {false, true}) {
-    const Folder folder;
-    std::ofstream(folder.path + "/copperpoint-n1-disabled.json") << "{\"disabled\":[\"s-";
-    if (torn) std::ofstream(folder.path + "/copperpoint-n1-handover.sock") << "torn";
-    const auto address = FreePort(), calls = FreePort();
-    Child child(Environment(file, address, calls, folder));
-    ASSERT_TRUE(WaitUntilReady(calls));
-    Client client(address);
-    EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
-    child.Signal(SIGTERM);
-    EXPECT_EQ(child.Wait(), 0);
-  }
-}
-
 }  // namespace
 }  // namespace copperpoint::testing
--- /dev/null
+++ b/tests/proxy/readiness_test.cpp
@@ -0,0 +1,49 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Without an endpoint list a proxy is not ready, and rejects requests with a Retry-After.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+TEST(Proxy, WithoutAListItIsNotReadyAndRefusesWithoutHarm) {
+  Site site(Members());
+  site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 503u);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 503u);
+}
+
+TEST(Proxy, ARefusalSaysWhenToComeBack) {
+  Site site(Members());
+  site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
+  // Also where the simulator's clients are not told: on sockets the answer itself carries the advice.
+  site.config["settings"]["permissions"]["retryAfter"] = false;
+  site.config["settings"]["permissions"]["maxRetryAfterMs"] = 1500;
+  site.Start();
+  Client client(site.proxy->address);
+  const HttpResponse answer = client.Ask(Book());
+  EXPECT_EQ(answer.result_int(), 503u);
+  const double told = std::stod(std::string(answer[http::field::retry_after]));
+  EXPECT_GE(told, 1.35);
+  EXPECT_LE(told, 1.5);
+}
+
+TEST(Proxy, IsReadyOnceItHasAList) {
+  Backend backend;
+  Site site(Members());
+  site.Start();
+  site.discovery.Push(ListJson(42, true, Members(MemberJson("s-1", backend.address()))));
+  Client client(site.proxy->address);
+  unsigned status = 503;
+  while (status == 503) status = client.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
+  EXPECT_EQ(status, 200u);
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- /dev/null
+++ b/tests/proxy/retry_safety_test.cpp
@@ -0,0 +1,145 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// A request that may have run is sent to no other backend, unless it is idempotent.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+TEST(Proxy, UnsafeWorkGoesElsewhereOnlyWhenDeclined) {
+  Watched<int> declined;
+  const auto decline_first = [&](Tcp::socket& s, const HttpRequest&) {
+    int n = 0;
+    declined.Do([&](int& d) { n = ++d; });
+    SendRaw(s, n == 1 ? kDeclined : OkAnswer("second"));
+    return true;
+  };
+  Backend one(decline_first), two(decline_first);
+  Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).body(), "second");
+  EXPECT_EQ(declined.Get(), 2);
+}
+
+TEST(Proxy, A503WithoutTheBackendsWordMayHaveRun) {
+  const auto busy = [](Tcp::socket& s, const HttpRequest&) {
+    SendRaw(s, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    return true;
+  };
+  Backend one(busy), two(busy);
+  Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);  // failed, not refused
+  EXPECT_EQ(one.seen.Get().requests.size() + two.seen.Get().requests.size(), 1u);
+}
+
+TEST(Proxy, ARefusedConnectionNeverRanAndAnotherBackendServes) {
+  Tcp::endpoint nobody;
+  {
+    Backend gone;
+    nobody = gone.address();
+  }
+  Backend backend;
+  Site site(Members(MemberJson("s-1", nobody), MemberJson("s-2", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(client.Ask(Book()).result_int(), 200u) << i;
+}
+
+TEST(Proxy, AConnectionThatBreaksAfterTheRequestIsAReset) {
+  Watched<int> asked;
+  const auto drop = [&](Tcp::socket&, const HttpRequest&) {
+    asked.Do([](int& n) { ++n; });
+    return false;
+  };
+  Backend one(drop), two(drop);
+  Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
+  EXPECT_EQ(asked.Get(), 1);
+  // A safe one is sent again, up to maxAttempts.
+  client.Ask(Look());
+  EXPECT_GT(asked.Get(), 2);
+  EXPECT_LE(asked.Get(), 5);
+}
+
+TEST(Proxy, AtTheTimeOutTheConnectionIsClosedAndALateAnswerDropped) {
+  Watched<bool> release;
+  Watched<int> asked;
+  Backend backend([&](Tcp::socket& s, const HttpRequest&) {
+    int n = 0;
+    asked.Do([&](int& a) { n = ++a; });
+    if (n == 1) release.WaitFor([](bool r) { return r; });
+    SendRaw(s, OkAnswer(n == 1 ? "late" : "in time"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  EXPECT_EQ(client.Ask(Post("book", "Req-Deadline-Ms: 100\r\n")).result_int(), 502u);
+  EXPECT_EQ(site.proxy->Ask([](proxy::Proxy& p) { return p.backend_connections(); }), 0u);
+  release.Do([](bool& r) { r = true; });
+  EXPECT_EQ(client.Ask(Book()).body(), "in time");
+}
+
+TEST(Proxy, WhatABackendFindsFaultyIsNotTriedElsewhereNorHeldAgainstIt) {
+  Watched<int> asked;
+  const auto judge = [&](Tcp::socket& s, const HttpRequest& r) {
+    if (r["Req-Id"] == "odd") {
+      asked.Do([](int& n) { ++n; });
+      SendRaw(s, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+    } else {
+      SendRaw(s, OkAnswer("well"));
+    }
+    return true;
+  };
+  Backend one(judge), two(judge);
+  Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  site.Start();
+  for (int i = 1; i <= 5; ++i) {
+    Client bad(site.proxy->address);
+    EXPECT_EQ(bad.Ask(WithId(Look(), "odd")).result_int(), 400u);
+    EXPECT_TRUE(bad.Ended());
+    EXPECT_EQ(asked.Get(), i);
+  }
+}
+
+TEST(Proxy, AttemptsThatFellSilentDoNotTakeThePlacesOfOthers) {
+  Watched<bool> over;
+  Watched<int> silent;
+  Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
+    if (r["Req-Id"].ends_with("silent")) {
+      silent.Do([](int& n) { ++n; });
+      over.WaitFor([](bool o) { return o; });
+      return false;
+    }
+    SendRaw(s, OkAnswer("served"));
+    return true;
+  });
+  Site site(Members(MemberJson("s-1", backend.address())));
+  site.Start();
+  Client client(site.proxy->address);
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(client.Ask(Book()).result_int(), 200u);
+  // All of them go out, and others still do: far more than the proxy's limit for one backend.
+  constexpr int kSilent = 40;
+  std::vector<std::unique_ptr<Client>> waiting;
+  for (int i = 0; i < kSilent; ++i) {
+    waiting.push_back(std::make_unique<Client>(site.proxy->address));
+    waiting.back()->Send(WithId(Book(), std::to_string(i) + "silent"));
+  }
+  EXPECT_TRUE(silent.WaitFor([](int n) { return n == kSilent; }));
+  EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
+  over.Do([](bool& o) { o = true; });
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- /dev/null
+++ b/tests/proxy/upgrade_test.cpp
@@ -0,0 +1,116 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// One process takes over from another of the same name.
+#include <gtest/gtest.h>
+
+#include <fstream>
+#include <map>
+#include <string>
+
+#include "support/child_process.h"
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+std::string Text(const Tcp::endpoint& address) { return "127.0.0.1:" + std::to_string(address.port()); }
+
+std::map<std::string, std::string> Environment(const ConfigFile& file, const Tcp::endpoint& listen,
+                                               const Tcp::endpoint& calls, const Folder& folder) {
+  return {{"ROUTER_CONFIG", file.path},
+          {"ROUTER_LISTEN", Text(listen)},
+          {"ROUTER_OPERATOR", Text(calls)},
+          {"TMPDIR", folder.path}};
+}
+
+unsigned Operate(const Tcp::endpoint& address, const std::string& target) {
+  return Client(address).Ask("POST " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
+}
+
+TEST(Upgrade, ANextProcessTakesOverWithoutLosingAConnectionOrABan) {
+  Backend one("one"), two("two");
+  FakeDiscovery discovery;
+  const auto list = Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address()));
+  const ConfigFile file(ConfigJson(discovery.address(), list).dump());
+  const Folder folder;
+  const auto address = FreePort(), first_calls = FreePort(), next_calls = FreePort();
+  auto env = Environment(file, address, first_calls, folder);
+  Child first(env);
+  ASSERT_TRUE(WaitUntilReady(first_calls));
+  ASSERT_TRUE(discovery.WaitForWatches(1));
+  EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-1"), 200u);
+  Client kept(address);
+  EXPECT_EQ(kept.Ask(Look()).body(), "two");
+
+  env["ROUTER_OPERATOR"] = Text(next_calls);
+  Child next(env);
+  ASSERT_TRUE(discovery.WaitForWatches(2));
+  discovery.Push(ListJson(42, true, list));
+  ASSERT_TRUE(WaitUntilReady(next_calls));
+  EXPECT_EQ(ReadyStatus(first_calls), 200u);
+  // A call at either process holds for both.
+  EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-2"), 200u);
+  EXPECT_EQ(Operate(next_calls, "/backends/enable?member=s-1"), 200u);
+  Client fresh(address);
+  EXPECT_EQ(fresh.Ask(Look()).body(), "one");
+  first.Signal(SIGTERM);
+  const auto last = kept.Ask(WithId(Look(), "0c"));
+  EXPECT_EQ(last.result_int(), 200u);
+  EXPECT_EQ(last[http::field::connection], "close");
+  EXPECT_EQ(first.Wait(), 0);
+  EXPECT_EQ(fresh.Ask(Look()).body(), "one");
+  Client later(address);
+  EXPECT_EQ(later.Ask(Look()).body(), "one");
+  next.Signal(SIGTERM);
+  EXPECT_EQ(next.Wait(), 0);
+  const std::string said = next.Stderr();
+  EXPECT_NE(said.find("upgrade_listener_taken"), std::string::npos) << said;
+  EXPECT_NE(said.find("upgrade_before_gone"), std::string::npos) << said;
+}
+
+TEST(Upgrade, WhenTheNextProcessDiesTheOldOneServesOn) {
+  Backend backend;
+  FakeDiscovery discovery;
+  const auto list = Members(MemberJson("s-1", backend.address()));
+  const ConfigFile file(ConfigJson(discovery.address(), list).dump());
+  const Folder folder;
+  const auto address = FreePort(), first_calls = FreePort(), next_calls = FreePort();
+  auto env = Environment(file, address, first_calls, folder);
+  Child first(env);
+  ASSERT_TRUE(WaitUntilReady(first_calls));
+  env["ROUTER_OPERATOR"] = Text(next_calls);
+  for (std::size_t i = 1; i < 3; ++i) {
+    Child next(env);
+    ASSERT_TRUE(discovery.WaitForWatches(i + 1));
+    discovery.Push(ListJson(41 + static_cast<int>(i), true, list));
+    ASSERT_TRUE(WaitUntilReady(next_calls));
+    next.Signal(SIGKILL);
+    EXPECT_EQ(next.Wait(), 1000 + SIGKILL);
+    Client client(address);
+    EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
+  }
+  first.Signal(SIGTERM);
+  EXPECT_EQ(first.Wait(), 0);
+}
+
+TEST(Upgrade, ADeadOrForeignSocketDoesNotStopTheStart) {
+  Backend backend;
+  FakeDiscovery discovery;
+  const ConfigFile file(
+      ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump());
+  for (const bool torn : {false, true}) {
+    const Folder folder;
+    std::ofstream(folder.path + "/copperpoint-n1-disabled.json") << "{\"disabled\":[\"s-";
+    if (torn) std::ofstream(folder.path + "/copperpoint-n1-handover.sock") << "torn";
+    const auto address = FreePort(), calls = FreePort();
+    Child child(Environment(file, address, calls, folder));
+    ASSERT_TRUE(WaitUntilReady(calls));
+    Client client(address);
+    EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
+    child.Signal(SIGTERM);
+    EXPECT_EQ(child.Wait(), 0);
+  }
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
