--- a/tests/decision/client_retry_scenarios_test.cpp
+++ b/tests/decision/client_retry_scenarios_test.cpp
@@ -14,9 +14,9 @@
 
 using copperpoint::testing::At;
 
-RequestReceived Asking(int cls, int tenant, std::uint64_t key, double work) {
+RequestReceived MakeRequest(int request_class, int tenant, std::uint64_t key, double work) {
   RequestReceived submit;
-  submit.request_class = cls;
+  submit.request_class = request_class;
   submit.tenant = tenant;
   submit.key = key;
   submit.has_work_estimate = work > 0;
@@ -24,36 +24,36 @@
   return submit;
 }
 
-TEST(Fingerprint, IsOfWhatATryHasInCommonWithTheNext) {
-  const RequestReceived one = Asking(1, 2, 3, 4.5);
+TEST(Fingerprint, IsTheSameForRetriesOfOneRequest) {
+  const RequestReceived one = MakeRequest(1, 2, 3, 4.5);
   RequestReceived again = one;
   again.request = 99;
   again.deadline = At(7);
   EXPECT_EQ(FingerprintOf(one), FingerprintOf(again));
-  for (const RequestReceived& other :
-       {Asking(0, 2, 3, 4.5), Asking(1, 0, 3, 4.5), Asking(1, 2, 0, 4.5), Asking(1, 2, 3, 4.25)})
+  for (const RequestReceived& other : {MakeRequest(0, 2, 3, 4.5), MakeRequest(1, 0, 3, 4.5),
+                                       MakeRequest(1, 2, 0, 4.5), MakeRequest(1, 2, 3, 4.25)})
     EXPECT_NE(FingerprintOf(one), FingerprintOf(other));
-  EXPECT_EQ(FingerprintOf(Asking(1, 2, 0, 0)), 0u) << "class and account alone name nobody";
-  EXPECT_NE(FingerprintOf(Asking(1, 2, 3, 0)), 0u);
+  EXPECT_EQ(FingerprintOf(MakeRequest(1, 2, 0, 0)), 0u) << "class and tenant alone identify nobody";
+  EXPECT_NE(FingerprintOf(MakeRequest(1, 2, 3, 0)), 0u);
 }
 
-TEST(Repeats, ATryAfterOneThatEndedUnservedBelongsToItsWish) {
+TEST(ClientRetries, RetryOfUnservedRequestBelongsToItsLogicalRequest) {
   Repeats repeats;
-  Wish wish = repeats.Arrived(7, At(100));
-  EXPECT_EQ(wish.tries, 1);
-  repeats.Unserved(7, wish, At(1000));
-  wish = repeats.Arrived(7, At(300));
-  EXPECT_EQ(wish.tries, 2);
-  EXPECT_EQ(wish.since, At(100));
-  wish.within_share = false;
-  repeats.Unserved(7, wish, At(1000));
-  wish = repeats.Arrived(7, At(500));
-  EXPECT_FALSE(wish.within_share) << "a repeat takes no second place in its account's share";
-  EXPECT_EQ(wish.tries, 3);
-  EXPECT_EQ(wish.since, At(100));
+  Wish logical_request = repeats.Arrived(7, At(100));
+  EXPECT_EQ(logical_request.tries, 1);
+  repeats.Unserved(7, logical_request, At(1000));
+  logical_request = repeats.Arrived(7, At(300));
+  EXPECT_EQ(logical_request.tries, 2);
+  EXPECT_EQ(logical_request.since, At(100));
+  logical_request.within_share = false;
+  repeats.Unserved(7, logical_request, At(1000));
+  logical_request = repeats.Arrived(7, At(500));
+  EXPECT_FALSE(logical_request.within_share) << "a retry does not count twice against the tenant's quota";
+  EXPECT_EQ(logical_request.tries, 3);
+  EXPECT_EQ(logical_request.since, At(100));
 }
 
-TEST(Repeats, NobodyReturnsAfterTheDeadlineOrTwiceForOneTry) {
+TEST(ClientRetries, RecognisesNoRetryAfterTheDeadlineOrTwice) {
   Repeats repeats;
   repeats.Unserved(7, repeats.Arrived(7, At(0)), At(1000));
   EXPECT_EQ(repeats.Arrived(7, At(1000)).tries, 1);
@@ -63,8 +63,8 @@
   EXPECT_EQ(repeats.Arrived(0, At(0)).tries, 1);
 }
 
-// A constant hint, or a popular key without one: whoever comes next may be anybody.
-TEST(Repeats, WhatSeveralShareNamesNoneOfThem) {
+// The same estimate or key for many clients: the next request may be of any of them.
+TEST(ClientRetries, SharedFingerprintIdentifiesNoRequest) {
   Repeats repeats;
   const Wish one = repeats.Arrived(7, At(0));
   const Wish other = repeats.Arrived(7, At(1));
@@ -78,11 +78,11 @@
   EXPECT_EQ(repeats.Arrived(8, At(200)).tries, 1) << "one like it was served a moment ago";
 }
 
-TEST(Repeats, MemoryIsBoundedAndGivenBack) {
+TEST(ClientRetries, MemoryIsBoundedAndReleased) {
   Repeats repeats;
   for (std::uint64_t f = 1; f <= Repeats::kMostKept + 100; ++f) {
-    const Wish wish = repeats.Arrived(f, At(0));
-    repeats.Unserved(f, wish, At(1000));
+    const Wish logical_request = repeats.Arrived(f, At(0));
+    repeats.Unserved(f, logical_request, At(1000));
   }
   EXPECT_EQ(repeats.kept(), Repeats::kMostKept);
   EXPECT_EQ(repeats.Arrived(5, At(10)).tries, 2);
--- a/tests/decision/concurrency_limit_scenarios_test.cpp
+++ b/tests/decision/concurrency_limit_scenarios_test.cpp
@@ -13,121 +13,121 @@
 namespace copperpoint::testing {
 namespace {
 
-// Hundreds of proxies with a fixed floor in flight together held more than servers bear: they choked.
-TEST(Admission, TheFloorFollowsHowCrowdedServersAre) {
+// Together, many proxies with a fixed minimum would overload the backends.
+TEST(ConcurrencyLimit, MinimumFollowsOverloadOfBackends) {
   std::size_t in_flight[2];
-  for (const bool crowded : {false, true}) {
-    Settings settings = Usual();
+  for (const bool overloaded : {false, true}) {
+    Settings settings = DefaultSettings();
     settings.proxy_count = 400;
-    Rig rig(settings);
-    rig.Servers(80);
+    BalancerHarness harness(settings);
+    harness.SetBackends(80);
     for (int i = 0; i < 60; ++i) {
-      const RequestId id = next_id++;
-      const auto s = rig.Ask(id, 2, 10, 5000);
-      if (s) rig.End(id, 0, *s, AttemptOutcome::kSuccess, crowded && i >= 45 ? 120 : 10);
-      rig.Tick(200);
+      const RequestId id = next_request_id++;
+      const auto s = harness.SubmitRequest(id, 2, 10, 5000);
+      if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, overloaded && i >= 45 ? 120 : 10);
+      harness.AdvanceTime(200);
     }
-    const std::size_t before = rig.sent.size();
-    for (int i = 0; i < 20; ++i) rig.Ask(next_id++, 2, 10, 5000);
-    in_flight[crowded] = rig.sent.size() - before;
+    const std::size_t before = harness.attempts.size();
+    for (int i = 0; i < 20; ++i) harness.SubmitRequest(next_request_id++, 2, 10, 5000);
+    in_flight[overloaded] = harness.attempts.size() - before;
   }
   EXPECT_EQ(in_flight[false], 4u);
   EXPECT_LE(in_flight[true], 2u);
 }
 
-// 65 servers that had just started tripled what was always in order, and the fleet was overdriven.
-TEST(Admission, ColdServersRaiseTheFloorByTheirShareOnly) {
-  Settings s = Usual();
+// Backends that warm up have little capacity, and count for as little.
+TEST(ConcurrencyLimit, WarmingBackendsRaiseMinimumByTheirShareOnly) {
+  Settings s = DefaultSettings();
   s.proxy_count = 4;
-  Rig rig(s);
-  std::vector<Endpoint> list = {Entry(1), Entry(2)};
-  for (BackendId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, EndpointState::kReady, rig.now));
-  rig.List(list);
-  for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.size(), 3u) << "2 + 8 x 0.25 servers, 3 each, of 4 proxies";
+  BalancerHarness harness(s);
+  std::vector<Endpoint> list = {MakeEndpoint(1), MakeEndpoint(2)};
+  for (BackendId id = 3; id <= 10; ++id)
+    list.push_back(MakeEndpoint(id, 0, 0, EndpointState::kReady, harness.now));
+  harness.UpdateEndpoints(list);
+  for (int i = 0; i < 50; ++i) harness.SubmitRequest(next_request_id++, 0, 10, 900);
+  EXPECT_EQ(harness.attempts.size(), 3u) << "2 + 8 x 0.25 backends, 3 each, of 4 proxies";
 }
 
-// A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
-TEST(Admission, ANewProxyStartsFromLittle) {
-  Settings s = Usual();
+// It knows no rate yet, and a flood would leave queues that last far longer.
+TEST(ConcurrencyLimit, NewProxyStartsWithSmallLimit) {
+  Settings s = DefaultSettings();
   s.proxy_count = 4;
-  Rig rig(s);
-  rig.Servers(4);
-  for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.size(), 3u) << "3 a server, of 4 proxies";
+  BalancerHarness harness(s);
+  harness.SetBackends(4);
+  for (int i = 0; i < 50; ++i) harness.SubmitRequest(next_request_id++, 0, 10, 900);
+  EXPECT_EQ(harness.attempts.size(), 3u) << "3 a backend, of 4 proxies";
 }
 
-TEST(Admission, AHugeRequestIsNotShutOutByTheLimitOfTheProxy) {
-  Rig rig;
-  rig.Servers(3);
+TEST(ConcurrencyLimit, AdmitsLargeRequestOnIdleProxy) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
   for (int i = 0; i < 100; ++i) {
-    AnswerOne(rig, AttemptOutcome::kSuccess, {});
-    rig.Tick(50);
+    CompleteOneRequest(harness, AttemptOutcome::kSuccess, {});
+    harness.AdvanceTime(50);
   }
-  EXPECT_TRUE(rig.Ask(next_id++, 2, 150, 5000).has_value());
+  EXPECT_TRUE(harness.SubmitRequest(next_request_id++, 2, 150, 5000).has_value());
 }
 
-// Clients' retries kept an overloaded fleet overloaded: every answer late, none refused.
-TEST(Admission, AFleetSlowThroughoutGetsNoMoreThanItAnswersInTime) {
-  Settings s = Usual();
+// Otherwise client retries would sustain the overload.
+TEST(ConcurrencyLimit, SlowFleetGetsOnlyWhatItServesInTime) {
+  Settings s = DefaultSettings();
   s.proxy_count = 2;
-  Rig rig(s);
-  rig.Servers(3);
+  BalancerHarness harness(s);
+  harness.SetBackends(3);
   std::deque<std::tuple<double, RequestId, BackendId>> out;
   std::size_t most = 0;
   for (int i = 0; i < 2000; ++i) {
-    rig.Tick(5);
-    const RequestId id = next_id++;
-    if (const auto to = rig.Ask(id, 2, 10, 900)) out.emplace_back(rig.now, id, *to);
-    // The fleet answers one in 20 ms, the oldest first.
+    harness.AdvanceTime(5);
+    const RequestId id = next_request_id++;
+    if (const auto to = harness.SubmitRequest(id, 2, 10, 900)) out.emplace_back(harness.now, id, *to);
+    // The fleet completes one in 20 ms, the oldest first.
     if (i % 4 == 0 && !out.empty()) {
-      const auto [at, oldest, server] = out.front();
+      const auto [at, oldest, backend] = out.front();
       out.pop_front();
-      rig.End(oldest, 0, server, AttemptOutcome::kSuccess, rig.now - at);
-      for (const StartAttempt& d : rig.sent) {
+      harness.CompleteAttempt(oldest, 0, backend, AttemptOutcome::kSuccess, harness.now - at);
+      for (const StartAttempt& d : harness.attempts) {
         if (std::none_of(out.begin(), out.end(),
                          [&](const auto& o) { return std::get<1>(o) == d.request; }) &&
-            rig.SentTo(d.request))
-          out.emplace_back(rig.now, d.request, d.backend);
+            harness.AttemptBackend(d.request))
+          out.emplace_back(harness.now, d.request, d.backend);
       }
     }
     if (i > 1000) most = std::max(most, out.size());
   }
-  EXPECT_LE(most, 8u) << "0.05 a ms x a third of the aim of 200 ms, and its deviation, is 5";
+  EXPECT_LE(most, 8u) << "0.05 a ms x a third of the objective of 200 ms, and its deviation, is 5";
 }
 
-// What arrives by chance is no overload: with few in flight a limit at their mean refused a tenth for
-// nothing.
-TEST(Admission, TheLimitLeavesRoomForChance) {
-  Settings settings = Usual();
+// A limit at the mean number in flight would reject what arrives by chance.
+TEST(ConcurrencyLimit, AllowsForRandomArrivals) {
+  Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
-  Rig rig(settings);
-  rig.Servers(3);
+  BalancerHarness harness(settings);
+  harness.SetBackends(3);
   for (int i = 0; i < 4000; ++i) {
-    AnswerOne(rig, AttemptOutcome::kSuccess, {});
-    rig.Tick(2);
+    CompleteOneRequest(harness, AttemptOutcome::kSuccess, {});
+    harness.AdvanceTime(2);
   }
-  for (int i = 0; i < 40; ++i) rig.Ask(next_id++, 2, 10, 5000);
-  EXPECT_EQ(rig.sent.size() - 4000, 19u) << "0.5 a ms x 3 x 10 ms is 15, and its deviation 3.9";
+  for (int i = 0; i < 40; ++i) harness.SubmitRequest(next_request_id++, 2, 10, 5000);
+  EXPECT_EQ(harness.attempts.size() - 4000, 19u) << "0.5 a ms x 3 x 10 ms is 15, and its deviation 3.9";
 }
 
-// Long aims let queues grow until servers choked on them; a fleet in that state did a fifth of its work.
-TEST(Admission, LongAimsDoNotCrowdServers) {
-  Settings settings = Usual();
+// Long queues at backends would lower their throughput.
+TEST(ConcurrencyLimit, LongObjectivesDoNotRaiseIt) {
+  Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   settings.proxy_count = 2;
-  Rig rig(settings);
-  rig.Servers(3);
+  BalancerHarness harness(settings);
+  harness.SetBackends(3);
   for (int i = 0; i < 200; ++i) {
-    AnswerOne(rig, AttemptOutcome::kSuccess, {});
-    rig.Tick(20);
+    CompleteOneRequest(harness, AttemptOutcome::kSuccess, {});
+    harness.AdvanceTime(20);
   }
-  for (int i = 0; i < 40; ++i) rig.Ask(next_id++, 2, 10, 5000);
-  const auto out = rig.sent.size() - 200;
+  for (int i = 0; i < 40; ++i) harness.SubmitRequest(next_request_id++, 2, 10, 5000);
+  const auto out = harness.attempts.size() - 200;
   EXPECT_EQ(out, 5u)
-      << "0.05 a ms x 3 x 10 ms is less than 3 a server, of 2 proxies; a third of the aim would be 16";
+      << "0.05 a ms x 3 x 10 ms is less than 3 a backend, of 2 proxies; a third of the objective would be 16";
 }
 
 }  // namespace
--- a/tests/decision/decision_log_scenarios_test.cpp
+++ b/tests/decision/decision_log_scenarios_test.cpp
@@ -11,24 +11,24 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Logs, FewLinesEachNamingServerAndReason) {
-  Rig rig;
+TEST(DecisionLog, LimitsLinesAndNamesBackendAndReason) {
+  BalancerHarness harness;
   std::vector<std::string> lines;
   auto note = [&] {
-    for (const Action& a : rig.actions)
+    for (const Action& a : harness.actions)
       if (const auto* log = std::get_if<Log>(&a)) lines.push_back(log->text);
   };
   for (int i = 0; i < 5; ++i) {
-    rig.Ask(next_id++, 0, 10, -50);  // due in the past
+    harness.SubmitRequest(next_request_id++, 0, 10, -50);  // due in the past
     note();
   }
-  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
+  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not logged";
   EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
-  rig.Tick(20000);
-  rig.Tick(20000);
-  rig.List({Entry(1, 0, 0, EndpointState::kReady, rig.now)});
+  harness.AdvanceTime(20000);
+  harness.AdvanceTime(20000);
+  harness.UpdateEndpoints({MakeEndpoint(1, 0, 0, EndpointState::kReady, harness.now)});
   for (int i = 0; i < 30; ++i) {
-    rig.Ask(next_id++);
+    harness.SubmitRequest(next_request_id++);
     note();
   }
   ASSERT_EQ(lines.size(), 2u);
--- a/tests/decision/determinism_scenarios_test.cpp
+++ b/tests/decision/determinism_scenarios_test.cpp
@@ -10,18 +10,19 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Determinism, SameEventsSameActions) {
-  Rig a(Usual(), 7), b(Usual(), 7);
-  for (Rig* rig : {&a, &b}) {
-    rig->Servers(5);
+TEST(Determinism, SameEventsProduceSameActions) {
+  BalancerHarness a(DefaultSettings(), 7), b(DefaultSettings(), 7);
+  for (BalancerHarness* harness : {&a, &b}) {
+    harness->SetBackends(5);
     for (RequestId id = 1; id <= 200; ++id) {
-      const auto s = rig->Ask(id, static_cast<int>(id % 3));
-      rig->Tick(3);
-      if (s && id % 4) rig->End(id, 0, *s, id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
+      const auto s = harness->SubmitRequest(id, static_cast<int>(id % 3));
+      harness->AdvanceTime(3);
+      if (s && id % 4)
+        harness->CompleteAttempt(id, 0, *s, id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
     }
   }
-  ASSERT_EQ(a.sent.size(), b.sent.size());
-  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].backend, b.sent[i].backend);
+  ASSERT_EQ(a.attempts.size(), b.attempts.size());
+  for (std::size_t i = 0; i < a.attempts.size(); ++i) EXPECT_EQ(a.attempts[i].backend, b.attempts[i].backend);
 }
 
 }  // namespace
--- a/tests/decision/invalid_events_scenarios_test.cpp
+++ b/tests/decision/invalid_events_scenarios_test.cpp
@@ -10,57 +10,57 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(BadInput, IsIgnoredOrRefused) {
+TEST(InvalidEvents, AreIgnoredOrRejected) {
   const double inf = std::numeric_limits<double>::infinity(), nan = std::numeric_limits<double>::quiet_NaN();
-  Rig rig;
-  EXPECT_FALSE(rig.Ask(1, 0).has_value()) << "no list yet: held";
-  rig.List({});
-  rig.End(77, 0, 1, AttemptOutcome::kSuccess);
-  rig.Do(ClientDisconnected{77});
-  rig.Do(ResponseStarted{77, 0});
-  rig.Servers(1);
-  EXPECT_EQ(rig.SentTo(1), BackendId{1}) << "held ones go once a server is listed";
-  rig.End(1, 9, 1, AttemptOutcome::kSuccess);
-  rig.End(1, -1, 1, AttemptOutcome::kSuccess);
-  rig.Ask(1, 0);
-  EXPECT_FALSE(rig.SentTo(1).has_value()) << "a duplicate id";
-  rig.Ask(2, 99);
-  EXPECT_EQ(rig.Count<RejectRequest>(), 1) << "an unknown class";
-  rig.Ask(3, 0, 10, -50);
-  EXPECT_EQ(rig.Count<RejectRequest>(), 1) << "due in the past";
+  BalancerHarness harness;
+  EXPECT_FALSE(harness.SubmitRequest(1, 0).has_value()) << "no list yet: queued";
+  harness.UpdateEndpoints({});
+  harness.CompleteAttempt(77, 0, 1, AttemptOutcome::kSuccess);
+  harness.Handle(ClientDisconnected{77});
+  harness.Handle(ResponseStarted{77, 0});
+  harness.SetBackends(1);
+  EXPECT_EQ(harness.AttemptBackend(1), BackendId{1}) << "queued ones go once a backend is listed";
+  harness.CompleteAttempt(1, 9, 1, AttemptOutcome::kSuccess);
+  harness.CompleteAttempt(1, -1, 1, AttemptOutcome::kSuccess);
+  harness.SubmitRequest(1, 0);
+  EXPECT_FALSE(harness.AttemptBackend(1).has_value()) << "a duplicate id";
+  harness.SubmitRequest(2, 99);
+  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "an unknown class";
+  harness.SubmitRequest(3, 0, 10, -50);
+  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "due in the past";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
-    const RequestId id = 100 + next_id++;
+    const RequestId id = 100 + next_request_id++;
     RequestReceived s;
     s.request = id;
-    s.deadline = At(rig.now + 500);
+    s.deadline = At(harness.now + 500);
     s.has_work_estimate = true;
     s.estimated_work_ms = work;
     s.tenant = 4000;
-    rig.Do(s);
-    ASSERT_TRUE(rig.SentTo(id).has_value()) << work;
+    harness.Handle(s);
+    ASSERT_TRUE(harness.AttemptBackend(id).has_value()) << work;
     AttemptCompleted e;
     e.request = id;
     e.backend = 1;
     e.outcome = AttemptOutcome::kSuccess;
     e.request_completed = true;
     e.duration = Duration(nan);
-    rig.Do(e);
+    harness.Handle(e);
   }
-  EXPECT_TRUE(rig.Ask(next_id + 1000, 0).has_value());
+  EXPECT_TRUE(harness.SubmitRequest(next_request_id + 1000, 0).has_value());
 }
 
-TEST(Odd, AThousandServersAndNoHints) {
-  Settings settings = Usual();
+TEST(ExtremeSettings, ServesAThousandBackendsWithoutWorkEstimates) {
+  Settings settings = DefaultSettings();
   settings.proxy_count = 3000;
   settings.proxy_index = 2999;
-  Rig rig(settings);
-  rig.Servers(1000);
+  BalancerHarness harness(settings);
+  harness.SetBackends(1000);
   for (int i = 0; i < 100; ++i) {
-    const RequestId id = next_id++;
-    const auto s = rig.Ask(id, i % 3, 0, 900);
+    const RequestId id = next_request_id++;
+    const auto s = harness.SubmitRequest(id, i % 3, 0, 900);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, AttemptOutcome::kSuccess);
-    rig.Tick(200);
+    harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
+    harness.AdvanceTime(200);
   }
 }
 
--- a/tests/decision/large_fleet_scenarios_test.cpp
+++ b/tests/decision/large_fleet_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Fleets larger than a pick ranks whole: what holds for small ones holds there too.
+// Fleets of which backend selection ranks a sample only.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,101 +17,101 @@
 
 constexpr int kMany = 500;
 
-TEST(LargeFleet, OneServerLeftIsFoundHoweverManyThereWere) {
-  Rig rig;
-  rig.Servers(kMany);
+TEST(LargeFleet, FindsTheOnlyReadyBackend) {
+  BalancerHarness harness;
+  harness.SetBackends(kMany);
   std::vector<Endpoint> draining;
   for (BackendId id = 1; id <= kMany; ++id) {
-    if (id != 77) draining.push_back(Entry(id, 0, 0, EndpointState::kDraining));
+    if (id != 77) draining.push_back(MakeEndpoint(id, 0, 0, EndpointState::kDraining));
   }
-  rig.List(draining, EndpointUpdateKind::kIncremental);
+  harness.UpdateEndpoints(draining, EndpointUpdateKind::kIncremental);
   for (RequestId id = 1; id <= 20; ++id) {
-    EXPECT_EQ(rig.Ask(id), std::optional<BackendId>(77));
-    rig.End(id, 0, 77, AttemptOutcome::kSuccess);
+    EXPECT_EQ(harness.SubmitRequest(id), std::optional<BackendId>(77));
+    harness.CompleteAttempt(id, 0, 77, AttemptOutcome::kSuccess);
   }
 }
 
-// Servers without a budget for a start fill nearly every sample: the ones with room must be found all the
+// Backends without a slow-start budget fill nearly every sample; those with capacity must be found all the
 // same.
-TEST(LargeFleet, AWarmServerAmongColdOnesIsFound) {
-  Settings settings = Usual();
+TEST(LargeFleet, FindsWarmBackendAmongWarmingOnes) {
+  Settings settings = DefaultSettings();
   settings.slow_start_min_capacity = 0.001;
   settings.slow_start_window = Duration(1e7);
-  Rig rig(settings);
+  BalancerHarness harness(settings);
   std::vector<Endpoint> list;
   for (BackendId id = 1; id <= kMany; ++id)
-    list.push_back(Entry(id, 0, 0, EndpointState::kReady, id == 9 ? 0 : rig.now));
-  rig.List(list);
+    list.push_back(MakeEndpoint(id, 0, 0, EndpointState::kReady, id == 9 ? 0 : harness.now));
+  harness.UpdateEndpoints(list);
   int warm = 0;
   for (RequestId id = 1; id <= 50; ++id) {
-    rig.Tick(1);
-    const auto server = rig.Ask(id);
-    ASSERT_TRUE(server.has_value());
-    warm += *server == 9;
-    rig.End(id, 0, *server, AttemptOutcome::kSuccess);
+    harness.AdvanceTime(1);
+    const auto backend = harness.SubmitRequest(id);
+    ASSERT_TRUE(backend.has_value());
+    warm += *backend == 9;
+    harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
   }
   EXPECT_GE(warm, 40);
 }
 
-TEST(LargeFleet, ChangesOneByOneAreHeededAtOnce) {
-  Rig rig;
-  rig.Servers(kMany);
+TEST(LargeFleet, AppliesIncrementalChangesAtOnce) {
+  BalancerHarness harness;
+  harness.SetBackends(kMany);
   std::mt19937_64 random(5);
   std::map<BackendId, EndpointState> truth;
   for (BackendId id = 1; id <= kMany; ++id) truth[id] = EndpointState::kReady;
   std::set<BackendId> used;
   RequestId request = 0;
   for (int step = 0; step < 4000; ++step) {
-    const auto id = static_cast<BackendId>(1 + random() % (kMany + 50));  // some were never heard of
+    const auto id = static_cast<BackendId>(1 + random() % (kMany + 50));  // some were never listed
     const auto state = static_cast<EndpointState>(random() % 3);
     truth[id] = state;
-    rig.List({Entry(id, 0, 0, state)}, EndpointUpdateKind::kIncremental);
-    rig.now += 1;
-    const auto server = rig.Ask(++request);
-    ASSERT_TRUE(server.has_value());
-    ASSERT_EQ(truth[*server], EndpointState::kReady) << "step " << step;
-    used.insert(*server);
-    rig.End(request, 0, *server, AttemptOutcome::kSuccess);
+    harness.UpdateEndpoints({MakeEndpoint(id, 0, 0, state)}, EndpointUpdateKind::kIncremental);
+    harness.now += 1;
+    const auto backend = harness.SubmitRequest(++request);
+    ASSERT_TRUE(backend.has_value());
+    ASSERT_EQ(truth[*backend], EndpointState::kReady) << "step " << step;
+    used.insert(*backend);
+    harness.CompleteAttempt(request, 0, *backend, AttemptOutcome::kSuccess);
   }
-  EXPECT_GT(used.size(), 200u) << "no part of the fleet may be forgotten";
+  EXPECT_GT(used.size(), 200u) << "every part of the fleet is used";
 }
 
-TEST(LargeFleet, LoadIsSpreadWhenAllIsEqual) {
-  Rig rig;
-  rig.Servers(kMany);
+TEST(LargeFleet, SpreadsLoadOverEqualBackends) {
+  BalancerHarness harness;
+  harness.SetBackends(kMany);
   RequestId request = 0;
-  // A thousand requests a second for a while: a young proxy keeps to few servers.
+  // A thousand requests a second for a while: a new proxy uses few backends.
   for (int ms = 0; ms < 8000; ++ms) {
-    rig.Tick(1);
-    const auto server = rig.Ask(++request);
-    ASSERT_TRUE(server.has_value());
-    rig.End(request, 0, *server, AttemptOutcome::kSuccess);
+    harness.AdvanceTime(1);
+    const auto backend = harness.SubmitRequest(++request);
+    ASSERT_TRUE(backend.has_value());
+    harness.CompleteAttempt(request, 0, *backend, AttemptOutcome::kSuccess);
   }
   std::map<BackendId, int> out;
   int sent = 0, most = 0;
   for (int k = 0; k < kMany / 2; ++k) {
-    const auto server = rig.Ask(++request, 0, 10, 100000);
-    if (server) ++sent, most = std::max(most, ++out[*server]);
+    const auto backend = harness.SubmitRequest(++request, 0, 10, 100000);
+    if (backend) ++sent, most = std::max(most, ++out[*backend]);
   }
   EXPECT_GT(sent, kMany / 4);
-  EXPECT_LE(most, 2) << "half as many requests as servers hardly need to share one";
+  EXPECT_LE(most, 2) << "half as many requests as backends hardly need to share one";
 }
 
-TEST(LargeFleet, PlacesOfServersLongGoneAreUsedAgain) {
-  Rig rig;
+TEST(LargeFleet, ReusesSlotsOfRemovedBackends) {
+  BalancerHarness harness;
   RequestId request = 0;
   for (int life = 0; life < 20; ++life) {
     std::vector<Endpoint> list;
-    for (int i = 0; i < 100; ++i) list.push_back(Entry(static_cast<BackendId>(1000 * life + i + 1)));
-    rig.List(list);
+    for (int i = 0; i < 100; ++i) list.push_back(MakeEndpoint(static_cast<BackendId>(1000 * life + i + 1)));
+    harness.UpdateEndpoints(list);
     for (int k = 0; k < 50; ++k) {
-      rig.Tick(10);
-      const auto server = rig.Ask(++request);
-      ASSERT_TRUE(server.has_value());
-      ASSERT_EQ((*server - 1) / 1000, static_cast<BackendId>(life)) << "only those listed now";
-      rig.End(request, 0, *server, AttemptOutcome::kSuccess);
+      harness.AdvanceTime(10);
+      const auto backend = harness.SubmitRequest(++request);
+      ASSERT_TRUE(backend.has_value());
+      ASSERT_EQ((*backend - 1) / 1000, static_cast<BackendId>(life)) << "only those listed now";
+      harness.CompleteAttempt(request, 0, *backend, AttemptOutcome::kSuccess);
     }
-    rig.Tick(700000);
+    harness.AdvanceTime(700000);
   }
 }
 
--- a/tests/decision/outlier_detection_scenarios_test.cpp
+++ b/tests/decision/outlier_detection_scenarios_test.cpp
@@ -10,226 +10,229 @@
 namespace copperpoint::testing {
 namespace {
 
-// Traffic that brings the volume to each server within the interval.
-void Busy(Rig& rig) {
-  for (int i = 0; i < 100; ++i) rig.Tick(5), AnswerOne(rig, AttemptOutcome::kSuccess, {});
-}
-
-TEST(OutlierDetection, EjectsAtTheVolumeFloorAndNotBelow) {
-  Rig rig;
-  rig.Servers(3);
-  Answers(rig, 2, 2);
-  EXPECT_TRUE(InService(rig, 1)) << "two attempts are under the volume floor";
-  Answers(rig, 1, 1);
-  EXPECT_FALSE(InService(rig, 1));
-}
-
-TEST(OutlierDetection, TheVolumeFloorIsTheServersOwn) {
-  Rig rig;
-  rig.Servers(3);
-  Answers(rig, 3, 3, AttemptOutcome::kCancelled);  // the others qualify, server 1 has no answer that counts
-  Answers(rig, 2, 2);
-  EXPECT_TRUE(InService(rig, 1));
-  Answers(rig, 1, 1);
-  EXPECT_FALSE(InService(rig, 1));
-}
-
-TEST(OutlierDetection, NoMoreThanHalfAreOut) {
-  Settings settings = Usual();
+// Traffic that brings each backend to the minimum volume within the interval.
+void ReachMinimumVolume(BalancerHarness& harness) {
+  for (int i = 0; i < 100; ++i)
+    harness.AdvanceTime(5), CompleteOneRequest(harness, AttemptOutcome::kSuccess, {});
+}
+
+TEST(OutlierDetection, EjectsAtMinimumVolumeButNotBelow) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  CompleteRequestsOnEach(harness, 2, 2);
+  EXPECT_TRUE(IsInService(harness, 1)) << "two attempts are below the minimum volume";
+  CompleteRequestsOnEach(harness, 1, 1);
+  EXPECT_FALSE(IsInService(harness, 1));
+}
+
+TEST(OutlierDetection, MinimumVolumeCountsOnlyTheBackendsOwnAttempts) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  CompleteRequestsOnEach(
+      harness, 3, 3, AttemptOutcome::kCancelled);  // the others qualify, backend 1 has no attempt that counts
+  CompleteRequestsOnEach(harness, 2, 2);
+  EXPECT_TRUE(IsInService(harness, 1));
+  CompleteRequestsOnEach(harness, 1, 1);
+  EXPECT_FALSE(IsInService(harness, 1));
+}
+
+TEST(OutlierDetection, EjectsAtMostHalfOfTheBackends) {
+  Settings settings = DefaultSettings();
   settings.max_attempts = 1;
-  Rig rig(settings);
-  rig.Servers(6);
+  BalancerHarness harness(settings);
+  harness.SetBackends(6);
   std::set<BackendId> late_on;
   for (int i = 0; i < 120; ++i) {
-    const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const RequestId id = next_request_id++;
+    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
     if (i >= 80) late_on.insert(*s);
-    rig.End(id, 0, *s, *s <= 4 ? AttemptOutcome::kConnectionReset : AttemptOutcome::kSuccess);
+    harness.CompleteAttempt(id, 0, *s, *s <= 4 ? AttemptOutcome::kConnectionReset : AttemptOutcome::kSuccess);
   }
-  EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are out";
+  EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are ejected";
 }
 
-TEST(OutlierDetection, ANextProcessKeepsServersOutForAsLongAsTheOneBeforeWould) {
-  Rig before;
-  before.Servers(3);
-  Answers(before, 3, 3);
-  ASSERT_FALSE(InService(before, 1));
-  before.Tick(500);
+TEST(OutlierDetection, RestoredStateKeepsEjectionForItsRemainingTime) {
+  BalancerHarness before;
+  before.SetBackends(3);
+  CompleteRequestsOnEach(before, 3, 3);
+  ASSERT_FALSE(IsInService(before, 1));
+  before.AdvanceTime(500);
   const auto learnt = before.ExportState();
   ASSERT_EQ(learnt.size(), 1u);
   EXPECT_EQ(learnt[0].ejection_multiplier, 1);
 
-  Rig next;
+  BalancerHarness next;
   next.now = before.now;
-  next.Servers(3);
-  EXPECT_TRUE(InService(next, 1));
+  next.SetBackends(3);
+  EXPECT_TRUE(IsInService(next, 1));
   StateRestored inherited{learnt};
-  inherited.backends.push_back({99, 3, Duration(1000), 0});  // a server that is not listed here
-  next.Do(inherited);
-  EXPECT_FALSE(InService(next, 1));
-  next.Tick(learnt[0].ejection_remaining.count() - 1);
-  EXPECT_FALSE(InService(next, 1));
-  next.Tick(2);
-  EXPECT_TRUE(InService(next, 1));
-}
-
-TEST(OutlierDetection, ThresholdIsStrict) {
-  Rig at;
-  at.Servers(3);
+  inherited.backends.push_back({99, 3, Duration(1000), 0});  // a backend that is not listed here
+  next.Handle(inherited);
+  EXPECT_FALSE(IsInService(next, 1));
+  next.AdvanceTime(learnt[0].ejection_remaining.count() - 1);
+  EXPECT_FALSE(IsInService(next, 1));
+  next.AdvanceTime(2);
+  EXPECT_TRUE(IsInService(next, 1));
+}
+
+TEST(OutlierDetection, FailureRateAtThresholdDoesNotEject) {
+  BalancerHarness at;
+  at.SetBackends(3);
   // 2 of 5 failing is exactly 0.4; successes first so that no shorter prefix is over the threshold.
-  for (int i = 0; i < 5; ++i) Answers(at, 1, i >= 3 ? 1 : 0);
-  EXPECT_TRUE(InService(at, 1));
-  Rig over;
-  over.Servers(3);
-  for (int i = 0; i < 4; ++i) Answers(over, 1, i >= 2 ? 1 : 0);
-  EXPECT_FALSE(InService(over, 1));
+  for (int i = 0; i < 5; ++i) CompleteRequestsOnEach(at, 1, i >= 3 ? 1 : 0);
+  EXPECT_TRUE(IsInService(at, 1));
+  BalancerHarness over;
+  over.SetBackends(3);
+  for (int i = 0; i < 4; ++i) CompleteRequestsOnEach(over, 1, i >= 2 ? 1 : 0);
+  EXPECT_FALSE(IsInService(over, 1));
 }
 
-TEST(OutlierDetection, MinimumHosts) {
-  Rig rig;
-  rig.Servers(1);
-  for (int i = 0; i < 10; ++i) AnswerOne(rig, AttemptOutcome::kServerError, {1});
-  EXPECT_TRUE(InService(rig, 1)) << "there is nothing to compare a lone server with";
+TEST(OutlierDetection, DoesNotEjectTheOnlyBackend) {
+  BalancerHarness harness;
+  harness.SetBackends(1);
+  for (int i = 0; i < 10; ++i) CompleteOneRequest(harness, AttemptOutcome::kServerError, {1});
+  EXPECT_TRUE(IsInService(harness, 1)) << "there is nothing to compare a lone backend with";
 }
 
-TEST(OutlierDetection, CancelsAndMootTellNothing) {
+TEST(OutlierDetection, IgnoresCancelledAndUnsentAttempts) {
   for (AttemptOutcome outcome :
        {AttemptOutcome::kCancelled, AttemptOutcome::kNotSent, AttemptOutcome::kUnknown}) {
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.max_attempts = 1;
-    Rig rig(settings);
-    rig.Servers(3);
-    Answers(rig, 6, 6, outcome);
-    EXPECT_TRUE(InService(rig, 1));
+    BalancerHarness harness(settings);
+    harness.SetBackends(3);
+    CompleteRequestsOnEach(harness, 6, 6, outcome);
+    EXPECT_TRUE(IsInService(harness, 1));
   }
 }
 
-TEST(OutlierDetection, EveryFailureCounts) {
+TEST(OutlierDetection, EjectsOnEveryKindOfFailure) {
   for (AttemptOutcome outcome :
        {AttemptOutcome::kServerError, AttemptOutcome::kBackendRejected, AttemptOutcome::kTimeout,
         AttemptOutcome::kConnectFailure, AttemptOutcome::kConnectionReset}) {
-    Settings s = Usual();
+    Settings s = DefaultSettings();
     s.max_attempts = 1;
-    Rig rig(s);
-    rig.Servers(3);
-    Answers(rig, 3, 3, outcome);
-    EXPECT_FALSE(InService(rig, 1)) << static_cast<int>(outcome);
+    BalancerHarness harness(s);
+    harness.SetBackends(3);
+    CompleteRequestsOnEach(harness, 3, 3, outcome);
+    EXPECT_FALSE(IsInService(harness, 1)) << static_cast<int>(outcome);
   }
 }
 
-TEST(OutlierDetection, ReturnsByTimerAndBacksOffByMultiplier) {
-  Rig rig;
-  rig.Servers(3);
-  Answers(rig, 3, 3);
-  EXPECT_FALSE(InService(rig, 1));
-  rig.Tick(1999);
-  EXPECT_FALSE(InService(rig, 1));
-  rig.Tick(1);
-  EXPECT_TRUE(InService(rig, 1)) << "base ejection time x 1";
+TEST(OutlierDetection, ReturnsAfterBaseEjectionTime) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  CompleteRequestsOnEach(harness, 3, 3);
+  EXPECT_FALSE(IsInService(harness, 1));
+  harness.AdvanceTime(1999);
+  EXPECT_FALSE(IsInService(harness, 1));
+  harness.AdvanceTime(1);
+  EXPECT_TRUE(IsInService(harness, 1)) << "base ejection time x 1";
 }
 
-TEST(OutlierDetection, MultiplierFallsAtReturnAndPerInterval) {
-  Rig rig;
-  rig.Servers(3);
-  Busy(rig);
-  rig.Tick(1500);
-  // 1 at ejection, 0 at return, 1 at the next: the same time again, as A50's step 6b has it.
+TEST(OutlierDetection, EjectionAfterReturnLastsNoLonger) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  ReachMinimumVolume(harness);
+  harness.AdvanceTime(1500);
+  // 1 at ejection, 0 at return, 1 at the next: the same time again, as in gRFC A50, step 6b.
   for (int round = 0; round < 3; ++round) {
-    Answers(rig, 3, 3);
-    EXPECT_FALSE(InService(rig, 1));
-    rig.Tick(2000);
-    EXPECT_TRUE(InService(rig, 1));
-    rig.Tick(2000);
+    CompleteRequestsOnEach(harness, 3, 3);
+    EXPECT_FALSE(IsInService(harness, 1));
+    harness.AdvanceTime(2000);
+    EXPECT_TRUE(IsInService(harness, 1));
+    harness.AdvanceTime(2000);
   }
 }
 
-TEST(OutlierDetection, TheMultiplierFallsAtReturnBeforeAnyInterval) {
-  Rig rig;
-  rig.Servers(3);
-  Busy(rig);
-  rig.Tick(1500);
-  rig.Tick(1000);  // half way through an interval
-  Answers(rig, 3, 3);
-  rig.Tick(1500);  // it ends while the server is out
-  rig.Tick(500);
-  EXPECT_TRUE(InService(rig, 1));
-  Answers(rig, 3, 3);
-  EXPECT_FALSE(InService(rig, 1));
-  rig.Tick(2000);
-  EXPECT_TRUE(InService(rig, 1)) << "twice as long had the multiplier not fallen";
-}
-
-// At full size three attempts to one server within two seconds never come, and nothing was ever ejected.
-TEST(OutlierDetection, ThinTrafficEjectsOnWhatCouldHardlyBeChance) {
+TEST(OutlierDetection, MultiplierFallsAtReturnBeforeTheIntervalEnds) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  ReachMinimumVolume(harness);
+  harness.AdvanceTime(1500);
+  harness.AdvanceTime(1000);  // half way through an interval
+  CompleteRequestsOnEach(harness, 3, 3);
+  harness.AdvanceTime(1500);  // it ends while the backend is ejected
+  harness.AdvanceTime(500);
+  EXPECT_TRUE(IsInService(harness, 1));
+  CompleteRequestsOnEach(harness, 3, 3);
+  EXPECT_FALSE(IsInService(harness, 1));
+  harness.AdvanceTime(2000);
+  EXPECT_TRUE(IsInService(harness, 1)) << "twice as long had the multiplier not fallen";
+}
+
+// In a large fleet three attempts to one backend within two seconds never come.
+TEST(OutlierDetection, EjectsOnFewAttemptsWhenChanceIsUnlikely) {
   for (const bool failing_elsewhere : {false, true}) {
-    Rig rig;
-    rig.Servers(8);
+    BalancerHarness harness;
+    harness.SetBackends(8);
     int sent = 0, after_two = 0;
     for (int i = 0; i < 120; ++i) {
-      rig.Tick(250);
-      const RequestId id = next_id++;
-      const auto s = rig.Ask(id, 2, 10);
+      harness.AdvanceTime(250);
+      const RequestId id = next_request_id++;
+      const auto s = harness.SubmitRequest(id, 2, 10);
       ASSERT_TRUE(s.has_value());
       const bool fails = *s == 1 || (failing_elsewhere && i % 3 == 0);
-      rig.End(id, 0, *s, fails ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
+      harness.CompleteAttempt(id, 0, *s, fails ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
       if (*s == 1 && ++sent > 2) ++after_two;
     }
     if (!failing_elsewhere) {
       EXPECT_LE(sent, 7) << "one or two failures eject; an eighth of 120 would be 15";
     } else {
-      EXPECT_GT(after_two, 2) << "a third fails everywhere: two failures say little";
+      EXPECT_GT(after_two, 2) << "a third fails everywhere: two failures are weak evidence";
     }
   }
 }
 
-TEST(OutlierDetection, TheCapLeavesServersIn) {
-  Rig rig;
-  rig.Servers(4);
+TEST(OutlierDetection, LeavesHalfInServiceWhenAllFail) {
+  BalancerHarness harness;
+  harness.SetBackends(4);
   for (int i = 0; i < 60; ++i) {
-    const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const RequestId id = next_request_id++;
+    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, AttemptOutcome::kServerError);
+    harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kServerError);
   }
   std::set<BackendId> in;
   for (BackendId s = 1; s <= 4; ++s) {
-    if (InService(rig, s)) in.insert(s);
+    if (IsInService(harness, s)) in.insert(s);
   }
   EXPECT_GE(in.size(), 2u) << "never more than half";
 }
 
-TEST(OutlierDetection, AFleetFailingThroughoutDoesNotEjectItself) {
-  Rig rig;
-  rig.Servers(3);
-  for (int i = 0; i < 40; ++i) AnswerOne(rig, AttemptOutcome::kServerError, {1, 2, 3});
+TEST(OutlierDetection, EjectsNoneWhenAllFailAlike) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  for (int i = 0; i < 40; ++i) CompleteOneRequest(harness, AttemptOutcome::kServerError, {1, 2, 3});
   int in = 0;
-  for (BackendId s = 1; s <= 3; ++s) in += InService(rig, s);
+  for (BackendId s = 1; s <= 3; ++s) in += IsInService(harness, s);
   EXPECT_EQ(in, 3);
 }
 
-// With half the fleet failing, twice the share elsewhere passed 1 and nothing was ejected any more.
-TEST(OutlierDetection, AServerAlwaysFailingGoesHoweverBadTheRest) {
-  Settings settings = Usual();
+// Twice the failure rate of the others would be above 1 here.
+TEST(OutlierDetection, EjectsBackendThatAlwaysFailsWhenHalfOfTheOthersFail) {
+  Settings settings = DefaultSettings();
   settings.max_attempts = 1;
-  Rig rig(settings);
-  rig.Servers(4);
+  BalancerHarness harness(settings);
+  harness.SetBackends(4);
   for (int i = 0; i < 24; ++i) {
-    const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const RequestId id = next_request_id++;
+    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, *s == 1 || i % 2 ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
+    harness.CompleteAttempt(id, 0, *s,
+                            *s == 1 || i % 2 ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
   }
-  EXPECT_FALSE(InService(rig, 1));
+  EXPECT_FALSE(IsInService(harness, 1));
 }
 
-TEST(OutlierDetection, StateIsKeptWhenListedAgain) {
-  Rig rig;
-  rig.Servers(3);
-  Answers(rig, 3, 3);
-  rig.List({Entry(1, 0, 0, EndpointState::kRemoved)}, EndpointUpdateKind::kIncremental);
-  rig.List({Entry(1)}, EndpointUpdateKind::kIncremental);
-  EXPECT_FALSE(InService(rig, 1));
+TEST(OutlierDetection, EjectionOutlastsRemovalFromTheList) {
+  BalancerHarness harness;
+  harness.SetBackends(3);
+  CompleteRequestsOnEach(harness, 3, 3);
+  harness.UpdateEndpoints({MakeEndpoint(1, 0, 0, EndpointState::kRemoved)}, EndpointUpdateKind::kIncremental);
+  harness.UpdateEndpoints({MakeEndpoint(1)}, EndpointUpdateKind::kIncremental);
+  EXPECT_FALSE(IsInService(harness, 1));
 }
 
 }  // namespace
--- a/tests/decision/overload_state_scenarios_test.cpp
+++ b/tests/decision/overload_state_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Surge, storm and recovery, as a proxy tells them from its counts.
+// Surge, retry storm and recovery, as derived from the counts of requests.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -13,13 +13,13 @@
 
 using copperpoint::testing::At;
 
-// Feeds a state with rates a second, and notes what it became, and when.
-class Judged10Hz {
+// An overload state, ten counts a second, and its changes.
+class OverloadStateAt10Hz {
  public:
-  void For(double seconds, double arrived, double repeats, double refused) {
+  void For(double seconds, double arrived, double repeats, double rejected) {
     for (int i = 0; i < static_cast<int>(seconds * 10 + 0.5); ++i) {
       now_ += 100;
-      const Counts counts{arrived / 10, repeats / 10, refused / 10, (arrived - refused) / 10};
+      const Counts counts{arrived / 10, repeats / 10, rejected / 10, (arrived - rejected) / 10};
       if (const auto next = state.Judge(At(now_), Duration(100), counts)) changes.push_back(*next);
     }
   }
@@ -32,16 +32,16 @@
 
 using enum Pressure;
 
-TEST(State, ASurgeOfRealDemandIsNoStorm) {
-  Judged10Hz s;
+TEST(OverloadState, SurgeOfNewRequestsIsNoStorm) {
+  OverloadStateAt10Hz s;
   s.For(10, 200, 0, 0);
   s.For(10, 400, 20, 150);
   s.For(10, 200, 0, 0);
   EXPECT_EQ(s.changes, (std::vector{kSurge, kCalm}));
 }
 
-TEST(State, AStormIsFollowedByRecoveryBeforeCalm) {
-  Judged10Hz s;
+TEST(OverloadState, StormIsFollowedByRecoveryBeforeCalm) {
+  OverloadStateAt10Hz s;
   s.For(10, 200, 0, 0);
   s.For(10, 600, 300, 400);
   EXPECT_EQ(s.state.now(), kStorm);
@@ -52,14 +52,14 @@
   EXPECT_EQ(s.changes[s.changes.size() - 2], kRecovery);
 }
 
-TEST(State, WhereNobodyIsAnsweredItIsAStormWhoeverAsks) {
-  Judged10Hz s;
+TEST(OverloadState, NoResponsesAtAllIsAStorm) {
+  OverloadStateAt10Hz s;
   s.For(5, 200, 0, 200);
   EXPECT_EQ(s.state.now(), kStorm);
 }
 
-TEST(State, ATrickleUnderTheFloorAndASpellShorterThanItsSignsChangeNothing) {
-  Judged10Hz s;
+TEST(OverloadState, LowOrBriefRetryRatesChangeNothing) {
+  OverloadStateAt10Hz s;
   s.For(30, 200, 9, 9);
   for (int i = 0; i < 10; ++i) {
     s.For(0.1, 200, 60, 60);
@@ -68,8 +68,8 @@
   EXPECT_TRUE(s.changes.empty());
 }
 
-TEST(State, DoesNotFlapWhileItsSignsComeAndGo) {
-  Judged10Hz s;
+TEST(OverloadState, DoesNotFlapWhileItsSignsComeAndGo) {
+  OverloadStateAt10Hz s;
   s.For(5, 400, 0, 200);
   for (int i = 0; i < 20; ++i) {
     s.For(1, 400, 0, 200);
@@ -78,8 +78,8 @@
   EXPECT_EQ(s.changes, (std::vector{kSurge}));
 }
 
-TEST(State, AStormThatReturnsInTheRecoveryIsAStormAgain) {
-  Judged10Hz s;
+TEST(OverloadState, StormDuringRecoveryIsAStormAgain) {
+  OverloadStateAt10Hz s;
   s.For(5, 600, 300, 400);
   s.For(5, 200, 0, 0);
   ASSERT_EQ(s.state.now(), kRecovery);
--- a/tests/decision/priority_scenarios_test.cpp
+++ b/tests/decision/priority_scenarios_test.cpp
@@ -9,12 +9,12 @@
 namespace copperpoint::overload {
 namespace {
 
-using copperpoint::testing::Class;
-using copperpoint::testing::Usual;
+using copperpoint::testing::DefaultSettings;
+using copperpoint::testing::MakeClass;
 
-Settings Judged(ServiceObjective goal) {
-  Settings s = Usual();
-  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kNonIdempotent)};
+Settings SettingsWithObjective(ServiceObjective goal) {
+  Settings s = DefaultSettings();
+  s.classes = {MakeClass(Idempotency::kIdempotent), MakeClass(Idempotency::kNonIdempotent)};
   s.classes[0].priority_weight = 5;
   s.classes[1].priority_weight = 3;
   s.tenants = {{100}, {100}};
@@ -22,8 +22,8 @@
   return s;
 }
 
-TEST(Priority, IsTheWorthWhereNothingElseIsAskedFor) {
-  Priority priority(Judged({1, 0, 0}));
+TEST(Priority, EqualsWeightOfItsClassByDefault) {
+  Priority priority(SettingsWithObjective({1, 0, 0}));
   priority.Asked(1, 0, 100, true);
   EXPECT_DOUBLE_EQ(priority.Of(0, 0), 5);
   EXPECT_DOUBLE_EQ(priority.Of(1, 0), 3);
@@ -31,9 +31,9 @@
   EXPECT_DOUBLE_EQ(priority.Of(0, -1), 5);
 }
 
-TEST(Priority, TheWorstServedClassRisesBySoMuchAsTheGoalGainsByIt) {
-  Priority priority(Judged({0.5, 0.35, 0}));
-  priority.Asked(0, 0, 70, true);   // 350 of worth
+TEST(Priority, WorstServedClassRisesByGainOfTheObjective) {
+  Priority priority(SettingsWithObjective({0.5, 0.35, 0}));
+  priority.Asked(0, 0, 70, true);   // 350 of weight
   priority.Asked(1, 0, 50, true);   // 150
   priority.InTime(0, 0, 70, true);  // all
   priority.InTime(1, 0, 25, true);  // half
@@ -45,22 +45,22 @@
   EXPECT_GT(priority.Of(0, 0), priority.Of(1, 0));
 }
 
-TEST(Priority, WhatIsBeyondItsShareDoesNotRaiseAnAccount) {
-  Priority priority(Judged({0.5, 0, 0.5}));
+TEST(Priority, RequestsOverQuotaDoNotRaiseTheirTenant) {
+  Priority priority(SettingsWithObjective({0.5, 0, 0.5}));
   priority.Asked(0, 0, 10, true);
   priority.InTime(0, 0, 10, true);
   priority.Asked(0, 1, 10, true);
   priority.InTime(0, 1, 9, true);
   EXPECT_GT(priority.Of(0, 1), priority.Of(0, 0));
-  Priority beyond(Judged({0.5, 0, 0.5}));
+  Priority beyond(SettingsWithObjective({0.5, 0, 0.5}));
   beyond.Asked(0, 0, 10, true);
   beyond.InTime(0, 0, 9, true);
   beyond.Asked(0, 1, 1000, false);
-  EXPECT_GT(beyond.Of(0, 0), beyond.Of(0, 1)) << "the storm of one account moves no other aside";
+  EXPECT_GT(beyond.Of(0, 0), beyond.Of(0, 1)) << "a storm of one tenant does not displace another";
 }
 
-TEST(Priority, SharesAreForgotten) {
-  Priority priority(Judged({0.5, 0.5, 0}));
+TEST(Priority, PastCountsDecay) {
+  Priority priority(SettingsWithObjective({0.5, 0.5, 0}));
   priority.Asked(0, 0, 1000, true);
   priority.InTime(0, 0, 1000, true);
   priority.Asked(1, 0, 1000, true);
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A Balancer under test, its clock, and short ways to say what happens.
+// A Balancer under test, its clock, and methods that send it events.
 #ifndef COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 #define COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 
@@ -19,20 +19,22 @@
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-inline ClassSettings Class(Idempotency effect, double aim = 200, double deadline = 1000) {
+// Settings of a request class; times in milliseconds.
+inline ClassSettings MakeClass(Idempotency idempotency, double latency_objective = 200,
+                               double deadline = 1000) {
   ClassSettings c;
-  c.idempotency = effect;
-  c.latency_objective = Duration(aim);
+  c.idempotency = idempotency;
+  c.latency_objective = Duration(latency_objective);
   c.deadline = Duration(deadline);
   c.deduplication_window = Duration(500);
   return c;
 }
 
-// Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
-inline Settings Usual() {
+// Three request classes: 0 idempotent, 1 with an idempotency key (of a cell), 2 not idempotent.
+inline Settings DefaultSettings() {
   Settings s;
-  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
-               Class(Idempotency::kNonIdempotent)};
+  s.classes = {MakeClass(Idempotency::kIdempotent), MakeClass(Idempotency::kIdempotencyKey),
+               MakeClass(Idempotency::kNonIdempotent)};
   s.classes[1].deduplication_scope = DeduplicationScope::kCell;
   s.max_attempts = 4;
   s.proxy_count = 1;
@@ -44,8 +46,8 @@
   return s;
 }
 
-inline Endpoint Entry(BackendId id, int zone = 0, int cell = 0, EndpointState state = EndpointState::kReady,
-                      double up_since = 0) {
+inline Endpoint MakeEndpoint(BackendId id, int zone = 0, int cell = 0,
+                             EndpointState state = EndpointState::kReady, double up_since = 0) {
   Endpoint e;
   e.backend = id;
   e.zone = zone;
@@ -55,66 +57,81 @@
   return e;
 }
 
-class Rig {
+// Owns a Balancer and its clock, in milliseconds; records the actions that it answers events with.
+class BalancerHarness {
  public:
-  explicit Rig(Settings settings = Usual(), std::uint64_t seed = 1) : balancer_(std::move(settings), seed) {}
+  explicit BalancerHarness(Settings settings = DefaultSettings(), std::uint64_t seed = 1)
+      : balancer_(std::move(settings), seed) {}
 
   double now = 100000;
-  std::vector<Action> actions;  // of the last event
+  std::vector<Action> actions;         // of the last event
+  std::vector<StartAttempt> attempts;  // of all events
 
-  const std::vector<Action>& Do(const Event& event) {
+  const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
     balancer_.Handle(At(now), event, &actions);
     for (const Action& a : actions) {
-      if (const auto* d = std::get_if<StartAttempt>(&a)) ++attempts_[d->request], sent.push_back(*d);
+      if (const auto* start = std::get_if<StartAttempt>(&a)) attempts.push_back(*start);
     }
     return actions;
   }
-  void List(std::vector<Endpoint> entries, EndpointUpdateKind kind = EndpointUpdateKind::kSnapshot) {
-    Do(EndpointUpdate{kind, std::move(entries)});
+
+  void UpdateEndpoints(std::vector<Endpoint> endpoints,
+                       EndpointUpdateKind kind = EndpointUpdateKind::kSnapshot) {
+    Handle(EndpointUpdate{kind, std::move(endpoints)});
   }
-  void Servers(int n) {
-    std::vector<Endpoint> entries;
-    for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<BackendId>(i)));
-    List(entries);
+
+  // A snapshot of the backends 1 to n.
+  void SetBackends(int n) {
+    std::vector<Endpoint> endpoints;
+    for (int i = 1; i <= n; ++i) endpoints.push_back(MakeEndpoint(static_cast<BackendId>(i)));
+    UpdateEndpoints(endpoints);
   }
-  // Submits and returns the server it was sent to at once, if any.
-  std::optional<BackendId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
-                               std::uint64_t key = 0) {
-    RequestReceived s;
-    s.request = id;
-    s.request_class = cls;
-    s.has_work_estimate = work > 0;
-    s.estimated_work_ms = work;
-    s.key = key;
-    s.deadline = At(now + patience);
-    Do(s);
-    return SentTo(id);
+
+  // Submits a request with a deadline `time_left` ms from now. Returns the backend of its attempt if one
+  // starts at once.
+  std::optional<BackendId> SubmitRequest(RequestId id, int request_class = 0, double estimated_work_ms = 10,
+                                         double time_left = 1000, std::uint64_t key = 0) {
+    RequestReceived request;
+    request.request = id;
+    request.request_class = request_class;
+    request.has_work_estimate = estimated_work_ms > 0;
+    request.estimated_work_ms = estimated_work_ms;
+    request.key = key;
+    request.deadline = At(now + time_left);
+    Handle(request);
+    return AttemptBackend(id);
   }
-  void End(RequestId id, int attempt, BackendId server, AttemptOutcome outcome, double took = 10,
-           bool settled = false) {
+
+  void CompleteAttempt(RequestId id, int attempt, BackendId backend, AttemptOutcome outcome,
+                       double duration_ms = 10, bool request_completed = false) {
     AttemptCompleted e;
     e.request = id;
     e.attempt = attempt;
-    e.backend = server;
+    e.backend = backend;
     e.outcome = outcome;
-    e.request_completed = settled || outcome == AttemptOutcome::kSuccess;
-    e.duration = Duration(took);
-    Do(e);
+    e.request_completed = request_completed || outcome == AttemptOutcome::kSuccess;
+    e.duration = Duration(duration_ms);
+    Handle(e);
   }
-  void Tick(double ms) {
+
+  void AdvanceTime(double ms) {
     now += ms;
-    Do(TimerFired{});
+    Handle(TimerFired{});
   }
-  std::optional<BackendId> SentTo(RequestId id) const {
+
+  // The backend to which the last event started an attempt of the request.
+  std::optional<BackendId> AttemptBackend(RequestId id) const {
     for (const Action& a : actions) {
-      const auto* d = std::get_if<StartAttempt>(&a);
-      if (d && d->request == id) return d->backend;
+      const auto* start = std::get_if<StartAttempt>(&a);
+      if (start && start->request == id) return start->backend;
     }
     return std::nullopt;
   }
+
+  // How many actions of the type the last event had.
   template <typename T>
-  int Count() const {
+  int CountActions() const {
     int n = 0;
     for (const Action& a : actions) n += std::holds_alternative<T>(a);
     return n;
@@ -122,60 +139,60 @@
 
   std::vector<BackendSnapshot> ExportState() { return balancer_.ExportState(At(now)); }
 
-  std::vector<StartAttempt> sent;
-
  private:
   Balancer balancer_;
-  std::map<RequestId, int> attempts_;
 };
 
-inline RequestId next_id = 1;
+inline RequestId next_request_id = 1;
 
-// One request and its answer, which fails if it came from one of `failing`.
-inline void AnswerOne(Rig& rig, AttemptOutcome outcome, std::set<BackendId> failing, double took = 10) {
-  const RequestId id = next_id++;
-  const auto server = rig.Ask(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
-  ASSERT_TRUE(server.has_value());
-  const bool fails = failing.count(*server) > 0;
-  rig.End(id, 0, *server, fails ? outcome : AttemptOutcome::kSuccess, took);
+// Submits a request and completes it: with `outcome` at one of the backends `failing`, else with success.
+inline void CompleteOneRequest(BalancerHarness& harness, AttemptOutcome outcome, std::set<BackendId> failing,
+                               double duration = 10) {
+  const RequestId id = next_request_id++;
+  const auto backend = harness.SubmitRequest(id, 2, 10, 5000);  // not idempotent, so that it is not retried
+  ASSERT_TRUE(backend.has_value());
+  const bool fails = failing.count(*backend) > 0;
+  harness.CompleteAttempt(id, 0, *backend, fails ? outcome : AttemptOutcome::kSuccess, duration);
 }
 
-inline std::optional<BackendId> AskAndEnd(Rig& rig) {
-  const RequestId id = next_id++;
-  const auto server = rig.Ask(id);
-  if (server) rig.End(id, 0, *server, AttemptOutcome::kSuccess);
-  return server;
+// Submits a request and completes it with success. Returns its backend, if an attempt started.
+inline std::optional<BackendId> SubmitAndComplete(BalancerHarness& harness) {
+  const RequestId id = next_request_id++;
+  const auto backend = harness.SubmitRequest(id);
+  if (backend) harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
+  return backend;
 }
 
-inline bool InService(Rig& rig, BackendId server) {
+// Whether one of three requests at once goes to the backend.
+inline bool IsInService(BalancerHarness& harness, BackendId backend) {
   std::vector<std::pair<RequestId, BackendId>> open;
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
-    const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const RequestId id = next_request_id++;
+    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
     if (!s) break;
     open.emplace_back(id, *s);
-    seen |= *s == server;
+    seen |= *s == backend;
   }
-  for (const auto& [id, s] : open) rig.End(id, 0, s, AttemptOutcome::kCancelled);
+  for (const auto& [id, s] : open) harness.CompleteAttempt(id, 0, s, AttemptOutcome::kCancelled);
   return seen;
 }
 
-// Gives each of three servers `per_server` answers; `failures` of server 1's fail, first ones first.
-inline void Answers(Rig& rig, int per_server, int failures,
-                    AttemptOutcome outcome = AttemptOutcome::kServerError) {
-  for (int i = 0; i < per_server; ++i) {
+// Completes `per_backend` requests on each of three backends; the first `failures` of backend 1 fail.
+inline void CompleteRequestsOnEach(BalancerHarness& harness, int per_backend, int failures,
+                                   AttemptOutcome outcome = AttemptOutcome::kServerError) {
+  for (int i = 0; i < per_backend; ++i) {
     std::map<BackendId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
-      const RequestId id = next_id++;
-      const auto s = rig.Ask(id, 2, 10, 5000);
+      const RequestId id = next_request_id++;
+      const auto s = harness.SubmitRequest(id, 2, 10, 5000);
       ASSERT_TRUE(s.has_value());
       open[*s] = id;
     }
-    // Server 1 last: the others qualify by then.
+    // Backend 1 last: the others have reached the minimum volume by then.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
       const auto [s, id] = *it;
-      rig.End(id, 0, s, s == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
+      harness.CompleteAttempt(id, 0, s, s == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
     }
   }
 }
