--- a/tests/proxy/admin_calls_test.cpp
+++ b/tests/proxy/admin_calls_test.cpp
@@ -27,9 +27,9 @@
     auto json = ConfigJson(discovery.address(), std::move(members));
     json["operator"] = "127.0.0.1:0";
     proxy::Config config = ConfigOf(json);
-    config.state_folder = folder.path;
+    config.state_directory = folder.path;
     proxy = std::make_unique<RunningProxy>(std::move(config));
-    calls = proxy->Ask([](proxy::Proxy& p) { return p.operator_address(); });
+    calls = proxy->Ask([](proxy::Proxy& p) { return p.admin_address(); });
   }
   unsigned Call(const std::string& method, const std::string& target) { return Ask(calls, method, target); }
 
@@ -65,7 +65,7 @@
   Backend backend;
   OperatedSite site(Members(MemberJson("s-1", backend.address())));
   std::vector<std::unique_ptr<Client>> silent;
-  for (std::size_t i = 0; i < 3 * proxy::Operator::kMostConnections; ++i) {
+  for (std::size_t i = 0; i < 3 * proxy::AdminServer::kMaxConnections; ++i) {
     silent.push_back(std::make_unique<Client>(site.calls));
     silent.back()->Send("GET /ready HTTP/1.1\r\n");
   }
--- a/tests/proxy/backend_numbers_test.cpp
+++ b/tests/proxy/backend_ids_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Numbers of backends, which all proxies derive alike from the names.
+// Ids of backends, which all proxies derive alike from the names.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -14,26 +14,26 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(ServerNumbers, ComeFromTheIdAloneAndCollisionsFromTheNames) {
+TEST(BackendIds, ComeFromTheIdAloneAndCollisionsFromTheNames) {
   const auto list = [](std::vector<std::string> ids) {
-    std::vector<proxy::Member> members;
+    std::vector<proxy::DiscoveredEndpoint> members;
     for (const auto& id : ids) members.emplace_back().id = id;
     return members;
   };
-  proxy::ServerNumbers here, there;
-  here.Learn(list({"s-1", "s-2", "s-3"}));
-  there.Learn(list({"s-3"}));
-  there.Learn(list({"s-2", "s-1"}));
-  for (const char* id : {"s-1", "s-2", "s-3"}) EXPECT_EQ(here.Of(id), there.Of(id));
+  proxy::BackendIds here, there;
+  here.Assign(list({"s-1", "s-2", "s-3"}));
+  there.Assign(list({"s-3"}));
+  there.Assign(list({"s-2", "s-1"}));
+  for (const char* id : {"s-1", "s-2", "s-3"}) EXPECT_EQ(here.IdOf(id), there.IdOf(id));
 
   const auto same = [](std::string_view) -> std::uint32_t { return 5; };
-  proxy::ServerNumbers a(same), b(same);
-  a.Learn(list({"x", "y", "z"}));
-  b.Learn(list({"z", "y", "x"}));
+  proxy::BackendIds a(same), b(same);
+  a.Assign(list({"x", "y", "z"}));
+  b.Assign(list({"z", "y", "x"}));
   std::set<BackendId> distinct;
   for (const char* id : {"x", "y", "z"}) {
-    EXPECT_EQ(a.Of(id), b.Of(id));
-    distinct.insert(a.Of(id));
+    EXPECT_EQ(a.IdOf(id), b.IdOf(id));
+    distinct.insert(a.IdOf(id));
   }
   EXPECT_EQ(distinct.size(), 3u);
 }
--- a/tests/proxy/client_connection_test.cpp
+++ b/tests/proxy/client_connection_test.cpp
@@ -29,7 +29,7 @@
 TEST(Proxy, ASlowRequestHasOneDeadlineAndEndsWithA408) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.whole_request = std::chrono::milliseconds(500);
+  site.timeouts.request_head = std::chrono::milliseconds(500);
   site.Start();
   Client silent(site.proxy->address);
   EXPECT_TRUE(silent.Ended());
@@ -57,8 +57,8 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.patience.whole_request = std::chrono::hours(1);
-  site.patience.silent = std::chrono::milliseconds(10);
+  site.timeouts.request_head = std::chrono::hours(1);
+  site.timeouts.pressed_idle_reclaim = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 80; ++i) silent.push_back(std::make_unique<Client>(site.proxy->address));
@@ -71,7 +71,7 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.patience.spare = std::chrono::milliseconds(10);
+  site.timeouts.idle_reclaim = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -98,7 +98,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.connection_rest = {};
   site.Start();
   {
     Client client(site.proxy->address);
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -16,7 +16,7 @@
 TEST(Proxy, RequestsOneAfterTheOtherShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.connection_rest = {};
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -69,7 +69,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.connection_rest = {};
   site.Start();
   Client client(site.proxy->address);
   for (const char* id : {"a1", "a2", "a3"}) EXPECT_EQ(client.Ask(WithId(Book(), id)).body(), id);
@@ -79,7 +79,7 @@
 TEST(Proxy, AConnectionRestsBeforeItIsUsedAgain) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::hours(1);
+  site.timeouts.connection_rest = std::chrono::hours(1);
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -95,21 +95,21 @@
     return true;
   });
   asio::io_context io(1);
-  proxy::Backends::Limits limits;
-  limits.connections = 1;
-  proxy::Backends backends(io, limits);
-  backends.Set(1, backend.address(), 0);
+  proxy::BackendPool::Limits limits;
+  limits.max_connections = 1;
+  proxy::BackendPool backends(io, limits);
+  backends.SetEndpoint(1, backend.address(), 0);
   const auto message = std::make_shared<const HttpRequest>(http::verb::get, "/look", 11);
   std::vector<proxy::AttemptResult> results;
   const auto keep = [&](proxy::AttemptResult r) {
     results.push_back(std::move(r));
     release.Do([](bool& go) { go = true; });
   };
-  backends.Send(1, message, Duration(60000), keep);
-  backends.Send(1, message, Duration(60000), keep);
+  backends.SendRequest(1, message, Duration(60000), keep);
+  backends.SendRequest(1, message, Duration(60000), keep);
   while (results.size() < 2) io.run_one();
   EXPECT_EQ(results[0].outcome, AttemptOutcome::kNotSent);  // never ran, and says nothing of the backend
-  EXPECT_TRUE(results[0].local);
+  EXPECT_TRUE(results[0].local_failure);
   EXPECT_EQ(results[1].outcome, AttemptOutcome::kSuccess);
 }
 
@@ -121,7 +121,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::hours(1);  // so that each request opens a connection
+  site.timeouts.connection_rest = std::chrono::hours(1);  // so that each request opens a connection
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -133,7 +133,7 @@
 TEST(Proxy, BackendsLongGoneAreForgotten) {
   Backend backend;
   Site site(Members(MemberJson("s-0", backend.address())));
-  site.patience.forgotten = {};
+  site.timeouts.removed_backend_retention = {};
   site.Start();
   for (int i = 1; i <= 20; ++i) {
     site.discovery.Push(
--- a/tests/proxy/discovery_messages_test.cpp
+++ b/tests/proxy/discovery_messages_test.cpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "proxy/discovery/messages.h"
+#include "proxy/discovery/message_framer.h"
 #include "support/loopback.h"
 
 namespace copperpoint::testing {
 namespace {
 
-using proxy::Messages;
+using proxy::MessageFramer;
 
 std::string List(int revision, std::vector<nlohmann::json> members = {}, bool complete = true,
                  int indent = -1) {
@@ -20,15 +20,15 @@
 }
 
 std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* garbled) {
-  Messages messages;
+  MessageFramer messages;
   std::vector<std::string> all;
   std::string message;
   for (std::size_t at = 0; at < text.size(); at += piece) {
     messages.Add(text.substr(at, piece));
-    for (Messages::Next next; (next = messages.Take(&message)) != Messages::Next::kMore;) {
-      if (next == Messages::Next::kMessage) all.push_back(message);
-      if (next == Messages::Next::kEmptyLine) all.push_back("");
-      if (next == Messages::Next::kGarbled) {
+    for (MessageFramer::Result next; (next = messages.Take(&message)) != MessageFramer::Result::kMore;) {
+      if (next == MessageFramer::Result::kMessage) all.push_back(message);
+      if (next == MessageFramer::Result::kEmptyLine) all.push_back("");
+      if (next == MessageFramer::Result::kGarbled) {
         *garbled = true;
         return all;
       }
@@ -63,15 +63,15 @@
 
 TEST(Messages, AtTheEndOnlyTheLineEndMayBeMissing) {
   std::string message;
-  Messages whole;
+  MessageFramer whole;
   whole.Add("{\"a\":\"\\\"}\"}  ");
-  EXPECT_EQ(whole.Take(&message), Messages::Next::kMore);
+  EXPECT_EQ(whole.Take(&message), MessageFramer::Result::kMore);
   EXPECT_TRUE(whole.TakeLast(&message));
   EXPECT_EQ(nlohmann::json::parse(message)["a"], "\"}");
   for (const char* text : {"", "{\"a\":1", "{\"a", " "}) {
-    Messages half;
+    MessageFramer half;
     half.Add(text);
-    EXPECT_EQ(half.Take(&message), Messages::Next::kMore);
+    EXPECT_EQ(half.Take(&message), MessageFramer::Result::kMore);
     EXPECT_FALSE(half.TakeLast(&message)) << text;
   }
 }
--- a/tests/proxy/forwarding_test.cpp
+++ b/tests/proxy/forwarding_test.cpp
@@ -146,7 +146,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.answer_whole = std::chrono::milliseconds(20);
+  site.timeouts.response_stall = std::chrono::milliseconds(20);
   site.Start();
   Client client(site.proxy->address);
   // Its deadline is a minute away: longer than the test waits.
--- a/tests/proxy/large_body_test.cpp
+++ b/tests/proxy/large_body_test.cpp
@@ -52,7 +52,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::milliseconds(0);
+  site.timeouts.connection_rest = std::chrono::milliseconds(0);
   site.Start();
   Client client(site.proxy->address);
   const std::string chunked =
@@ -124,7 +124,7 @@
 TEST(Proxy, AStalledLargeBodyIsTurnedAwayAndNothingRuns) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.body_grace = std::chrono::milliseconds(100);
+  site.timeouts.body_grace = std::chrono::milliseconds(100);
   site.Start();
   Client client(site.proxy->address);
   const std::string request = Post("book", "", Patterned(3 * 1000 * 1000));
