--- a/tests/decision/overload_state_scenarios_test.cpp
+++ b/tests/decision/overload_monitor_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Surge, storm and recovery, as a proxy tells them from its counts.
+// Surge, retry storm and recovery, as derived from the counts of requests.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -13,13 +13,14 @@
 
 using copperpoint::testing::At;
 
-// Feeds a state with rates a second, and notes what it became, and when.
-class Judged10Hz {
+// An overload state, ten counts a second, and its changes.
+class OverloadMonitorAt10Hz {
  public:
-  void For(double seconds, double arrived, double repeats, double refused) {
+  void For(double seconds, double arrived, double client_retries, double rejected) {
     for (int i = 0; i < static_cast<int>(seconds * 10 + 0.5); ++i) {
       now_ += 100;
-      const OverloadCounts counts{arrived / 10, repeats / 10, refused / 10, (arrived - refused) / 10};
+      const OverloadCounts counts{arrived / 10, client_retries / 10, rejected / 10,
+                                  (arrived - rejected) / 10};
       if (const auto next = state.Update(At(now_), Duration(100), counts)) changes.push_back(*next);
     }
   }
@@ -32,16 +33,16 @@
 
 using enum OverloadState;
 
-TEST(OverloadMonitor, ASurgeOfRealDemandIsNoStorm) {
-  Judged10Hz s;
+TEST(OverloadMonitor, SurgeOfNewRequestsIsNoStorm) {
+  OverloadMonitorAt10Hz s;
   s.For(10, 200, 0, 0);
   s.For(10, 400, 20, 150);
   s.For(10, 200, 0, 0);
   EXPECT_EQ(s.changes, (std::vector{kSurge, kCalm}));
 }
 
-TEST(OverloadMonitor, AStormIsFollowedByRecoveryBeforeCalm) {
-  Judged10Hz s;
+TEST(OverloadMonitor, StormIsFollowedByRecoveryBeforeCalm) {
+  OverloadMonitorAt10Hz s;
   s.For(10, 200, 0, 0);
   s.For(10, 600, 300, 400);
   EXPECT_EQ(s.state.state(), kStorm);
@@ -52,14 +53,14 @@
   EXPECT_EQ(s.changes[s.changes.size() - 2], kRecovery);
 }
 
-TEST(OverloadMonitor, WhereNobodyIsAnsweredItIsAStormWhoeverAsks) {
-  Judged10Hz s;
+TEST(OverloadMonitor, NoResponsesAtAllIsAStorm) {
+  OverloadMonitorAt10Hz s;
   s.For(5, 200, 0, 200);
   EXPECT_EQ(s.state.state(), kStorm);
 }
 
-TEST(OverloadMonitor, ATrickleUnderTheFloorAndASpellShorterThanItsSignsChangeNothing) {
-  Judged10Hz s;
+TEST(OverloadMonitor, LowOrBriefRetryRatesChangeNothing) {
+  OverloadMonitorAt10Hz s;
   s.For(30, 200, 9, 9);
   for (int i = 0; i < 10; ++i) {
     s.For(0.1, 200, 60, 60);
@@ -69,7 +70,7 @@
 }
 
 TEST(OverloadMonitor, DoesNotFlapWhileItsSignsComeAndGo) {
-  Judged10Hz s;
+  OverloadMonitorAt10Hz s;
   s.For(5, 400, 0, 200);
   for (int i = 0; i < 20; ++i) {
     s.For(1, 400, 0, 200);
@@ -78,8 +79,8 @@
   EXPECT_EQ(s.changes, (std::vector{kSurge}));
 }
 
-TEST(OverloadMonitor, AStormThatReturnsInTheRecoveryIsAStormAgain) {
-  Judged10Hz s;
+TEST(OverloadMonitor, StormDuringRecoveryIsAStormAgain) {
+  OverloadMonitorAt10Hz s;
   s.For(5, 600, 300, 400);
   s.For(5, 200, 0, 0);
   ASSERT_EQ(s.state.state(), kRecovery);
--- a/tests/decision/priority_scenarios_test.cpp
+++ b/tests/decision/request_priority_scenarios_test.cpp
@@ -9,12 +9,12 @@
 namespace copperpoint {
 namespace {
 
-using copperpoint::testing::Class;
-using copperpoint::testing::Usual;
+using copperpoint::testing::DefaultSettings;
+using copperpoint::testing::MakeClass;
 
-Settings Judged(ServiceObjective goal) {
-  Settings s = Usual();
-  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kNonIdempotent)};
+Settings SettingsWithObjective(ServiceObjective goal) {
+  Settings s = DefaultSettings();
+  s.classes = {MakeClass(Idempotency::kIdempotent), MakeClass(Idempotency::kNonIdempotent)};
   s.classes[0].priority_weight = 5;
   s.classes[1].priority_weight = 3;
   s.tenants = {{100}, {100}};
@@ -22,8 +22,8 @@
   return s;
 }
 
-TEST(RequestPriority, IsTheWorthWhereNothingElseIsAskedFor) {
-  RequestPriority priority(Judged({1, 0, 0}));
+TEST(RequestPriority, EqualsWeightOfItsClassByDefault) {
+  RequestPriority priority(SettingsWithObjective({1, 0, 0}));
   priority.OnOffered(1, 0, 100, true);
   EXPECT_DOUBLE_EQ(priority.PriorityOf(0, 0), 5);
   EXPECT_DOUBLE_EQ(priority.PriorityOf(1, 0), 3);
@@ -31,9 +31,9 @@
   EXPECT_DOUBLE_EQ(priority.PriorityOf(0, -1), 5);
 }
 
-TEST(RequestPriority, TheWorstServedClassRisesBySoMuchAsTheGoalGainsByIt) {
-  RequestPriority priority(Judged({0.5, 0.35, 0}));
-  priority.OnOffered(0, 0, 70, true);       // 350 of worth
+TEST(RequestPriority, WorstServedClassRisesByGainOfTheObjective) {
+  RequestPriority priority(SettingsWithObjective({0.5, 0.35, 0}));
+  priority.OnOffered(0, 0, 70, true);       // 350 of weight
   priority.OnOffered(1, 0, 50, true);       // 150
   priority.OnServedInTime(0, 0, 70, true);  // all
   priority.OnServedInTime(1, 0, 25, true);  // half
@@ -45,23 +45,23 @@
   EXPECT_GT(priority.PriorityOf(0, 0), priority.PriorityOf(1, 0));
 }
 
-TEST(RequestPriority, WhatIsBeyondItsShareDoesNotRaiseAnAccount) {
-  RequestPriority priority(Judged({0.5, 0, 0.5}));
+TEST(RequestPriority, RequestsOverQuotaDoNotRaiseTheirTenant) {
+  RequestPriority priority(SettingsWithObjective({0.5, 0, 0.5}));
   priority.OnOffered(0, 0, 10, true);
   priority.OnServedInTime(0, 0, 10, true);
   priority.OnOffered(0, 1, 10, true);
   priority.OnServedInTime(0, 1, 9, true);
   EXPECT_GT(priority.PriorityOf(0, 1), priority.PriorityOf(0, 0));
-  RequestPriority beyond(Judged({0.5, 0, 0.5}));
+  RequestPriority beyond(SettingsWithObjective({0.5, 0, 0.5}));
   beyond.OnOffered(0, 0, 10, true);
   beyond.OnServedInTime(0, 0, 9, true);
   beyond.OnOffered(0, 1, 1000, false);
   EXPECT_GT(beyond.PriorityOf(0, 0), beyond.PriorityOf(0, 1))
-      << "the storm of one account moves no other aside";
+      << "a storm of one tenant does not displace another";
 }
 
-TEST(RequestPriority, SharesAreForgotten) {
-  RequestPriority priority(Judged({0.5, 0.5, 0}));
+TEST(RequestPriority, PastCountsDecay) {
+  RequestPriority priority(SettingsWithObjective({0.5, 0.5, 0}));
   priority.OnOffered(0, 0, 1000, true);
   priority.OnServedInTime(0, 0, 1000, true);
   priority.OnOffered(1, 0, 1000, true);
