--- /dev/null
+++ b/src/proxy/core/action_executor.cpp
@@ -0,0 +1,148 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/core/action_executor.h"
+
+#include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "decision/words.h"
+#include "log/log.h"
+
+namespace copperpoint::proxy {
+namespace {
+
+// Whether the backend may have executed the request.
+bool MayHaveExecuted(AttemptOutcome outcome) {
+  return outcome != AttemptOutcome::kConnectFailure && outcome != AttemptOutcome::kBackendRejected &&
+         outcome != AttemptOutcome::kNotSent;
+}
+
+}  // namespace
+
+ActionExecutor::ActionExecutor(Options options, RequestTable& requests, Backends& backends,
+                               Discovery& discovery, EventSink& events)
+    : options_(options), requests_(requests), backends_(backends), discovery_(discovery), events_(events) {}
+
+void ActionExecutor::Execute(const Action& action) {
+  std::visit([this](const auto& alternative) { Run(alternative); }, action);
+}
+
+void ActionExecutor::OnExecuteFailed(const Action& action) {
+  const auto* start = std::get_if<StartAttempt>(&action);
+  OpenRequest* request = start ? requests_.Find(start->request) : nullptr;
+  if (!request) return;
+  request->attempt_in_flight = false;
+  ReportNotSent(*start, request->attempts - 1);
+}
+
+void ActionExecutor::Run(const StartAttempt& action) {
+  OpenRequest* request = requests_.Find(action.request);
+  const auto now = Steady::now();
+  // One that cannot start has a number too.
+  const int number = request ? request->attempts++ : 0;
+  if (!MayStart(request, now) || number >= options_.max_attempts) return ReportNotSent(action, number);
+  Start(action, *request, number, now);
+}
+
+bool ActionExecutor::MayStart(const OpenRequest* request, Steady::time_point now) const {
+  return request && !request->answered() && !request->attempt_in_flight && now < request->deadline;
+}
+
+void ActionExecutor::Start(const StartAttempt& action, OpenRequest& request, int number,
+                           Steady::time_point now) {
+  request.attempt_in_flight = true;
+  log::Global().Debug("attempt_sent", {{"request", action.request},
+                                       {"attempt", number},
+                                       {"server", action.backend},
+                                       {"work_ms", request.estimated_work_ms}});
+  Duration timeout = request.deadline - now;
+  if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
+  const Attempt attempt{action.request, number, action.backend, now};
+  request.attempt = backends_.Send(
+      action.backend, request.message, timeout,
+      [this, attempt](AttemptResult result) { OnAttemptCompleted(attempt, std::move(result)); },
+      request.upload);
+}
+
+void ActionExecutor::ReportNotSent(const StartAttempt& action, int number) {
+  const OpenRequest* request = requests_.Find(action.request);
+  AttemptCompleted completed;
+  completed.request = action.request;
+  completed.attempt = number;
+  completed.backend = action.backend;
+  completed.request_completed = !request || request->answered();
+  completed.outcome = AttemptOutcome::kNotSent;
+  events_.Dispatch(completed);
+}
+
+void ActionExecutor::OnAttemptCompleted(const Attempt& attempt, AttemptResult result) {
+  AttemptCompleted completed;
+  completed.request = attempt.request;
+  completed.attempt = attempt.number;
+  completed.backend = attempt.backend;
+  completed.outcome = result.outcome;
+  completed.duration = Steady::now() - result.written.value_or(attempt.started_at);
+  log::Global().Debug("attempt_ended", {{"request", attempt.request},
+                                        {"attempt", attempt.number},
+                                        {"server", attempt.backend},
+                                        {"outcome", WordFor(completed.outcome)},
+                                        {"took_ms", completed.duration.count()}});
+  if (OpenRequest* request = requests_.Find(attempt.request)) request->attempt_in_flight = false;
+  CompleteRequest(attempt, std::move(result));
+  const OpenRequest* request = requests_.Find(attempt.request);
+  completed.request_completed = !request || request->answered();
+  requests_.RemoveIfDone(attempt.request);
+  events_.Dispatch(completed);
+}
+
+// Gives the final answer where the result leaves no choice; otherwise the Balancer decides on a retry.
+void ActionExecutor::CompleteRequest(const Attempt& attempt, AttemptResult result) {
+  const OpenRequest* request = requests_.Find(attempt.request);
+  const auto reject = [&](Responder& to) { to.Refused(options_.local_limit_retry_after); };
+  const auto fail = [](Responder& to) { to.Failed(); };
+  if (result.outcome == AttemptOutcome::kSuccess) {
+    requests_.Complete(attempt.request, End::kServed, RejectReason::kNone, [&](Responder& to) {
+      to.Served(std::move(result.response), std::move(result.rest), result.length);
+    });
+  } else if (result.outcome == AttemptOutcome::kUnknown) {
+    requests_.Complete(attempt.request, End::kRejected, RejectReason::kNone,
+                       [&](Responder& to) { to.Rejected(result.response.result()); });
+  } else if (result.local) {
+    // Over a limit of this process: no backend is at fault, and another attempt would fare no better.
+    if (attempt.number > 0) {
+      requests_.Complete(attempt.request, End::kFailed, RejectReason::kProcessLimit, fail);
+    } else {
+      requests_.Complete(attempt.request, End::kRefused, RejectReason::kProcessLimit, reject);
+    }
+  } else if (request && request->upload && request->upload->consumed) {
+    // Part of the body has been forwarded and is no longer here: there can be no other attempt.
+    if (MayHaveExecuted(result.outcome)) {
+      requests_.Complete(attempt.request, End::kFailed, RejectReason::kRequestBodyConsumed, fail);
+    } else {
+      requests_.Complete(attempt.request, End::kRefused, RejectReason::kRequestBodyConsumed, reject);
+    }
+  }
+}
+
+void ActionExecutor::Run(const RejectRequest& action) {
+  requests_.Complete(action.request, End::kRefused, action.reason,
+                     [&](Responder& to) { to.Refused(action.retry_after); });
+  requests_.RemoveIfDone(action.request);
+}
+
+void ActionExecutor::Run(const FailRequest& action) {
+  requests_.Complete(action.request, End::kFailed, action.reason, [](Responder& to) { to.Failed(); });
+  requests_.RemoveIfDone(action.request);
+}
+
+void ActionExecutor::Run(const SetTimer&) {}  // the EventDispatcher's own
+
+void ActionExecutor::Run(const PollEndpoints&) { discovery_.Watch(); }
+
+void ActionExecutor::Run(const CloseIdleConnections& action) {
+  backends_.CloseIdleConnections(action.backend);
+}
+
+void ActionExecutor::Run(const Log& action) { log::Global().Info("decision", {{"text", action.text}}); }
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/core/endpoint_table.h
@@ -0,0 +1,59 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Turns discovery's endpoint lists into updates for the Balancer and addresses for the connection pool.
+#ifndef COPPERPOINT_PROXY_CORE_ENDPOINT_TABLE_H_
+#define COPPERPOINT_PROXY_CORE_ENDPOINT_TABLE_H_
+
+#include <chrono>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "copperpoint/balancer.h"
+#include "proxy/clock.h"
+#include "proxy/core/event_sink.h"
+#include "proxy/discovery/members.h"
+#include "proxy/upstream/backends.h"
+
+namespace copperpoint::proxy {
+
+// Owns the backend ids and, for each backend that has been removed, since when. Discovery never uses an id
+// twice, so that a backend is forgotten once it has been removed for the retention time.
+class EndpointTable {
+ public:
+  struct Options {
+    std::vector<std::string> zones, machine_kinds;  // by the Balancer's index
+    std::chrono::milliseconds removed_retention{900'000};
+  };
+
+  EndpointTable(Options options, const ModuleClock& clock, Backends& backends, EventSink& events);
+
+  // Sets the addresses of the backends on the list, retires those that it removes, and dispatches the update.
+  void Apply(const MemberList& list, EndpointUpdateKind kind);
+  void set_removed_retention(std::chrono::milliseconds retention) { options_.removed_retention = retention; }
+
+  // Nothing if no list has named the id, or the backend is forgotten.
+  std::optional<BackendId> Find(const std::string& id) const;
+  std::unordered_map<BackendId, std::string> IdsByBackend() const;
+
+ private:
+  void RetireUnlisted(const MemberList& list);
+  Endpoint ToEndpoint(const Member& member) const;
+  void ApplyAddress(const Member& member, BackendId backend);
+  void RecordRemovals(const MemberList& list, EndpointUpdateKind kind);
+  void ForgetLongRemoved();
+  int ZoneIndex(const std::string& name) const;
+  int MachineKindIndex(const std::string& name) const;
+
+  Options options_;
+  const ModuleClock& clock_;
+  Backends& backends_;
+  EventSink& events_;
+  ServerNumbers backend_ids_;
+  std::unordered_map<std::string, Steady::time_point> removed_since_;  // by discovery's id
+};
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_CORE_ENDPOINT_TABLE_H_
--- /dev/null
+++ b/src/proxy/core/request_receiver.cpp
@@ -0,0 +1,51 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/core/request_receiver.h"
+
+#include <string>
+#include <utility>
+
+#include "log/log.h"
+#include "overload/repeats.h"
+
+namespace copperpoint::proxy {
+namespace {
+
+void LogReceived(const RequestReceived& event, const OpenRequest& request) {
+  if (!log::Global().Enabled(log::Level::kDebug)) return;
+  log::Global().Debug("request_taken", {{"request", event.request},
+                                        {"id", std::string((*request.message)["Req-Id"])},
+                                        {"wish", log::Hex(overload::FingerprintOf(event))},
+                                        {"class", event.request_class},
+                                        {"work_ms", event.estimated_work_ms}});
+}
+
+}  // namespace
+
+RequestReceiver::RequestReceiver(const ModuleClock& clock, RequestTable& requests, Backends& backends,
+                                 EventSink& events)
+    : clock_(clock), requests_(requests), backends_(backends), events_(events) {}
+
+RequestId RequestReceiver::OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) {
+  RequestReceived event;
+  event.deadline = clock_.At(request.due);
+  event.request_class = request.request_class;
+  event.tenant = request.tenant;
+  event.key = request.key;
+  event.has_work_estimate = request.has_hint;
+  event.client_retry = request.client_retry;
+  event.estimated_work_ms = request.work_ms;
+  event.request = requests_.Add(std::move(request), std::move(responder));
+  LogReceived(event, *requests_.Find(event.request));
+  events_.Dispatch(event);
+  return event.request;
+}
+
+void RequestReceiver::OnClientDisconnected(RequestId request) {
+  if (!requests_.Abandon(request)) return;
+  const OpenRequest* open = requests_.Find(request);
+  if (open->attempt_in_flight) backends_.AbortUnsent(open->attempt);
+  requests_.RemoveIfDone(request);
+  events_.Dispatch(ClientDisconnected{request});
+}
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/core/request_table.cpp
@@ -0,0 +1,85 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/core/request_table.h"
+
+#include <exception>
+#include <utility>
+
+#include "decision/words.h"
+#include "log/log.h"
+
+namespace copperpoint::proxy {
+namespace {
+
+constexpr const char* kReqId = "Req-Id";
+
+// An exception costs this answer alone; the caller still has to report to the Balancer.
+void RespondSafely(Responder& responder, const RequestTable::Respond& respond) {
+  try {
+    respond(responder);
+  } catch (const std::exception& error) {
+    log::Global().Error("answer_failed", {{"error", error.what()}});
+    try {
+      responder.Failed();              // has no effect if the response has begun
+    } catch (const std::exception&) {  // NOLINT(bugprone-empty-catch): there is no answer left to give
+    }
+  }
+}
+
+}  // namespace
+
+RequestId RequestTable::Add(ClientRequest request, std::shared_ptr<Responder> responder) {
+  const RequestId id = ++last_id_;
+  OpenRequest& open = requests_[id];
+  open.received_at = Steady::now();
+  open.deadline = request.due;
+  open.request_class = request.request_class;
+  open.tenant = request.tenant;
+  open.estimated_work_ms = request.work_ms;
+  open_req_ids_.emplace(request.message[kReqId]);
+  open.message = std::make_shared<const HttpRequest>(std::move(request.message));
+  if (request.rest) open.upload = std::make_shared<Upload>(Upload{std::move(request.rest)});
+  open.responder = std::move(responder);
+  return id;
+}
+
+OpenRequest* RequestTable::Find(RequestId id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+void RequestTable::Complete(RequestId id, End end, RejectReason reason, const Respond& respond) {
+  if (const auto responder = TakeResponder(id, end, reason)) RespondSafely(*responder, respond);
+}
+
+bool RequestTable::Abandon(RequestId id) {
+  return TakeResponder(id, End::kClientGone, RejectReason::kNone) != nullptr;
+}
+
+// Null if the request is not open or has its answer.
+std::shared_ptr<Responder> RequestTable::TakeResponder(RequestId id, End end, RejectReason reason) {
+  OpenRequest* request = Find(id);
+  if (!request || request->answered()) return nullptr;
+  const auto now = Steady::now();
+  const Duration elapsed = now - request->received_at;
+  log::Global().Debug("request_ended",
+                      {{"request", id},
+                       {"class", request->request_class},
+                       {"how", NameOf(end)},
+                       {"why", WordFor(reason)},
+                       {"attempts", request->attempts},
+                       {"after_ms", elapsed.count()},
+                       {"allowed_ms", Duration(request->deadline - request->received_at).count()}});
+  observer_.OnRequestCompleted(
+      {request->request_class, request->tenant, end, now <= request->deadline, request->attempts, elapsed});
+  request->upload.reset();
+  return std::exchange(request->responder, nullptr);
+}
+
+void RequestTable::RemoveIfDone(RequestId id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end() || !found->second.answered() || found->second.attempt_in_flight) return;
+  open_req_ids_.erase(std::string((*found->second.message)[kReqId]));
+  requests_.erase(found);
+}
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/handover/handover_client.cpp
@@ -0,0 +1,105 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/handover/handover_client.h"
+
+#include <sys/socket.h>
+
+#include <boost/asio/error.hpp>
+#include <utility>
+
+namespace copperpoint::proxy {
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+bool ListensAt(int descriptor, const tcp::endpoint& address) {
+  int listening = 0;
+  socklen_t size = sizeof listening;
+  if (::getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listening, &size) != 0 || !listening) return false;
+  tcp::endpoint name;
+  size = static_cast<socklen_t>(name.capacity());
+  if (::getsockname(descriptor, name.data(), &size) != 0 || size > name.capacity()) return false;
+  name.resize(size);
+  return name == address;
+}
+
+}  // namespace
+
+const char* NameOf(HandoverError error) {
+  switch (error) {
+    case HandoverError::kTimeout:
+      return "timeout";
+    case HandoverError::kPredecessorClosed:
+      return "predecessor_closed";
+    case HandoverError::kInvalidListener:
+      return "invalid_listener";
+  }
+  return "unknown";
+}
+
+std::unique_ptr<HandoverClient> HandoverClient::Connect(boost::asio::io_context& io, const std::string& path,
+                                                        Observer& observer) {
+  if (path.empty() || path.size() > MaxSocketPathLength()) return nullptr;
+  std::unique_ptr<HandoverClient> client(new HandoverClient(io, observer));
+  error_code failed;
+  client->socket_.open(SeqPacketProtocol(), failed);
+  if (!failed) client->socket_.non_blocking(true, failed);
+  if (!failed) client->socket_.connect(SeqPacketProtocol::endpoint(path), failed);
+  if (failed || !PeerIsSameUser(client->socket_)) return nullptr;
+  return client;
+}
+
+void HandoverClient::RequestListener(const tcp::endpoint& listen, std::chrono::milliseconds timeout) {
+  listen_ = listen;
+  state_ = State::kRequested;
+  timer_.expires_after(timeout);
+  timer_.async_wait([this](const error_code& cancelled) {
+    if (!cancelled && state_ == State::kRequested) Fail(HandoverError::kTimeout);
+  });
+  SendMessage(socket_, EncodeListenerRequest(listen));  // if it fails, so does the wait
+  WaitForMessage();
+}
+
+void HandoverClient::WaitForMessage() {
+  socket_.async_wait(SeqPacketProtocol::socket::wait_read, [this](const error_code& failed) {
+    if (failed == boost::asio::error::operation_aborted) return;
+    if (failed) return OnConnectionEnded();
+    OnReadable();
+  });
+}
+
+void HandoverClient::OnReadable() {
+  ReceivedMessage message;
+  const error_code failed = ReceiveMessage(socket_, &message);
+  if (failed && failed != boost::asio::error::would_block) return OnConnectionEnded();
+  if (!failed) OnMessage(std::move(message));
+  if (state_ != State::kClosed) WaitForMessage();
+}
+
+void HandoverClient::OnMessage(ReceivedMessage message) {
+  if (state_ == State::kReceived) {
+    if (const auto report = DecodeDescriptorReport(message.text)) observer_.OnDescriptorReport(*report);
+    return;
+  }
+  if (!ListensAt(message.descriptor.get(), listen_)) return Fail(HandoverError::kInvalidListener);
+  timer_.cancel();
+  state_ = State::kReceived;
+  observer_.OnListenerReceived(std::move(message.descriptor), message.text);
+}
+
+void HandoverClient::OnConnectionEnded() {
+  if (state_ == State::kRequested) return Fail(HandoverError::kPredecessorClosed);
+  state_ = State::kClosed;
+  observer_.OnPredecessorExited();
+}
+
+// Closing the connection tells the predecessor to go on as the only process.
+void HandoverClient::Fail(HandoverError error) {
+  timer_.cancel();
+  error_code ignored;
+  socket_.close(ignored);
+  state_ = State::kClosed;
+  observer_.OnHandoverFailed(error);
+}
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/handover/handover_client.h
@@ -0,0 +1,75 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The successor's side of a hand-over: asks the process that serves for its listening socket and state.
+#ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_CLIENT_H_
+#define COPPERPOINT_PROXY_HANDOVER_HANDOVER_CLIENT_H_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
+#include <memory>
+#include <string>
+
+#include "proxy/handover/handover_messages.h"
+#include "proxy/handover/message_socket.h"
+
+namespace copperpoint::proxy {
+
+// Why no listening socket was received.
+enum class HandoverError {
+  kTimeout,            // the predecessor did not answer in time
+  kPredecessorClosed,  // it refused, exited, or sent a message that was cut off
+  kInvalidListener,    // what it sent is no socket that listens at this proxy's address
+};
+
+// Owns the connection to the predecessor.
+//
+//   kConnected -- RequestListener ------------------------> kRequested
+//   kRequested -- a valid listening socket arrives -------> kReceived    OnListenerReceived
+//   kRequested -- timeout, end of connection, invalid ----> kClosed      OnHandoverFailed
+//   kReceived --- end of connection ----------------------> kClosed      OnPredecessorExited
+class HandoverClient {
+ public:
+  class Observer {
+   public:
+    virtual ~Observer() = default;
+    // This process owns the socket from here on. `encoded_state`: for DecodeHandoverState.
+    virtual void OnListenerReceived(OwnedDescriptor listener, const std::string& encoded_state) = 0;
+    virtual void OnHandoverFailed(HandoverError error) = 0;
+    // Only after OnListenerReceived.
+    virtual void OnDescriptorReport(const DescriptorReport& report) = 0;
+    virtual void OnPredecessorExited() = 0;
+  };
+
+  // Null if no process of the same user listens at `path`. `observer` must outlive the client.
+  static std::unique_ptr<HandoverClient> Connect(boost::asio::io_context& io, const std::string& path,
+                                                 Observer& observer);
+
+  // Once. Either OnListenerReceived or OnHandoverFailed follows, never from within this call.
+  void RequestListener(const boost::asio::ip::tcp::endpoint& listen, std::chrono::milliseconds timeout);
+
+ private:
+  enum class State { kConnected, kRequested, kReceived, kClosed };
+
+  HandoverClient(boost::asio::io_context& io, Observer& observer)
+      : observer_(observer), socket_(io), timer_(io) {}
+  void WaitForMessage();
+  void OnReadable();
+  void OnMessage(ReceivedMessage message);
+  void OnConnectionEnded();
+  void Fail(HandoverError error);
+
+  Observer& observer_;
+  SeqPacketProtocol::socket socket_;
+  boost::asio::steady_timer timer_;
+  boost::asio::ip::tcp::endpoint listen_;
+  State state_ = State::kConnected;
+};
+
+// For the log.
+const char* NameOf(HandoverError error);
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_HANDOVER_HANDOVER_CLIENT_H_
--- /dev/null
+++ b/src/proxy/handover/handover_coordinator.cpp
@@ -0,0 +1,140 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/handover/handover_coordinator.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "log/log.h"
+
+namespace copperpoint::proxy {
+
+HandoverCoordinator::HandoverCoordinator(boost::asio::io_context& io, Options options, const Context& context,
+                                         ExportState export_state)
+    : io_(io),
+      options_(std::move(options)),
+      context_(context),
+      export_state_(std::move(export_state)),
+      endpoints_timer_(io) {}
+
+// ---- from the predecessor -------------------------------------------------------------------------------
+
+bool HandoverCoordinator::TakeOverFromPredecessor() {
+  predecessor_ = HandoverClient::Connect(io_, options_.socket_path, *this);
+  if (!predecessor_) return false;
+  phase_ = Phase::kWaitingForEndpoints;
+  log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", options_.timeouts.list.count()}});
+  RequestListenerAfter(options_.timeouts.list);
+  return true;
+}
+
+// Called from within a call of discovery's: the request is an event of its own.
+void HandoverCoordinator::OnEndpointsReceived() {
+  if (phase_ == Phase::kWaitingForEndpoints) RequestListenerAfter(std::chrono::milliseconds(0));
+}
+
+void HandoverCoordinator::RequestListenerAfter(std::chrono::milliseconds wait) {
+  endpoints_timer_.expires_after(wait);
+  endpoints_timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled) RequestListener();
+  });
+}
+
+void HandoverCoordinator::RequestListener() {
+  if (phase_ != Phase::kWaitingForEndpoints) return;
+  phase_ = Phase::kRequested;
+  if (context_.lifecycle.shutting_down()) return;
+  predecessor_->RequestListener(options_.listen, options_.timeouts.listener);
+}
+
+void HandoverCoordinator::Cancel() { endpoints_timer_.cancel(); }
+
+void HandoverCoordinator::OnListenerReceived(OwnedDescriptor listener, const std::string& encoded_state) {
+  if (context_.lifecycle.shutting_down()) return;
+  log::Global().Info("upgrade_listener_taken");
+  StartAccepting(listener.Release());
+  RestoreState(encoded_state);
+}
+
+void HandoverCoordinator::OnHandoverFailed(HandoverError error) {
+  if (context_.lifecycle.shutting_down()) return;
+  log::Global().Warn("upgrade_listens_beside", {{"waited_ms", options_.timeouts.listener.count()},
+                                                {"reason", NameOf(error)},
+                                                {"socket", options_.socket_path}});
+  StartAccepting(OwnedDescriptor::kNone);
+}
+
+void HandoverCoordinator::StartAccepting(int listener) {
+  phase_ = Phase::kServing;
+  context_.listener.StartAccepting(listener);
+}
+
+void HandoverCoordinator::RestoreState(const std::string& encoded_state) {
+  const DecodedHandoverState state = DecodeHandoverState(
+      encoded_state, [this](const std::string& id) { return context_.endpoints.Find(id).has_value(); });
+  if (state.descriptors) LimitBeside(*state.descriptors);
+  if (!state.error.empty()) log::Global().Warn("upgrade_learnt_unreadable", {{"reason", state.error}});
+  StateRestored restored;
+  for (const BackendHandoverState& backend : state.backends) {
+    restored.backends.push_back({*context_.endpoints.Find(backend.id), backend.ejection_multiplier,
+                                 backend.ejection_remaining, backend.slow_start_work});
+  }
+  if (!restored.backends.empty()) context_.events.Dispatch(std::move(restored));
+}
+
+void HandoverCoordinator::OnDescriptorReport(const DescriptorReport& report) {
+  LimitBeside(report.descriptors);
+}
+
+void HandoverCoordinator::OnPredecessorExited() {
+  log::Global().Info("upgrade_before_gone");
+  LimitBeside(0);
+}
+
+void HandoverCoordinator::LimitBeside(int other_descriptors) {
+  const DescriptorBudget::Limits limits = context_.budget.BesideProcess(other_descriptors);
+  context_.listener.SetClientLimit(limits.clients);
+  context_.backends.SetLimit(limits.backends);
+}
+
+// ---- to the successor -----------------------------------------------------------------------------------
+
+void HandoverCoordinator::AwaitSuccessor() {
+  if (options_.socket_path.empty()) return;
+  HandoverServer::Delegate& delegate = *this;
+  successor_ = std::make_unique<HandoverServer>(io_, options_.socket_path, options_.listen, delegate);
+}
+
+std::optional<HandoverServer::Grant> HandoverCoordinator::OnListenerRequested() {
+  const auto listener = context_.listener.ReleaseListener();
+  if (!listener) return std::nullopt;
+  log::Global().Info("upgrade_listener_given");
+  // No more connections than now; one at least, so that open requests can still be retried.
+  context_.backends.SetLimit(std::max<std::size_t>(context_.backends.connections(), 1));
+  return HandoverServer::Grant{*listener, HandoverState{DescriptorsInUse(), ExportBackends()}};
+}
+
+void HandoverCoordinator::OnSuccessorExited() {
+  log::Global().Warn("upgrade_next_gone");
+  context_.listener.ReclaimListener();
+  context_.backends.SetLimit(context_.budget.ForSingleProcess().backends);
+}
+
+void HandoverCoordinator::ReportDescriptors() {
+  if (successor_) successor_->SendReport({DescriptorsInUse()});
+}
+
+int HandoverCoordinator::DescriptorsInUse() const {
+  return context_.budget.InUse(context_.listener.client_connections(), context_.backends.connections());
+}
+
+std::vector<BackendHandoverState> HandoverCoordinator::ExportBackends() const {
+  std::vector<BackendHandoverState> exported;
+  auto ids = context_.endpoints.IdsByBackend();
+  for (const BackendSnapshot& backend : export_state_()) {
+    exported.push_back({ids[backend.backend], backend.ejection_multiplier, backend.ejection_remaining,
+                        backend.slow_start_work});
+  }
+  return exported;
+}
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/handover/handover_server.h
@@ -0,0 +1,70 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The predecessor's side of a hand-over: a socket in the proxy's state folder at which a successor asks for
+// the listening socket.
+#ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_SERVER_H_
+#define COPPERPOINT_PROXY_HANDOVER_HANDOVER_SERVER_H_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <optional>
+#include <string>
+
+#include "proxy/handover/handover_messages.h"
+#include "proxy/handover/message_socket.h"
+
+namespace copperpoint::proxy {
+
+// Owns the socket in the state folder and the connection to the one successor.
+//
+//   kServing ---- a valid request, granted by the delegate --> kHandedOver
+//   kHandedOver - the successor's connection ends -----------> kServing
+//
+// A request for another address, or one that the delegate refuses, closes the connection and changes nothing.
+class HandoverServer {
+ public:
+  struct Grant {
+    int listener = OwnedDescriptor::kNone;  // stays the delegate's; the successor gets a copy
+    HandoverState state;
+  };
+  class Delegate {
+   public:
+    virtual ~Delegate() = default;
+    // A successor is about to serve. Nothing: there is no listening socket to hand over any more.
+    virtual std::optional<Grant> OnListenerRequested() = 0;
+    // The successor has exited or closed its connection: this process is the only one again.
+    virtual void OnSuccessorExited() = 0;
+  };
+
+  // Listens at `path`, in place of whatever socket stood there. Where it can't, no successor can connect, and
+  // it begins to serve without the predecessor's state. `listen`: the address that a successor must name.
+  HandoverServer(boost::asio::io_context& io, std::string path, const boost::asio::ip::tcp::endpoint& listen,
+                 Delegate& delegate);
+  // Removes the socket from the folder unless a successor, whose path it is then, has taken over.
+  ~HandoverServer();
+  HandoverServer(const HandoverServer&) = delete;
+  HandoverServer& operator=(const HandoverServer&) = delete;
+
+  // Sends the report to the successor, if there is one.
+  void SendReport(const DescriptorReport& report);
+
+ private:
+  enum class State { kServing, kHandedOver };
+
+  void Listen();
+  void Accept();
+  void WaitForMessage();
+  bool OnMessage(const std::string& text);
+  void OnConnectionEnded();
+
+  const std::string path_;
+  const boost::asio::ip::tcp::endpoint listen_;
+  Delegate& delegate_;
+  SeqPacketProtocol::acceptor acceptor_;
+  SeqPacketProtocol::socket socket_;  // to the successor
+  State state_ = State::kServing;
+};
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_HANDOVER_HANDOVER_SERVER_H_
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -3,54 +3,33 @@
 
 #include <algorithm>
 #include <cctype>
-#include <exception>
-#include <nlohmann/json.hpp>
-#include <random>
-#include <unordered_set>
+#include <chrono>
 #include <utility>
+#include <vector>
 
-#include "decision/words.h"
 #include "log/log.h"
-#include "overload/repeats.h"
 
 namespace copperpoint::proxy {
 namespace {
 
-// Descriptors: what is neither a client's nor a backend's (standard streams, the event loop, the listener,
-// watches of discovery, a connection being accepted), and the clients' part of the rest. Of the clients',
-// those with a request open are a half; the others have to make room when they stand idle.
-constexpr int kOtherDescriptors = 24;
-constexpr int kOperatorDescriptors = static_cast<int>(Operator::kMostConnections) + 2;
-constexpr TimePoint kUnarmed{Duration(1e300)};
-constexpr Duration kStopGrace{600};  // connections go on coming for up to 400 ms after SIGTERM
-
-constexpr std::chrono::milliseconds kLookForDisabled{100};
+// New connections are accepted for this long after the shutdown has begun: those who route to this proxy may
+// take up to 400 ms to notice.
+constexpr Duration kShutdownAcceptGrace{600};
+constexpr std::chrono::milliseconds kProcessSyncInterval{100};
 constexpr std::string_view kRolloutPath = "/rollout";
-constexpr int kLeastPeers = 32;  // descriptors for clients and backends, however many another process holds
-
-int OwnDescriptors(const Config& config) {
-  return kOtherDescriptors + (config.operator_address ? kOperatorDescriptors : 0) +
-         (config.fleet.on() ? FleetHost::kDescriptors : 0);
-}
-double PeerDescriptors(const Config& config) { return config.sockets - OwnDescriptors(config); }
 
-Backends::Limits BackendLimits(const Config& config) {
-  return {config.connect_timeout, config.conn_idle,
-          static_cast<std::size_t>(PeerDescriptors(config) * (1 - config.shares.clients)), config.patience};
+Backends::Limits BackendLimits(const Config& config, const DescriptorBudget& budget) {
+  return {config.connect_timeout, config.conn_idle, budget.ForSingleProcess().backends, config.patience};
 }
 
-std::size_t ClientLimit(const Config& config) {
-  return static_cast<std::size_t>(PeerDescriptors(config) * config.shares.clients);
-}
-
-// One folder may serve proxies of several names.
-std::string StateFile(const Config& config, const char* what) {
+// The file of that name in the state folder, which may serve proxies of several names. Empty: no folder.
+std::string StateFile(const Config& config, const char* name) {
   if (config.state_folder.empty()) return "";
-  std::string name = config.name;
+  std::string proxy_name = config.name;
   std::replace_if(
-      name.begin(), name.end(), [](unsigned char c) { return !std::isalnum(c) && c != '-' && c != '_'; },
-      '_');
-  return config.state_folder + "/copperpoint-" + name + "-" + what;
+      proxy_name.begin(), proxy_name.end(),
+      [](unsigned char c) { return !std::isalnum(c) && c != '-' && c != '_'; }, '_');
+  return config.state_folder + "/copperpoint-" + proxy_name + "-" + name;
 }
 
 Discovery::Options DiscoveryOptions(const Config& config) {
@@ -71,556 +50,143 @@
       balancer_(config_.settings, config_.seed),
       lifecycle_(log::Global()),
       disabled_(StateFile(config_, "disabled.json"), log::Global()),
-      armed_for_(kUnarmed),
-      timer_(io),
-      look_(io),
-      fresh_list_(io) {
-  backends_ = std::make_unique<Backends>(io, BackendLimits(config_));
-  discovery_ = std::make_unique<Discovery>(
-      io, DiscoveryOptions(config_),
-      [this](const MemberList& list) {
-        OnList(list, list.complete ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kIncremental);
-      },
-      [this] {
-        Feed(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
-      });
-  OnList(config_.known, EndpointUpdateKind::kCached);
-  if (!config_.settings.polls_endpoints) discovery_->Watch();
-  predecessor_ = HandoverClient::Connect(io, StateFile(config_, "handover.sock"));
-  if (predecessor_) {
-    log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", config_.upgrade.list.count()}});
-    TakeOverAfter(config_.upgrade.list);
-  } else {
-    Serve(-1);
-  }
-  if (config_.operator_address) operator_ = std::make_unique<Operator>(io, *config_.operator_address, *this);
-  if (!config_.state_folder.empty()) LookAfterState();
+      budget_(config_),
+      requests_(membership_),
+      dispatcher_(io, clock_,
+                  [this](TimePoint now, const Event& event, std::vector<Action>* actions) {
+                    balancer_.Handle(now, event, actions);
+                  }),
+      sync_timer_(io),
+      backends_(io, BackendLimits(config_, budget_)),
+      endpoints_({config_.zones, config_.kinds, config_.patience.forgotten}, clock_, backends_, dispatcher_),
+      discovery_(
+          io, DiscoveryOptions(config_),
+          [this](const MemberList& list) {
+            OnEndpointList(list,
+                           list.complete ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kIncremental);
+          },
+          [this] {
+            dispatcher_.Dispatch(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
+          }),
+      executor_({config_.settings.max_attempts, config_.shares.refusal}, requests_, backends_, discovery_,
+                dispatcher_),
+      receiver_(clock_, requests_, backends_, dispatcher_),
+      handover_(io, {StateFile(config_, "handover.sock"), config_.listen, config_.upgrade},
+                {*this, lifecycle_, budget_, endpoints_, backends_, dispatcher_},
+                [this] { return balancer_.ExportState(clock_.Now()); }) {
+  dispatcher_.set_handler(&executor_);
+  OnEndpointList(config_.known, EndpointUpdateKind::kCached);
+  if (!config_.settings.polls_endpoints) discovery_.Watch();
+  if (!handover_.TakeOverFromPredecessor()) StartAccepting(OwnedDescriptor::kNone);
+  if (config_.operator_address) admin_ = std::make_unique<Operator>(io, *config_.operator_address, *this);
+  if (!config_.state_folder.empty()) ScheduleProcessSync();
   if (config_.fleet.on()) {
-    const auto zone = static_cast<std::size_t>(config_.settings.zone);
-    fleet_ = std::make_unique<FleetHost>(
-        io, config_.fleet,
-        FleetSelf{config_.name, zone < config_.zones.size() ? config_.zones[zone] : "", COPPERPOINT_VERSION,
-                  config_.settings_version},
-        config_.seed ^ std::random_device()(), [this](double turn) { Feed(SubsetPosition{turn}); });
-    TellFleet();
+    membership_.Join(io, config_,
+                     [this](double ring_offset) { dispatcher_.Dispatch(SubsetPosition{ring_offset}); });
+    membership_.Publish(lifecycle_.state());
   }
 }
 
 Proxy::~Proxy() = default;
 
 void Proxy::Reload(const Config& config) {
-  config_.patience = config.patience;  // of the clients too, who look here
-  backends_->SetPatience(config.patience);
-  discovery_->Move(config.discovery);
+  config_.patience = config.patience;
+  backends_.SetPatience(config.patience);
+  endpoints_.set_removed_retention(config.patience.forgotten);
+  discovery_.Move(config.discovery);
 }
 
 void Proxy::Stop(std::function<void()> done) {
   lifecycle_.StartShutdown();
-  if (fleet_) fleet_->Leave();
-  fresh_list_.cancel();
+  membership_.Leave();
+  handover_.Cancel();
   if (!clients_) return done();
-  clients_->Stop(kStopGrace, std::move(done));
-}
-
-OperatorCalls::Verdict Proxy::Disable(const std::string& backend) {
-  MemberList changes;
-  const auto verdict = disabled_.Disable(backend, &changes);
-  return Carried(verdict, changes);
-}
-
-OperatorCalls::Verdict Proxy::Enable(const std::string& backend) {
-  MemberList changes;
-  const auto verdict = disabled_.Enable(backend, &changes);
-  return Carried(verdict, changes);
-}
-
-OperatorCalls::Verdict Proxy::Carried(DisabledBackends::Verdict verdict, const MemberList& changes) {
-  if (verdict == DisabledBackends::Verdict::kUnknown) return Verdict::kUnknownBackend;
-  if (verdict == DisabledBackends::Verdict::kNotKept) return Verdict::kNotKept;
-  if (!changes.members.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
-  return Verdict::kDone;
-}
-
-OperatorCalls::Verdict Proxy::Drain() {
-  if (!lifecycle_.StartDraining()) return Verdict::kStopping;
-  if (clients_) clients_->Drain(true);
-  TellFleet();
-  return Verdict::kDone;
+  clients_->Stop(kShutdownAcceptGrace, std::move(done));
 }
 
-OperatorCalls::Verdict Proxy::Undrain() {
-  if (!lifecycle_.StopDraining()) return Verdict::kStopping;
-  if (clients_) clients_->Drain(false);
-  TellFleet();
-  return Verdict::kDone;
-}
-
-bool Proxy::HasPart(std::string_view path) const { return fleet_ && path.starts_with(kRolloutPath); }
-
-std::optional<OperatorCalls::Said> Proxy::Part(const std::string& path, bool post, const std::string& body) {
-  return fleet_->Rollout(path.substr(kRolloutPath.size()), post, body);
-}
-
-void Proxy::TellFleet() {
-  if (!fleet_) return;
-  switch (lifecycle_.state()) {
-    case Lifecycle::State::kStarting:
-      return fleet_->SetState(membership::State::kStarting);
-    case Lifecycle::State::kReady:
-      fleet_->Ready();
-      return fleet_->SetState(membership::State::kServing);
-    case Lifecycle::State::kDrainingNotStarted:
-    case Lifecycle::State::kDraining:
-      return fleet_->SetState(membership::State::kDraining);
-    case Lifecycle::State::kShuttingDown:
-      return;  // it has left
-  }
+void Proxy::StartAccepting(int listener) {
+  clients_ = std::make_unique<Clients>(io_, config_, budget_.ForSingleProcess().clients, *this, listener);
+  if (lifecycle_.draining()) clients_->Drain(true);
+  handover_.AwaitSuccessor();
+  if (has_endpoints_) lifecycle_.OnStarted();
+  membership_.Publish(lifecycle_.state());
 }
 
-// Another process of this proxy may be told to take a backend out, or to put it back.
-void Proxy::LookAfterState() {
-  look_.expires_after(kLookForDisabled);
-  look_.async_wait([this](const boost::system::error_code& cancelled) {
+void Proxy::ScheduleProcessSync() {
+  sync_timer_.expires_after(kProcessSyncInterval);
+  sync_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
-    LookAfterState();
+    ScheduleProcessSync();
     const MemberList changes = disabled_.Reread();
-    if (!changes.members.empty()) PassOn(changes, EndpointUpdateKind::kIncremental);
-    if (successor_) successor_->Tell(nlohmann::json{{"descriptors", Descriptors()}}.dump());
-  });
-}
-
-int Proxy::Descriptors() const {
-  return static_cast<int>(clients_->connections() + backends_->connections()) + OwnDescriptors(config_);
-}
-
-void Proxy::Serve(int listener) {
-  clients_ = std::make_unique<Clients>(io_, config_, ClientLimit(config_), *this, listener);
-  if (lifecycle_.draining()) clients_->Drain(true);
-  if (!config_.state_folder.empty()) {
-    successor_ = std::make_unique<HandoverServer>(
-        io_, StateFile(config_, "handover.sock"), config_.listen, [this] { return GiveOver(); },
-        [this] {
-          log::Global().Warn("upgrade_next_gone");
-          clients_->TakeBack();
-          backends_->SetLimit(BackendLimits(config_).connections);
-        });
-  }
-  if (listed_) lifecycle_.OnStarted();
-  TellFleet();
-}
-
-// Not before discovery's list is here, or would take too long: the one that this process was started with may
-// be old, and the other one serves in the meantime.
-void Proxy::TakeOverAfter(std::chrono::milliseconds wait) {
-  if (asked_for_listener_) return;
-  fresh_list_.expires_after(wait);
-  fresh_list_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled) TakeOver();
+    if (!changes.members.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
+    handover_.ReportDescriptors();
   });
 }
 
-void Proxy::TakeOver() {
-  if (std::exchange(asked_for_listener_, true) || lifecycle_.shutting_down()) return;
-  predecessor_->Take(
-      config_.listen, config_.upgrade.listener,
-      [this](std::optional<Gift> gift) {
-        if (lifecycle_.shutting_down()) return;
-        if (gift) {
-          log::Global().Info("upgrade_listener_taken");
-        } else {
-          log::Global().Warn("upgrade_listens_beside", {{"waited_ms", config_.upgrade.listener.count()}});
-        }
-        Serve(gift ? gift->listener : -1);
-        if (gift) OnGift(gift->text);
-      },
-      [this](const std::string& text) {
-        const auto json = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
-        if (const auto n = json.is_object() ? json.find("descriptors") : json.end();
-            json.is_object() && n != json.end() && n->is_number_integer())
-          LeaveTo(n->get<int>());
-      },
-      [this] {
-        log::Global().Info("upgrade_before_gone");
-        LeaveTo(0);
-      });
-}
-
-// Both processes together hold no more descriptors than one may.
-void Proxy::LeaveTo(int other_descriptors) {
-  const double rest =
-      std::max<double>(kLeastPeers, PeerDescriptors(config_) - std::max(0, other_descriptors));
-  clients_->SetLimit(static_cast<std::size_t>(rest * config_.shares.clients));
-  backends_->SetLimit(static_cast<std::size_t>(rest * (1 - config_.shares.clients)));
-}
-
-std::optional<Gift> Proxy::GiveOver() {
-  const auto listener = clients_->HandOver();
-  if (!listener) return std::nullopt;
-  log::Global().Info("upgrade_listener_given");
-  backends_->SetLimit(std::max<std::size_t>(backends_->connections(), 1));
-  return Gift{*listener, LearntText()};
-}
-
-std::string Proxy::LearntText() {
-  nlohmann::json learnt = nlohmann::json::array();
-  std::unordered_map<BackendId, std::string> names;
-  for (const auto& [id, number] : numbers_.all()) names.emplace(number, id);
-  for (const BackendSnapshot& of : balancer_.ExportState(clock_.Now())) {
-    learnt.push_back({{"id", names[of.backend]},
-                      {"multiplier", of.ejection_multiplier},
-                      {"ejected_ms", of.ejection_remaining.count()},
-                      {"cold_work", of.slow_start_work}});
-  }
-  return nlohmann::json{{"descriptors", Descriptors()}, {"learnt", learnt}}.dump();
-}
-
-// Believed as far as it fits: without it, this process learns for itself.
-void Proxy::OnGift(const std::string& text) {
-  const auto json = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
-  StateRestored inherited;
-  try {
-    LeaveTo(json.at("descriptors").get<int>());
-    for (const auto& entry : json.at("learnt")) {
-      const auto number = numbers_.all().find(entry.at("id").get<std::string>());
-      if (number == numbers_.all().end()) continue;
-      inherited.backends.push_back({number->second, std::clamp(entry.at("multiplier").get<int>(), 0, 100),
-                                    Duration(entry.at("ejected_ms").get<double>()),
-                                    std::max(0.0, entry.at("cold_work").get<double>())});
-    }
-  } catch (const nlohmann::json::exception& error) {
-    log::Global().Warn("upgrade_learnt_unreadable", {{"reason", error.what()}});
-  }
-  if (!inherited.backends.empty()) Feed(std::move(inherited));
-}
-
-// The only caller of Handle. An action may bring about an event at once: it waits its turn here, so that
-// Handle is never entered while its actions are being carried out.
-void Proxy::Feed(Event event) {
-  // News of the list go before what waits: a request must not be sent by an older list than has been told.
-  if (std::holds_alternative<EndpointUpdate>(event)) {
-    const auto first_other = std::find_if(events_.begin(), events_.end(), [](const Event& e) {
-      return !std::holds_alternative<EndpointUpdate>(e);
-    });
-    events_.insert(first_other, std::move(event));
-  } else {
-    events_.push_back(std::move(event));
-  }
-  if (handling_) return;
-  // Guards against a fault while actions are carried out leaving the proxy deaf: the next event goes on.
-  struct Handling {
-    explicit Handling(bool& flag) : flag(flag) { flag = true; }
-    ~Handling() { flag = false; }
-    bool& flag;
-  };
-  {
-    const Handling handling(handling_);
-    HandleQueued();
-  }
-  ArmTimer();
-}
-
-void Proxy::HandleQueued() {
-  std::vector<Action> actions;
-  while (!events_.empty()) {
-    const Event next = std::move(events_.front());
-    events_.pop_front();
-    actions.clear();
-    balancer_.Handle(clock_.Now(), next, &actions);
-    for (const Action& action : actions) {
-      // What goes wrong with one action costs what that was about, not the answers that the others are.
-      try {
-        std::visit([this](const auto& a) { Do(a); }, action);
-      } catch (const std::exception& error) {
-        log::Global().Error("action_failed", {{"error", error.what()}});
-        if (const auto* sent = std::get_if<StartAttempt>(&action)) OnNotSent(*sent);
-      }
-    }
-  }
-}
-
-// The module waits for the end of what it has sent.
-void Proxy::OnNotSent(const StartAttempt& action) {
-  const auto found = pending_.find(action.request);
-  if (found == pending_.end()) return;
-  found->second.attempt_out = false;
-  AttemptCompleted end;
-  end.request = action.request;
-  end.attempt = found->second.attempts - 1;
-  end.backend = action.backend;
-  end.request_completed = !found->second.responder;
-  end.outcome = AttemptOutcome::kNotSent;
-  events_.push_back(end);
-}
+// ---- endpoints ------------------------------------------------------------------------------------------
 
-void Proxy::OnList(const MemberList& list, EndpointUpdateKind kind) {
-  PassOn(disabled_.Pass(list, kind != EndpointUpdateKind::kIncremental), kind);
-  listed_ |= !list.members.empty();
-  if (clients_ && listed_) lifecycle_.OnStarted();
-  TellFleet();
-  // From within discovery's call: the hand-over is a step of its own.
-  if (predecessor_ && !clients_ && kind != EndpointUpdateKind::kCached && listed_) TakeOverAfter({});
+void Proxy::OnEndpointList(const MemberList& list, EndpointUpdateKind kind) {
+  endpoints_.Apply(disabled_.Pass(list, kind != EndpointUpdateKind::kIncremental), kind);
+  has_endpoints_ |= !list.members.empty();
+  if (clients_ && has_endpoints_) lifecycle_.OnStarted();
+  membership_.Publish(lifecycle_.state());
+  if (kind != EndpointUpdateKind::kCached && has_endpoints_) handover_.OnEndpointsReceived();
 }
 
-void Proxy::PassOn(const MemberList& list, EndpointUpdateKind kind) {
-  numbers_.Learn(list.members);
-  if (kind != EndpointUpdateKind::kIncremental) {
-    std::unordered_set<BackendId> named;
-    for (const Member& m : list.members) named.insert(numbers_.Of(m.id));
-    backends_->RetireOthers(named);
-  }
-  EndpointUpdate update;
-  update.kind = kind;
-  log::Global().Debug("list_taken", {{"kind", WordFor(kind)},
-                                     {"revision", static_cast<std::int64_t>(list.revision)},
-                                     {"members", static_cast<std::int64_t>(list.members.size())}});
-  for (const Member& m : list.members) {
-    log::Global().Debug("server_listed", {{"server", numbers_.Of(m.id)},
-                                          {"id", m.id},
-                                          {"zone", m.zone},
-                                          {"kind", m.kind},
-                                          {"state", WordFor(m.state)},
-                                          {"up_since_ms", m.up_since_unix_ms}});
-    Endpoint entry;
-    entry.backend = numbers_.Of(m.id);
-    entry.zone = ZoneOf(m.zone);
-    const auto kind_name = std::find(config_.kinds.begin(), config_.kinds.end(), m.kind);
-    entry.kind = static_cast<int>(kind_name - config_.kinds.begin());
-    entry.cell = m.cell;
-    entry.state = m.state;
-    entry.weight = m.weight;
-    entry.up_since = clock_.FromUnix(m.up_since_unix_ms);
-    update.endpoints.push_back(entry);
-    if (m.state == EndpointState::kReady) {
-      backends_->Set(entry.backend, m.address, m.up_since_unix_ms);
-    } else {
-      backends_->Retire(entry.backend);
-    }
-  }
-  std::unordered_set<std::string_view> here;
-  for (const Member& m : list.members) {
-    if (m.state == EndpointState::kRemoved) {
-      gone_since_.try_emplace(m.id, Steady::now());
-    } else {
-      here.insert(m.id);
-      gone_since_.erase(m.id);
-    }
-  }
-  if (kind != EndpointUpdateKind::kIncremental) {
-    for (const auto& [id, number] : numbers_.all()) {
-      if (!here.contains(id)) gone_since_.try_emplace(id, Steady::now());
-    }
-  }
-  Feed(std::move(update));
-  ForgetLongGone();
-}
-
-// Ids are ever new: what has been gone for longer than the module remembers it has no number any more.
-void Proxy::ForgetLongGone() {
-  std::erase_if(gone_since_, [this, until = Steady::now() - config_.patience.forgotten](const auto& gone) {
-    if (gone.second > until) return false;
-    backends_->Forget(numbers_.Of(gone.first));
-    numbers_.Forget(gone.first);
-    return true;
-  });
-}
-
-// A zone that the settings don't name is a zone of its own, none of those that they do.
-int Proxy::ZoneOf(const std::string& name) const {
-  const auto found = std::find(config_.zones.begin(), config_.zones.end(), name);
-  if (found != config_.zones.end()) return static_cast<int>(found - config_.zones.begin());
-  return static_cast<int>(0x10000 + (StableHash(name) & 0x3fffffff));
-}
+// ---- requests -------------------------------------------------------------------------------------------
 
 RequestId Proxy::OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) {
-  const RequestId id = ++last_request_;
-  RequestReceived submit;
-  submit.request = id;
-  submit.deadline = clock_.At(request.due);
-  submit.request_class = request.request_class;
-  submit.tenant = request.tenant;
-  submit.key = request.key;
-  submit.has_work_estimate = request.has_hint;
-  submit.client_retry = request.client_retry;
-  submit.estimated_work_ms = request.work_ms;
-  Pending& pending = pending_[id];
-  pending.arrived = Steady::now();
-  pending.request_class = request.request_class;
-  pending.tenant = request.tenant;
-  pending.work_ms = request.work_ms;
-  if (log::Global().Enabled(log::Level::kDebug)) {
-    log::Global().Debug("request_taken", {{"request", id},
-                                          {"id", std::string(request.message["Req-Id"])},
-                                          {"wish", log::Hex(overload::FingerprintOf(submit))},
-                                          {"class", submit.request_class},
-                                          {"work_ms", submit.estimated_work_ms}});
-  }
-  open_ids_.emplace(request.message["Req-Id"]);
-  pending.message = std::make_shared<const HttpRequest>(std::move(request.message));
-  pending.due = request.due;
-  if (request.rest) pending.upload = std::make_shared<Upload>(Upload{std::move(request.rest)});
-  pending.responder = std::move(responder);
-  Feed(submit);
-  return id;
+  return receiver_.OnRequest(std::move(request), std::move(responder));
 }
 
-void Proxy::OnClientGone(RequestId request) {
-  if (!Conclude(request, End::kClientGone)) return;
-  // Nothing begins for a client that has gone: an attempt that is still being dialled is not written.
-  if (const auto found = pending_.find(request); found != pending_.end() && found->second.attempt_out)
-    backends_->AbortUnsent(found->second.attempt);
-  ForgetIfOver(request);
-  Feed(ClientDisconnected{request});
-}
+void Proxy::OnClientGone(RequestId request) { receiver_.OnClientDisconnected(request); }
 
-void Proxy::Do(const StartAttempt& action) {
-  const auto found = pending_.find(action.request);
-  const auto now = Steady::now();
-  // Numbered by the order of their Dispatch; one that cannot go out is over at once, and never ran.
-  const int attempt = found == pending_.end() ? 0 : found->second.attempts++;
-  if (found == pending_.end() || !found->second.responder || found->second.attempt_out ||
-      now >= found->second.due || attempt >= config_.settings.max_attempts) {
-    AttemptCompleted end;
-    end.request = action.request;
-    end.attempt = attempt;
-    end.backend = action.backend;
-    end.request_completed = found == pending_.end() || !found->second.responder;
-    end.outcome = AttemptOutcome::kNotSent;
-    return Feed(end);
-  }
-  Pending& pending = found->second;
-  pending.attempt_out = true;
-  log::Global().Debug("attempt_sent", {{"request", action.request},
-                                       {"attempt", attempt},
-                                       {"server", action.backend},
-                                       {"work_ms", pending.work_ms}});
-  Duration timeout = pending.due - now;
-  if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
-  pending.attempt = backends_->Send(
-      action.backend, pending.message, timeout,
-      [this, id = action.request, attempt, server = action.backend, now](AttemptResult result) {
-        OnAttemptDone(id, attempt, server, now, std::move(result));
-      },
-      pending.upload);
-}
+// ---- admin calls ----------------------------------------------------------------------------------------
 
-void Proxy::OnAttemptDone(RequestId request, int attempt, BackendId server, Steady::time_point sent,
-                          AttemptResult result) {
-  AttemptCompleted end;
-  end.request = request;
-  end.attempt = attempt;
-  end.backend = server;
-  end.outcome = result.outcome;
-  end.duration = Steady::now() - result.written.value_or(sent);
-  const auto found = pending_.find(request);
-  log::Global().Debug("attempt_ended", {{"request", request},
-                                        {"attempt", attempt},
-                                        {"server", server},
-                                        {"outcome", WordFor(end.outcome)},
-                                        {"took_ms", end.duration.count()}});
-  if (found != pending_.end()) found->second.attempt_out = false;
-  if (result.outcome == AttemptOutcome::kSuccess) {
-    Give(Conclude(request, End::kServed), [&](Responder& to) {
-      to.Served(std::move(result.response), std::move(result.rest), result.length);
-    });
-  } else if (result.outcome == AttemptOutcome::kUnknown) {
-    Give(Conclude(request, End::kRejected), [&](Responder& to) { to.Rejected(result.response.result()); });
-  } else if (result.local) {
-    // Over a limit of this process: no backend is to blame, and another attempt would fare no better.
-    const bool began = attempt > 0;
-    Give(Conclude(request, began ? End::kFailed : End::kRefused, RejectReason::kProcessLimit),
-         [&](Responder& to) { began ? to.Failed() : to.Refused(config_.shares.refusal); });
-  } else if (found != pending_.end() && found->second.upload && found->second.upload->consumed) {
-    // Some of the body has left for good: there is no other attempt.
-    const bool ran = result.outcome != AttemptOutcome::kConnectFailure &&
-                     result.outcome != AttemptOutcome::kBackendRejected &&
-                     result.outcome != AttemptOutcome::kNotSent;
-    Give(Conclude(request, ran ? End::kFailed : End::kRefused, RejectReason::kRequestBodyConsumed),
-         [&](Responder& to) { ran ? to.Failed() : to.Refused(config_.shares.refusal); });
-  }
-  end.request_completed = found == pending_.end() || !found->second.responder;
-  ForgetIfOver(request);
-  Feed(end);
+OperatorCalls::Verdict Proxy::Disable(const std::string& backend) {
+  MemberList changes;
+  const auto verdict = disabled_.Disable(backend, &changes);
+  return ApplyOverride(verdict, changes);
 }
 
-// What goes wrong while an answer is given costs that answer; what the module waits for goes on.
-template <typename Answer>
-void Proxy::Give(const std::shared_ptr<Responder>& responder, Answer answer) {
-  if (!responder) return;
-  try {
-    answer(*responder);
-  } catch (const std::exception& error) {
-    log::Global().Error("answer_failed", {{"error", error.what()}});
-    try {
-      responder->Failed();  // nothing, if the answer has begun
-    } catch (const std::exception&) {
-    }
-  }
+OperatorCalls::Verdict Proxy::Enable(const std::string& backend) {
+  MemberList changes;
+  const auto verdict = disabled_.Enable(backend, &changes);
+  return ApplyOverride(verdict, changes);
 }
 
-// Ends the request: whoever gets the responder gives the one final answer. One line each, for who counts
-// across a fleet.
-std::shared_ptr<Responder> Proxy::Conclude(RequestId request, End end, RejectReason reason) {
-  const auto found = pending_.find(request);
-  if (found == pending_.end() || !found->second.responder) return nullptr;
-  Pending& of = found->second;
-  log::Global().Debug("request_ended", {{"request", request},
-                                        {"class", of.request_class},
-                                        {"how", NameOf(end)},
-                                        {"why", WordFor(reason)},
-                                        {"attempts", of.attempts},
-                                        {"after_ms", Duration(Steady::now() - of.arrived).count()},
-                                        {"allowed_ms", Duration(of.due - of.arrived).count()}});
-  if (fleet_) {
-    const auto now = Steady::now();
-    fleet_->counts().Ended(of.request_class, static_cast<std::uint32_t>(of.tenant + 1), end, now <= of.due,
-                           of.attempts, Duration(now - of.arrived).count());
-  }
-  of.upload.reset();
-  return std::exchange(of.responder, nullptr);
+OperatorCalls::Verdict Proxy::ApplyOverride(DisabledBackends::Verdict verdict, const MemberList& changes) {
+  if (verdict == DisabledBackends::Verdict::kUnknown) return Verdict::kUnknownBackend;
+  if (verdict == DisabledBackends::Verdict::kNotKept) return Verdict::kNotKept;
+  if (!changes.members.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
+  return Verdict::kDone;
 }
 
-void Proxy::ForgetIfOver(RequestId request) {
-  const auto found = pending_.find(request);
-  if (found == pending_.end() || found->second.responder || found->second.attempt_out) return;
-  open_ids_.erase(std::string((*found->second.message)["Req-Id"]));
-  pending_.erase(found);
+OperatorCalls::Verdict Proxy::Drain() {
+  if (!lifecycle_.StartDraining()) return Verdict::kStopping;
+  ApplyDraining();
+  return Verdict::kDone;
 }
 
-void Proxy::Do(const RejectRequest& action) {
-  Give(Conclude(action.request, End::kRefused, action.reason),
-       [&](Responder& to) { to.Refused(action.retry_after); });
-  ForgetIfOver(action.request);
+OperatorCalls::Verdict Proxy::Undrain() {
+  if (!lifecycle_.StopDraining()) return Verdict::kStopping;
+  ApplyDraining();
+  return Verdict::kDone;
 }
 
-void Proxy::Do(const FailRequest& action) {
-  Give(Conclude(action.request, End::kFailed, action.reason), [](Responder& to) { to.Failed(); });
-  ForgetIfOver(action.request);
+void Proxy::ApplyDraining() {
+  if (clients_) clients_->Drain(lifecycle_.draining());
+  membership_.Publish(lifecycle_.state());
 }
 
-void Proxy::Do(const SetTimer& action) { timers_.emplace(action.at, action.token); }
+std::string Proxy::Fleet() const { return membership_.host() ? membership_.host()->Json() : ""; }
 
-void Proxy::Do(const PollEndpoints&) { discovery_->Watch(); }
-
-void Proxy::Do(const struct CloseIdleConnections& action) { backends_->CloseIdleConnections(action.backend); }
-
-void Proxy::Do(const Log& action) { log::Global().Info("decision", {{"text", action.text}}); }
+bool Proxy::HasPart(std::string_view path) const {
+  return membership_.host() && path.starts_with(kRolloutPath);
+}
 
-// Guards against a timer that the module thinks has not come yet: rounding may wake this a moment early, and
-// the module would not ask again.
-void Proxy::ArmTimer() {
-  if (timers_.empty() || timers_.begin()->first >= armed_for_) return;
-  armed_for_ = timers_.begin()->first;
-  timer_.expires_at(clock_.ToSteady(timers_.begin()->first));
-  timer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (cancelled) return;
-    armed_for_ = kUnarmed;
-    while (!timers_.empty() && timers_.begin()->first <= clock_.Now()) {
-      const std::uint64_t token = timers_.begin()->second;
-      timers_.erase(timers_.begin());
-      Feed(TimerFired{token});
-    }
-    ArmTimer();
-  });
+std::optional<OperatorCalls::Said> Proxy::Part(const std::string& path, bool post, const std::string& body) {
+  return membership_.host()->Rollout(path.substr(kRolloutPath.size()), post, body);
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,53 +1,66 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The proxy: turns what happens on sockets into events for its Balancer, and carries out the actions. Every
-// decision is the Balancer's.
+// One proxy: puts its parts together and connects them.
 #ifndef COPPERPOINT_PROXY_PROXY_H_
 #define COPPERPOINT_PROXY_PROXY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <deque>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
-#include <unordered_map>
-#include <unordered_set>
-#include <vector>
 
 #include "copperpoint/balancer.h"
 #include "proxy/admin/admin_server.h"
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
 #include "proxy/control/disabled.h"
-#include "proxy/handover/handover.h"
-#include "proxy/lifecycle/lifecycle.h"
+#include "proxy/core/action_executor.h"
+#include "proxy/core/descriptor_budget.h"
+#include "proxy/core/endpoint_table.h"
+#include "proxy/core/event_dispatcher.h"
+#include "proxy/core/membership_publisher.h"
+#include "proxy/core/request_receiver.h"
+#include "proxy/core/request_table.h"
 #include "proxy/discovery/discovery.h"
-#include "proxy/discovery/members.h"
 #include "proxy/downstream/clients.h"
-#include "proxy/membership/host.h"
+#include "proxy/handover/handover_coordinator.h"
+#include "proxy/lifecycle/lifecycle.h"
 #include "proxy/upstream/backends.h"
 
 namespace copperpoint::proxy {
 
-class Proxy : public RequestHandler, public OperatorCalls {
+// Owns every part of the proxy and passes on what one part reports and another needs. What goes where:
+//
+//   Clients ---- requests ---> RequestReceiver --+
+//   Discovery -- lists ------> EndpointTable ----+--> EventDispatcher --> Balancer
+//   Backends --- results ----> ActionExecutor ---+          |
+//                                    ^---------- actions ---+
+//
+// The RequestTable has the open requests, Lifecycle the state of the process; see there for what SIGTERM does
+// to requests in flight. All of it runs on the thread of the event loop.
+class Proxy : public RequestHandler, public OperatorCalls, private ListenerOwner {
  public:
-  // Listens, and watches discovery, from here on.
+  // Listens, or prepares to take over from the process that listens, and watches discovery from here on.
+  // Throws BadConfig, or boost::system::system_error if it can't listen.
   Proxy(boost::asio::io_context& io, Config config);
   ~Proxy() override;
 
-  // Takes over from a configuration read anew where discovery is and how patient to be; the rest of it holds
-  // from the next start on.
+  // Applies discovery's address and the time limits of a configuration that was read anew; the rest of it
+  // takes effect at the next start.
   void Reload(const Config& config);
 
-  // Serves what comes for a while yet; `done` is called when nothing is held any more.
+  // Begins the graceful shutdown that Lifecycle describes. `done` is called when no client connection is
+  // left, at once if this process has not accepted any.
   void Stop(std::function<void()> done);
 
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
   void OnClientGone(RequestId request) override;
-  bool IsOpen(std::string_view id) const override { return open_ids_.contains(std::string(id)); }
+  bool IsOpen(std::string_view id) const override { return requests_.IsOpen(id); }
   bool Ready() const override { return lifecycle_.ready(); }
 
   std::string StateName() const override { return NameOf(lifecycle_.state()); }
@@ -55,93 +68,52 @@
   Verdict Enable(const std::string& backend) override;
   Verdict Drain() override;
   Verdict Undrain() override;
-  std::string Fleet() const override { return fleet_ ? fleet_->Json() : ""; }
+  std::string Fleet() const override;
   bool HasPart(std::string_view path) const override;
   std::optional<Said> Part(const std::string& path, bool post, const std::string& body) override;
 
   boost::asio::ip::tcp::endpoint address() const { return clients_->address(); }
-  boost::asio::ip::tcp::endpoint operator_address() const { return operator_->address(); }
-  std::size_t client_connections() const { return clients_->connections(); }
-  std::size_t backend_connections() const { return backends_->connections(); }
-  std::uint64_t last_revision() const { return discovery_->revision(); }
-  std::size_t backends_known() const { return backends_->known(); }
-  std::size_t held() const { return pending_.size(); }
+  boost::asio::ip::tcp::endpoint operator_address() const { return admin_->address(); }
+  std::size_t client_connections() const override { return clients_->connections(); }
+  std::size_t backend_connections() const { return backends_.connections(); }
+  std::uint64_t last_revision() const { return discovery_.revision(); }
+  std::size_t backends_known() const { return backends_.known(); }
+  std::size_t open_requests() const { return requests_.size(); }
 
  private:
-  // From its Submit until it has its answer and no attempt is out.
-  struct Pending {
-    std::shared_ptr<const HttpRequest> message;
-    std::shared_ptr<Upload> upload;  // null if the message is whole
-    Steady::time_point arrived{}, due{};
-    int request_class = -1, tenant = -1;
-    double work_ms = 0;                    // hinted
-    std::shared_ptr<Responder> responder;  // null once answered
-    int attempts = 0;
-    bool attempt_out = false;
-    Backends::Ticket attempt;  // the one that is out
-  };
-
-  void Feed(Event event);
-  void HandleQueued();
-  void OnList(const MemberList& list, EndpointUpdateKind kind);
-  void PassOn(const MemberList& list, EndpointUpdateKind kind);
-  Verdict Carried(DisabledBackends::Verdict verdict, const MemberList& changes);
-  void LookAfterState();
-  void TellFleet();  // what this process is up to
-  // Begins to accept clients, at the listener that was inherited, if any.
-  void Serve(int listener);
-  void TakeOverAfter(std::chrono::milliseconds wait);
-  void TakeOver();
-  std::optional<Gift> GiveOver();
-  std::string LearntText();
-  void OnGift(const std::string& text);
-  int Descriptors() const;
-  void LeaveTo(int other_descriptors);
-  void ForgetLongGone();
-  int ZoneOf(const std::string& name) const;
-
-  void Do(const StartAttempt& action);
-  void Do(const RejectRequest& action);
-  void Do(const FailRequest& action);
-  void Do(const SetTimer& action);
-  void Do(const PollEndpoints& action);
-  void Do(const struct CloseIdleConnections& action);
-  void Do(const Log& action);
-
-  void OnNotSent(const StartAttempt& action);
-  void OnAttemptDone(RequestId request, int attempt, BackendId server, Steady::time_point sent,
-                     AttemptResult result);
-  template <typename Answer>
-  void Give(const std::shared_ptr<Responder>& responder, Answer answer);
-  std::shared_ptr<Responder> Conclude(RequestId request, End end, RejectReason reason = RejectReason::kNone);
-  void ForgetIfOver(RequestId request);
-  void ArmTimer();
+  void StartAccepting(int listener) override;
+  std::optional<int> ReleaseListener() override { return clients_->HandOver(); }
+  void ReclaimListener() override { clients_->TakeBack(); }
+  void SetClientLimit(std::size_t connections) override { clients_->SetLimit(connections); }
+
+  void OnEndpointList(const MemberList& list, EndpointUpdateKind kind);
+  Verdict ApplyOverride(DisabledBackends::Verdict verdict, const MemberList& changes);
+  // Sets the client connections and the membership to the draining state that the lifecycle has now.
+  void ApplyDraining();
+  // Exchanges with other processes of this proxy, repeatedly: the disabled backends by their file, the
+  // descriptors in use by the hand-over's connection.
+  void ScheduleProcessSync();
 
   boost::asio::io_context& io_;
-  Config config_;
+  Config config_;  // the clients' limits are read here, so that Reload reaches them
   ModuleClock clock_;
   Balancer balancer_;
-  ServerNumbers numbers_;
-  std::unordered_map<RequestId, Pending> pending_;
-  std::unordered_set<std::string> open_ids_;  // Req-Id of those pending
-  std::unordered_map<std::string, Steady::time_point> gone_since_;
-  RequestId last_request_ = 0;
-  std::deque<Event> events_;
-  bool handling_ = false;
-  bool asked_for_listener_ = false;
-  bool listed_ = false;  // a list has named a backend
   Lifecycle lifecycle_;
+  bool has_endpoints_ = false;  // a list has named a backend
   DisabledBackends disabled_;
-  std::multimap<TimePoint, std::uint64_t> timers_;
-  TimePoint armed_for_;
-  boost::asio::steady_timer timer_, look_, fresh_list_;
-  std::unique_ptr<Backends> backends_;
-  std::unique_ptr<Clients> clients_;
-  std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<Operator> operator_;
-  std::unique_ptr<HandoverClient> predecessor_;
-  std::unique_ptr<HandoverServer> successor_;
-  std::unique_ptr<FleetHost> fleet_;  // null: this proxy talks to no other
+  const DescriptorBudget budget_;
+  MembershipPublisher membership_;
+  RequestTable requests_;
+  EventDispatcher dispatcher_;
+  boost::asio::steady_timer sync_timer_;
+  Backends backends_;
+  EndpointTable endpoints_;
+  std::unique_ptr<Clients> clients_;  // null until this process accepts clients
+  Discovery discovery_;
+  ActionExecutor executor_;
+  RequestReceiver receiver_;
+  std::unique_ptr<Operator> admin_;  // null if no address is configured
+  HandoverCoordinator handover_;
 };
 
 }  // namespace copperpoint::proxy
--- a/tests/proxy/client_gone_test.cpp
+++ b/tests/proxy/client_gone_test.cpp
@@ -25,7 +25,7 @@
   // The client's end has been seen, and the attempt for it has ended with it.
   bool AllForgotten() {
     return proxy->WaitUntil([](proxy::Proxy& p) {
-      return p.client_connections() == 0 && p.held() == 0 && p.backend_connections() == 0;
+      return p.client_connections() == 0 && p.open_requests() == 0 && p.backend_connections() == 0;
     });
   }
 };
@@ -66,7 +66,7 @@
       clients.push_back(std::make_unique<Client>(site.proxy->address));
       clients.back()->Send(WithId(Book(), Numbered("r", i)));
     }
-    ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.held() == 100; }));
+    ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.open_requests() == 100; }));
   }
   EXPECT_TRUE(site.AllForgotten());
 }
@@ -169,7 +169,7 @@
       holders.push_back(std::make_unique<Client>(site.proxy->address));
       holders.back()->Send(WithId(Book(), Numbered("h", i)));
     }
-    return site.proxy->WaitUntil([n](proxy::Proxy& p) { return p.held() == n; });
+    return site.proxy->WaitUntil([n](proxy::Proxy& p) { return p.open_requests() == n; });
   }
   void Release() {
     release.Do([](bool& r) { r = true; });
--- a/tests/proxy/closing_test.cpp
+++ b/tests/proxy/closing_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_EQ(kept.Ask(Look()).body(), "served");
   EXPECT_TRUE(kept.Ended());
   kept.Send(Book());
-  EXPECT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.held() == 0; }));
+  EXPECT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.open_requests() == 0; }));
   kept.socket.shutdown(Tcp::socket::shutdown_send);
   EXPECT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.client_connections() == 0; }));
   EXPECT_EQ(HearToTheEnd(kept.socket).how, asio::error::eof);
@@ -93,7 +93,7 @@
     holders.push_back(std::make_unique<Client>(site.proxy->address));
     holders.back()->Send(WithId(Book(), Numbered("h", i)));
   }
-  ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.held() == 24; }));
+  ASSERT_TRUE(site.proxy->WaitUntil([](proxy::Proxy& p) { return p.open_requests() == 24; }));
   for (int i = 0; i < 12; ++i) {
     waiting.push_back(std::make_unique<Client>(site.proxy->address));
     waiting.back()->Send(WithId(Look(), Numbered("w", i)));
--- /dev/null
+++ b/tests/proxy/descriptor_budget_test.cpp
@@ -0,0 +1,42 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/core/descriptor_budget.h"
+
+#include <gtest/gtest.h>
+
+namespace copperpoint::testing {
+namespace {
+
+using proxy::DescriptorBudget;
+
+constexpr int kMax = 124, kReserved = 24;
+constexpr double kClientFraction = 0.75;
+
+TEST(DescriptorBudget, DividesWhatIsNotReservedWhenTheProcessIsAlone) {
+  const auto limits = DescriptorBudget(kMax, kReserved, kClientFraction).ForSingleProcess();
+  EXPECT_EQ(limits.clients, 75u);
+  EXPECT_EQ(limits.backends, 25u);
+}
+
+TEST(DescriptorBudget, LeavesOutWhatAnotherProcessHolds) {
+  const auto limits = DescriptorBudget(kMax, kReserved, kClientFraction).BesideProcess(60);
+  EXPECT_EQ(limits.clients, 30u);
+  EXPECT_EQ(limits.backends, 10u);
+}
+
+TEST(DescriptorBudget, LeavesAMinimumHoweverManyAnotherProcessHolds) {
+  const auto limits = DescriptorBudget(kMax, kReserved, kClientFraction).BesideProcess(1000);
+  EXPECT_EQ(limits.clients, 24u);
+  EXPECT_EQ(limits.backends, 8u);
+}
+
+TEST(DescriptorBudget, TakesANegativeCountOfAnotherProcessForNone) {
+  const DescriptorBudget budget(kMax, kReserved, kClientFraction);
+  EXPECT_EQ(budget.BesideProcess(-5).clients, budget.ForSingleProcess().clients);
+}
+
+TEST(DescriptorBudget, CountsTheReservedDescriptorsAsInUse) {
+  EXPECT_EQ(DescriptorBudget(kMax, kReserved, kClientFraction).InUse(3, 4), 31);
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
