--- a/src/proxy/core/action_executor.cpp
+++ b/src/proxy/core/action_executor.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "decision/words.h"
+#include "decision/log_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-ActionExecutor::ActionExecutor(Options options, RequestTable& requests, Backends& backends,
-                               Discovery& discovery, EventSink& events)
+ActionExecutor::ActionExecutor(Options options, RequestTable& requests, BackendPool& backends,
+                               DiscoveryClient& discovery, EventSink& events)
     : options_(options), requests_(requests), backends_(backends), discovery_(discovery), events_(events) {}
 
 void ActionExecutor::Execute(const Action& action) {
@@ -58,7 +58,7 @@
   Duration timeout = request.deadline - now;
   if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
   const Attempt attempt{action.request, number, action.backend, now};
-  request.attempt = backends_.Send(
+  request.attempt = backends_.SendRequest(
       action.backend, request.message, timeout,
       [this, attempt](AttemptResult result) { OnAttemptCompleted(attempt, std::move(result)); },
       request.upload);
@@ -81,7 +81,7 @@
   completed.attempt = attempt.number;
   completed.backend = attempt.backend;
   completed.outcome = result.outcome;
-  completed.duration = Steady::now() - result.written.value_or(attempt.started_at);
+  completed.duration = Steady::now() - result.request_written_at.value_or(attempt.started_at);
   log::Global().Debug("attempt_ended", {{"request", attempt.request},
                                         {"attempt", attempt.number},
                                         {"server", attempt.backend},
@@ -98,40 +98,42 @@
 // Gives the final answer where the result leaves no choice; otherwise the Balancer decides on a retry.
 void ActionExecutor::CompleteRequest(const Attempt& attempt, AttemptResult result) {
   const OpenRequest* request = requests_.Find(attempt.request);
-  const auto reject = [&](Responder& to) { to.Refused(options_.local_limit_retry_after); };
-  const auto fail = [](Responder& to) { to.Failed(); };
+  const auto reject = [&](Responder& to) { to.SendUnavailable(options_.local_limit_retry_after); };
+  const auto fail = [](Responder& to) { to.SendBadGateway(); };
   if (result.outcome == AttemptOutcome::kSuccess) {
-    requests_.Complete(attempt.request, End::kServed, RejectReason::kNone, [&](Responder& to) {
-      to.Served(std::move(result.response), std::move(result.rest), result.length);
+    requests_.Complete(attempt.request, RequestOutcome::kServed, RejectReason::kNone, [&](Responder& to) {
+      to.SendResponse(std::move(result.response), std::move(result.body_stream), result.body_length);
     });
   } else if (result.outcome == AttemptOutcome::kUnknown) {
-    requests_.Complete(attempt.request, End::kRejected, RejectReason::kNone,
-                       [&](Responder& to) { to.Rejected(result.response.result()); });
-  } else if (result.local) {
+    requests_.Complete(attempt.request, RequestOutcome::kRejected, RejectReason::kNone,
+                       [&](Responder& to) { to.SendClientError(result.response.result()); });
+  } else if (result.local_failure) {
     // Over a limit of this process: no backend is at fault, and another attempt would fare no better.
     if (attempt.number > 0) {
-      requests_.Complete(attempt.request, End::kFailed, RejectReason::kProcessLimit, fail);
+      requests_.Complete(attempt.request, RequestOutcome::kFailed, RejectReason::kProcessLimit, fail);
     } else {
-      requests_.Complete(attempt.request, End::kRefused, RejectReason::kProcessLimit, reject);
+      requests_.Complete(attempt.request, RequestOutcome::kRefused, RejectReason::kProcessLimit, reject);
     }
   } else if (request && request->upload && request->upload->consumed) {
     // Part of the body has been forwarded and is no longer here: there can be no other attempt.
     if (MayHaveExecuted(result.outcome)) {
-      requests_.Complete(attempt.request, End::kFailed, RejectReason::kRequestBodyConsumed, fail);
+      requests_.Complete(attempt.request, RequestOutcome::kFailed, RejectReason::kRequestBodyConsumed, fail);
     } else {
-      requests_.Complete(attempt.request, End::kRefused, RejectReason::kRequestBodyConsumed, reject);
+      requests_.Complete(attempt.request, RequestOutcome::kRefused, RejectReason::kRequestBodyConsumed,
+                         reject);
     }
   }
 }
 
 void ActionExecutor::Run(const RejectRequest& action) {
-  requests_.Complete(action.request, End::kRefused, action.reason,
-                     [&](Responder& to) { to.Refused(action.retry_after); });
+  requests_.Complete(action.request, RequestOutcome::kRefused, action.reason,
+                     [&](Responder& to) { to.SendUnavailable(action.retry_after); });
   requests_.RemoveIfDone(action.request);
 }
 
 void ActionExecutor::Run(const FailRequest& action) {
-  requests_.Complete(action.request, End::kFailed, action.reason, [](Responder& to) { to.Failed(); });
+  requests_.Complete(action.request, RequestOutcome::kFailed, action.reason,
+                     [](Responder& to) { to.SendBadGateway(); });
   requests_.RemoveIfDone(action.request);
 }
 
--- a/src/proxy/core/action_executor.h
+++ b/src/proxy/core/action_executor.h
@@ -9,13 +9,13 @@
 #include "proxy/core/event_dispatcher.h"
 #include "proxy/core/event_sink.h"
 #include "proxy/core/request_table.h"
-#include "proxy/discovery/discovery.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/discovery/discovery_client.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
-// Decides nothing and owns no state: requests are the RequestTable's, connections those of Backends. Sees to
-// it that each StartAttempt is followed by one AttemptCompleted.
+// Decides nothing and owns no state: requests are the RequestTable's, connections those of BackendPool. Sees
+// to it that each StartAttempt is followed by one AttemptCompleted.
 class ActionExecutor : public ActionHandler {
  public:
   struct Options {
@@ -23,7 +23,7 @@
     Duration local_limit_retry_after{0};  // advice to a client that this process's own limits reject
   };
 
-  ActionExecutor(Options options, RequestTable& requests, Backends& backends, Discovery& discovery,
+  ActionExecutor(Options options, RequestTable& requests, BackendPool& backends, DiscoveryClient& discovery,
                  EventSink& events);
 
   void Execute(const Action& action) override;
@@ -54,8 +54,8 @@
 
   Options options_;
   RequestTable& requests_;
-  Backends& backends_;
-  Discovery& discovery_;
+  BackendPool& backends_;
+  DiscoveryClient& discovery_;
   EventSink& events_;
 };
 
--- a/src/proxy/core/descriptor_budget.cpp
+++ b/src/proxy/core/descriptor_budget.cpp
@@ -11,12 +11,12 @@
 
 // Standard streams, the event loop, the listener, watches of discovery, a connection being accepted.
 constexpr int kBaseDescriptors = 24;
-constexpr int kAdminDescriptors = static_cast<int>(Operator::kMostConnections) + 2;
+constexpr int kAdminDescriptors = static_cast<int>(AdminServer::kMaxConnections) + 2;
 // Connections of clients and backends, however many descriptors another process holds.
 constexpr int kMinConnections = 32;
 
 int ReservedDescriptors(const Config& config) {
-  return kBaseDescriptors + (config.operator_address ? kAdminDescriptors : 0) +
+  return kBaseDescriptors + (config.admin_address ? kAdminDescriptors : 0) +
          (config.fleet.on() ? FleetHost::kDescriptors : 0);
 }
 
@@ -26,7 +26,7 @@
     : reserved_(reserved), connections_(max_descriptors - reserved), client_fraction_(client_fraction) {}
 
 DescriptorBudget::DescriptorBudget(const Config& config)
-    : DescriptorBudget(config.sockets, ReservedDescriptors(config), config.shares.clients) {}
+    : DescriptorBudget(config.sockets, ReservedDescriptors(config), config.shares.client_descriptors) {}
 
 DescriptorBudget::Limits DescriptorBudget::Divide(double descriptors) const {
   return {static_cast<std::size_t>(descriptors * client_fraction_),
--- a/src/proxy/core/endpoint_table.cpp
+++ b/src/proxy/core/endpoint_table.cpp
@@ -7,7 +7,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "decision/words.h"
+#include "decision/log_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -17,13 +17,13 @@
 constexpr int kFirstUnknownZone = 0x10000;
 constexpr std::uint64_t kUnknownZoneMask = 0x3fffffff;
 
-void LogList(const MemberList& list, EndpointUpdateKind kind) {
+void LogList(const EndpointList& list, EndpointUpdateKind kind) {
   log::Global().Debug("list_taken", {{"kind", WordFor(kind)},
                                      {"revision", static_cast<std::int64_t>(list.revision)},
-                                     {"members", static_cast<std::int64_t>(list.members.size())}});
+                                     {"members", static_cast<std::int64_t>(list.endpoints.size())}});
 }
 
-void LogMember(const Member& member, BackendId backend) {
+void LogMember(const DiscoveredEndpoint& member, BackendId backend) {
   log::Global().Debug("server_listed", {{"server", backend},
                                         {"id", member.id},
                                         {"zone", member.zone},
@@ -34,17 +34,18 @@
 
 }  // namespace
 
-EndpointTable::EndpointTable(Options options, const ModuleClock& clock, Backends& backends, EventSink& events)
+EndpointTable::EndpointTable(Options options, const ModuleClock& clock, BackendPool& backends,
+                             EventSink& events)
     : options_(std::move(options)), clock_(clock), backends_(backends), events_(events) {}
 
-void EndpointTable::Apply(const MemberList& list, EndpointUpdateKind kind) {
-  backend_ids_.Learn(list.members);
+void EndpointTable::Apply(const EndpointList& list, EndpointUpdateKind kind) {
+  backend_ids_.Assign(list.endpoints);
   if (kind != EndpointUpdateKind::kIncremental) RetireUnlisted(list);
   EndpointUpdate update;
   update.kind = kind;
   LogList(list, kind);
-  for (const Member& member : list.members) {
-    const BackendId backend = backend_ids_.Of(member.id);
+  for (const DiscoveredEndpoint& member : list.endpoints) {
+    const BackendId backend = backend_ids_.IdOf(member.id);
     LogMember(member, backend);
     update.endpoints.push_back(ToEndpoint(member));
     ApplyAddress(member, backend);
@@ -54,15 +55,15 @@
   ForgetLongRemoved();
 }
 
-void EndpointTable::RetireUnlisted(const MemberList& list) {
+void EndpointTable::RetireUnlisted(const EndpointList& list) {
   std::unordered_set<BackendId> listed;
-  for (const Member& member : list.members) listed.insert(backend_ids_.Of(member.id));
-  backends_.RetireOthers(listed);
+  for (const DiscoveredEndpoint& member : list.endpoints) listed.insert(backend_ids_.IdOf(member.id));
+  backends_.DrainAllExcept(listed);
 }
 
-Endpoint EndpointTable::ToEndpoint(const Member& member) const {
+Endpoint EndpointTable::ToEndpoint(const DiscoveredEndpoint& member) const {
   Endpoint endpoint;
-  endpoint.backend = backend_ids_.Of(member.id);
+  endpoint.backend = backend_ids_.IdOf(member.id);
   endpoint.zone = ZoneIndex(member.zone);
   endpoint.kind = MachineKindIndex(member.kind);
   endpoint.cell = member.cell;
@@ -72,18 +73,18 @@
   return endpoint;
 }
 
-void EndpointTable::ApplyAddress(const Member& member, BackendId backend) {
+void EndpointTable::ApplyAddress(const DiscoveredEndpoint& member, BackendId backend) {
   if (member.state == EndpointState::kReady) {
-    backends_.Set(backend, member.address, member.up_since_unix_ms);
+    backends_.SetEndpoint(backend, member.address, member.up_since_unix_ms);
   } else {
-    backends_.Retire(backend);
+    backends_.DrainBackend(backend);
   }
 }
 
-void EndpointTable::RecordRemovals(const MemberList& list, EndpointUpdateKind kind) {
+void EndpointTable::RecordRemovals(const EndpointList& list, EndpointUpdateKind kind) {
   const auto now = Steady::now();
   std::unordered_set<std::string_view> present;
-  for (const Member& member : list.members) {
+  for (const DiscoveredEndpoint& member : list.endpoints) {
     if (member.state == EndpointState::kRemoved) {
       removed_since_.try_emplace(member.id, now);
     } else {
@@ -102,8 +103,8 @@
   std::erase_if(removed_since_, [&](const auto& removed) {
     const auto& [id, since] = removed;
     if (since > forgotten_before) return false;
-    backends_.Forget(backend_ids_.Of(id));
-    backend_ids_.Forget(id);
+    backends_.RemoveBackend(backend_ids_.IdOf(id));
+    backend_ids_.Release(id);
     return true;
   });
 }
--- a/src/proxy/core/endpoint_table.h
+++ b/src/proxy/core/endpoint_table.h
@@ -13,8 +13,8 @@
 #include "copperpoint/balancer.h"
 #include "proxy/clock.h"
 #include "proxy/core/event_sink.h"
-#include "proxy/discovery/members.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/discovery/endpoints.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
@@ -27,10 +27,10 @@
     std::chrono::milliseconds removed_retention{900'000};
   };
 
-  EndpointTable(Options options, const ModuleClock& clock, Backends& backends, EventSink& events);
+  EndpointTable(Options options, const ModuleClock& clock, BackendPool& backends, EventSink& events);
 
   // Sets the addresses of the backends on the list, retires those that it removes, and dispatches the update.
-  void Apply(const MemberList& list, EndpointUpdateKind kind);
+  void Apply(const EndpointList& list, EndpointUpdateKind kind);
   void set_removed_retention(std::chrono::milliseconds retention) { options_.removed_retention = retention; }
 
   // Nothing if no list has named the id, or the backend is forgotten.
@@ -38,19 +38,19 @@
   std::unordered_map<BackendId, std::string> IdsByBackend() const;
 
  private:
-  void RetireUnlisted(const MemberList& list);
-  Endpoint ToEndpoint(const Member& member) const;
-  void ApplyAddress(const Member& member, BackendId backend);
-  void RecordRemovals(const MemberList& list, EndpointUpdateKind kind);
+  void RetireUnlisted(const EndpointList& list);
+  Endpoint ToEndpoint(const DiscoveredEndpoint& member) const;
+  void ApplyAddress(const DiscoveredEndpoint& member, BackendId backend);
+  void RecordRemovals(const EndpointList& list, EndpointUpdateKind kind);
   void ForgetLongRemoved();
   int ZoneIndex(const std::string& name) const;
   int MachineKindIndex(const std::string& name) const;
 
   Options options_;
   const ModuleClock& clock_;
-  Backends& backends_;
+  BackendPool& backends_;
   EventSink& events_;
-  ServerNumbers backend_ids_;
+  BackendIds backend_ids_;
   std::unordered_map<std::string, Steady::time_point> removed_since_;  // by discovery's id
 };
 
--- a/src/proxy/core/membership_publisher.cpp
+++ b/src/proxy/core/membership_publisher.cpp
@@ -12,7 +12,7 @@
                                std::function<void(double)> on_position) {
   const auto zone = static_cast<std::size_t>(config.settings.zone);
   const FleetSelf self{config.name, zone < config.zones.size() ? config.zones[zone] : "", COPPERPOINT_VERSION,
-                       config.settings_version};
+                       config.operator_settings_version};
   host_ = std::make_unique<FleetHost>(io, config.fleet, self, config.seed ^ std::random_device()(),
                                       std::move(on_position));
 }
@@ -40,8 +40,8 @@
 void MembershipPublisher::OnRequestCompleted(const CompletedRequest& request) {
   if (!host_) return;
   // The counts number tenants from 1; 0 is a request without one.
-  host_->counts().Ended(request.request_class, static_cast<std::uint32_t>(request.tenant + 1), request.end,
-                        request.before_deadline, request.attempts, request.elapsed.count());
+  host_->counts().Record(request.request_class, static_cast<std::uint32_t>(request.tenant + 1),
+                         request.outcome, request.before_deadline, request.attempts, request.elapsed.count());
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/core/request_receiver.cpp
+++ b/src/proxy/core/request_receiver.cpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <utility>
 
+#include "decision/client_retry_detector.h"
 #include "log/log.h"
-#include "overload/repeats.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -14,26 +14,26 @@
   if (!log::Global().Enabled(log::Level::kDebug)) return;
   log::Global().Debug("request_taken", {{"request", event.request},
                                         {"id", std::string((*request.message)["Req-Id"])},
-                                        {"wish", log::Hex(overload::FingerprintOf(event))},
+                                        {"wish", log::Hex(FingerprintOf(event))},
                                         {"class", event.request_class},
                                         {"work_ms", event.estimated_work_ms}});
 }
 
 }  // namespace
 
-RequestReceiver::RequestReceiver(const ModuleClock& clock, RequestTable& requests, Backends& backends,
+RequestReceiver::RequestReceiver(const ModuleClock& clock, RequestTable& requests, BackendPool& backends,
                                  EventSink& events)
     : clock_(clock), requests_(requests), backends_(backends), events_(events) {}
 
 RequestId RequestReceiver::OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) {
   RequestReceived event;
-  event.deadline = clock_.At(request.due);
+  event.deadline = clock_.At(request.deadline);
   event.request_class = request.request_class;
   event.tenant = request.tenant;
-  event.key = request.key;
-  event.has_work_estimate = request.has_hint;
+  event.key = request.affinity_key;
+  event.has_work_estimate = request.has_work_estimate;
   event.client_retry = request.client_retry;
-  event.estimated_work_ms = request.work_ms;
+  event.estimated_work_ms = request.estimated_work_ms;
   event.request = requests_.Add(std::move(request), std::move(responder));
   LogReceived(event, *requests_.Find(event.request));
   events_.Dispatch(event);
@@ -43,7 +43,7 @@
 void RequestReceiver::OnClientDisconnected(RequestId request) {
   if (!requests_.Abandon(request)) return;
   const OpenRequest* open = requests_.Find(request);
-  if (open->attempt_in_flight) backends_.AbortUnsent(open->attempt);
+  if (open->attempt_in_flight) backends_.CancelUnsent(open->attempt);
   requests_.RemoveIfDone(request);
   events_.Dispatch(ClientDisconnected{request});
 }
--- a/src/proxy/core/request_receiver.h
+++ b/src/proxy/core/request_receiver.h
@@ -10,15 +10,15 @@
 #include "proxy/clock.h"
 #include "proxy/core/event_sink.h"
 #include "proxy/core/request_table.h"
-#include "proxy/downstream/clients.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/downstream/client_listener.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
 // Owns no state: open requests are the RequestTable's.
 class RequestReceiver {
  public:
-  RequestReceiver(const ModuleClock& clock, RequestTable& requests, Backends& backends, EventSink& events);
+  RequestReceiver(const ModuleClock& clock, RequestTable& requests, BackendPool& backends, EventSink& events);
 
   // The responder gets the one final answer, which may come from within this call.
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder);
@@ -29,7 +29,7 @@
  private:
   const ModuleClock& clock_;
   RequestTable& requests_;
-  Backends& backends_;
+  BackendPool& backends_;
   EventSink& events_;
 };
 
--- a/src/proxy/core/request_table.cpp
+++ b/src/proxy/core/request_table.cpp
@@ -4,7 +4,7 @@
 #include <exception>
 #include <utility>
 
-#include "decision/words.h"
+#include "decision/log_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -19,7 +19,7 @@
   } catch (const std::exception& error) {
     log::Global().Error("answer_failed", {{"error", error.what()}});
     try {
-      responder.Failed();              // has no effect if the response has begun
+      responder.SendBadGateway();      // has no effect if the response has begun
     } catch (const std::exception&) {  // NOLINT(bugprone-empty-catch): there is no answer left to give
     }
   }
@@ -31,13 +31,14 @@
   const RequestId id = ++last_id_;
   OpenRequest& open = requests_[id];
   open.received_at = Steady::now();
-  open.deadline = request.due;
+  open.deadline = request.deadline;
   open.request_class = request.request_class;
   open.tenant = request.tenant;
-  open.estimated_work_ms = request.work_ms;
+  open.estimated_work_ms = request.estimated_work_ms;
   open_req_ids_.emplace(request.message[kReqId]);
   open.message = std::make_shared<const HttpRequest>(std::move(request.message));
-  if (request.rest) open.upload = std::make_shared<Upload>(Upload{std::move(request.rest)});
+  if (request.body_stream)
+    open.upload = std::make_shared<RequestBodyStream>(RequestBodyStream{std::move(request.body_stream)});
   open.responder = std::move(responder);
   return id;
 }
@@ -47,16 +48,18 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-void RequestTable::Complete(RequestId id, End end, RejectReason reason, const Respond& respond) {
+void RequestTable::Complete(RequestId id, RequestOutcome outcome, RejectReason reason,
+                            const Respond& respond) {
   if (const auto responder = TakeResponder(id, end, reason)) RespondSafely(*responder, respond);
 }
 
 bool RequestTable::Abandon(RequestId id) {
-  return TakeResponder(id, End::kClientGone, RejectReason::kNone) != nullptr;
+  return TakeResponder(id, RequestOutcome::kClientGone, RejectReason::kNone) != nullptr;
 }
 
 // Null if the request is not open or has its answer.
-std::shared_ptr<Responder> RequestTable::TakeResponder(RequestId id, End end, RejectReason reason) {
+std::shared_ptr<Responder> RequestTable::TakeResponder(RequestId id, RequestOutcome outcome,
+                                                       RejectReason reason) {
   OpenRequest* request = Find(id);
   if (!request || request->answered()) return nullptr;
   const auto now = Steady::now();
@@ -64,7 +67,7 @@
   log::Global().Debug("request_ended",
                       {{"request", id},
                        {"class", request->request_class},
-                       {"how", NameOf(end)},
+                       {"how", NameOf(outcome)},
                        {"why", WordFor(reason)},
                        {"attempts", request->attempts},
                        {"after_ms", elapsed.count()},
--- a/src/proxy/core/request_table.h
+++ b/src/proxy/core/request_table.h
@@ -15,15 +15,15 @@
 
 #include "copperpoint/balancer.h"
 #include "proxy/clock.h"
-#include "proxy/downstream/clients.h"
-#include "proxy/membership/counts.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/downstream/client_listener.h"
+#include "proxy/membership/request_counts.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
 struct OpenRequest {
   std::shared_ptr<const HttpRequest> message;
-  std::shared_ptr<Upload> upload;  // the rest of a large body; null if `message` is complete
+  std::shared_ptr<RequestBodyStream> upload;  // the rest of a large body; null if `message` is complete
   Steady::time_point received_at{};
   Steady::time_point deadline{};
   int request_class = -1;
@@ -32,7 +32,7 @@
   std::shared_ptr<Responder> responder;  // null once the request has its final answer
   int attempts = 0;                      // started so far
   bool attempt_in_flight = false;
-  Backends::Ticket attempt;  // the one in flight
+  BackendPool::AttemptHandle attempt;  // the one in flight
 
   bool answered() const { return !responder; }
 };
@@ -41,7 +41,7 @@
 struct CompletedRequest {
   int request_class = -1;
   int tenant = -1;
-  End end = End::kFailed;
+  RequestOutcome outcome = RequestOutcome::kFailed;
   bool before_deadline = false;
   int attempts = 0;
   Duration elapsed{0};
@@ -69,14 +69,14 @@
   std::size_t size() const { return requests_.size(); }
 
   // Gives the request its final answer by `respond`, unless it has one. Throws nothing.
-  void Complete(RequestId id, End end, RejectReason reason, const Respond& respond);
+  void Complete(RequestId id, RequestOutcome outcome, RejectReason reason, const Respond& respond);
   // The client has disconnected: the request is completed without an answer. False if it already was.
   bool Abandon(RequestId id);
   // Removes the request if it is answered and has no attempt in flight.
   void RemoveIfDone(RequestId id);
 
  private:
-  std::shared_ptr<Responder> TakeResponder(RequestId id, End end, RejectReason reason);
+  std::shared_ptr<Responder> TakeResponder(RequestId id, RequestOutcome outcome, RejectReason reason);
 
   RequestObserver& observer_;
   std::unordered_map<RequestId, OpenRequest> requests_;
--- a/src/proxy/handover/handover_coordinator.cpp
+++ b/src/proxy/handover/handover_coordinator.cpp
@@ -22,8 +22,8 @@
   predecessor_ = HandoverClient::Connect(io_, options_.socket_path, *this);
   if (!predecessor_) return false;
   phase_ = Phase::kWaitingForEndpoints;
-  log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", options_.timeouts.list.count()}});
-  RequestListenerAfter(options_.timeouts.list);
+  log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", options_.timeouts.endpoint_list.count()}});
+  RequestListenerAfter(options_.timeouts.endpoint_list);
   return true;
 }
 
@@ -93,7 +93,7 @@
 void HandoverCoordinator::LimitBeside(int other_descriptors) {
   const DescriptorBudget::Limits limits = context_.budget.BesideProcess(other_descriptors);
   context_.listener.SetClientLimit(limits.clients);
-  context_.backends.SetLimit(limits.backends);
+  context_.backends.SetConnectionLimit(limits.backends);
 }
 
 // ---- to the successor -----------------------------------------------------------------------------------
@@ -109,14 +109,14 @@
   if (!listener) return std::nullopt;
   log::Global().Info("upgrade_listener_given");
   // No more connections than now; one at least, so that open requests can still be retried.
-  context_.backends.SetLimit(std::max<std::size_t>(context_.backends.connections(), 1));
+  context_.backends.SetConnectionLimit(std::max<std::size_t>(context_.backends.connection_count(), 1));
   return HandoverServer::Grant{*listener, HandoverState{DescriptorsInUse(), ExportBackends()}};
 }
 
 void HandoverCoordinator::OnSuccessorExited() {
   log::Global().Warn("upgrade_next_gone");
   context_.listener.ReclaimListener();
-  context_.backends.SetLimit(context_.budget.ForSingleProcess().backends);
+  context_.backends.SetConnectionLimit(context_.budget.ForSingleProcess().backends);
 }
 
 void HandoverCoordinator::ReportDescriptors() {
@@ -124,7 +124,7 @@
 }
 
 int HandoverCoordinator::DescriptorsInUse() const {
-  return context_.budget.InUse(context_.listener.client_connections(), context_.backends.connections());
+  return context_.budget.InUse(context_.listener.client_connections(), context_.backends.connection_count());
 }
 
 std::vector<BackendHandoverState> HandoverCoordinator::ExportBackends() const {
--- a/src/proxy/handover/handover_coordinator.h
+++ b/src/proxy/handover/handover_coordinator.h
@@ -24,7 +24,7 @@
 #include "proxy/handover/handover_client.h"
 #include "proxy/handover/handover_server.h"
 #include "proxy/lifecycle/lifecycle.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
@@ -56,7 +56,7 @@
   struct Options {
     std::string socket_path;  // empty: no hand-over, to or from this process
     boost::asio::ip::tcp::endpoint listen;
-    Upgrade timeouts;
+    UpgradeTimeouts timeouts;
   };
   // What it works on; all of it must outlive the coordinator.
   struct Context {
@@ -64,7 +64,7 @@
     const Lifecycle& lifecycle;
     const DescriptorBudget& budget;
     EndpointTable& endpoints;
-    Backends& backends;
+    BackendPool& backends;
     EventSink& events;
   };
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -18,26 +18,27 @@
 constexpr std::chrono::milliseconds kProcessSyncInterval{100};
 constexpr std::string_view kRolloutPath = "/rollout";
 
-Backends::Limits BackendLimits(const Config& config, const DescriptorBudget& budget) {
-  return {config.connect_timeout, config.conn_idle, budget.ForSingleProcess().backends, config.patience};
+BackendPool::Limits BackendLimits(const Config& config, const DescriptorBudget& budget) {
+  return {config.connect_timeout, config.backend_idle_timeout, budget.ForSingleProcess().backends,
+          config.timeouts};
 }
 
 // The file of that name in the state folder, which may serve proxies of several names. Empty: no folder.
 std::string StateFile(const Config& config, const char* name) {
-  if (config.state_folder.empty()) return "";
+  if (config.state_directory.empty()) return "";
   std::string proxy_name = config.name;
   std::replace_if(
       proxy_name.begin(), proxy_name.end(),
       [](unsigned char c) { return !std::isalnum(c) && c != '-' && c != '_'; }, '_');
-  return config.state_folder + "/copperpoint-" + proxy_name + "-" + name;
+  return config.state_directory + "/copperpoint-" + proxy_name + "-" + name;
 }
 
-Discovery::Options DiscoveryOptions(const Config& config) {
-  Discovery::Options options;
+DiscoveryClient::Options DiscoveryOptions(const Config& config) {
+  DiscoveryClient::Options options;
   options.address = config.discovery;
-  options.revision = config.known.revision;
-  options.reconnect =
-      config.settings.polls_endpoints ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
+  options.revision = config.initial_endpoints.revision;
+  options.reconnect = config.settings.polls_endpoints ? DiscoveryClient::Reconnect::kOnRequest
+                                                      : DiscoveryClient::Reconnect::kAutomatic;
   options.seed = config.seed;
   return options;
 }
@@ -58,28 +59,29 @@
                   }),
       sync_timer_(io),
       backends_(io, BackendLimits(config_, budget_)),
-      endpoints_({config_.zones, config_.kinds, config_.patience.forgotten}, clock_, backends_, dispatcher_),
+      endpoints_({config_.zones, config_.kinds, config_.timeouts.removed_backend_retention}, clock_,
+                 backends_, dispatcher_),
       discovery_(
           io, DiscoveryOptions(config_),
-          [this](const MemberList& list) {
+          [this](const EndpointList& list) {
             OnEndpointList(list,
                            list.complete ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kIncremental);
           },
           [this] {
             dispatcher_.Dispatch(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
           }),
-      executor_({config_.settings.max_attempts, config_.shares.refusal}, requests_, backends_, discovery_,
-                dispatcher_),
+      executor_({config_.settings.max_attempts, config_.shares.overload_retry_after}, requests_, backends_,
+                discovery_, dispatcher_),
       receiver_(clock_, requests_, backends_, dispatcher_),
       handover_(io, {StateFile(config_, "handover.sock"), config_.listen, config_.upgrade},
                 {*this, lifecycle_, budget_, endpoints_, backends_, dispatcher_},
                 [this] { return balancer_.ExportState(clock_.Now()); }) {
   dispatcher_.set_handler(&executor_);
-  OnEndpointList(config_.known, EndpointUpdateKind::kCached);
+  OnEndpointList(config_.initial_endpoints, EndpointUpdateKind::kCached);
   if (!config_.settings.polls_endpoints) discovery_.Watch();
   if (!handover_.TakeOverFromPredecessor()) StartAccepting(OwnedDescriptor::kNone);
-  if (config_.operator_address) admin_ = std::make_unique<Operator>(io, *config_.operator_address, *this);
-  if (!config_.state_folder.empty()) ScheduleProcessSync();
+  if (config_.admin_address) admin_ = std::make_unique<AdminServer>(io, *config_.admin_address, *this);
+  if (!config_.state_directory.empty()) ScheduleProcessSync();
   if (config_.fleet.on()) {
     membership_.Join(io, config_,
                      [this](double ring_offset) { dispatcher_.Dispatch(SubsetPosition{ring_offset}); });
@@ -90,10 +92,10 @@
 Proxy::~Proxy() = default;
 
 void Proxy::Reload(const Config& config) {
-  config_.patience = config.patience;
-  backends_.SetPatience(config.patience);
-  endpoints_.set_removed_retention(config.patience.forgotten);
-  discovery_.Move(config.discovery);
+  config_.timeouts = config.timeouts;
+  backends_.SetTimeouts(config.timeouts);
+  endpoints_.set_removed_retention(config.timeouts.removed_backend_retention);
+  discovery_.MoveTo(config.discovery);
 }
 
 void Proxy::Stop(std::function<void()> done) {
@@ -101,12 +103,13 @@
   membership_.Leave();
   handover_.Cancel();
   if (!clients_) return done();
-  clients_->Stop(kShutdownAcceptGrace, std::move(done));
+  clients_->ShutDown(kShutdownAcceptGrace, std::move(done));
 }
 
 void Proxy::StartAccepting(int listener) {
-  clients_ = std::make_unique<Clients>(io_, config_, budget_.ForSingleProcess().clients, *this, listener);
-  if (lifecycle_.draining()) clients_->Drain(true);
+  clients_ =
+      std::make_unique<ClientListener>(io_, config_, budget_.ForSingleProcess().clients, *this, listener);
+  if (lifecycle_.draining()) clients_->SetDraining(true);
   handover_.AwaitSuccessor();
   if (has_endpoints_) lifecycle_.OnStarted();
   membership_.Publish(lifecycle_.state());
@@ -117,17 +120,17 @@
   sync_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     ScheduleProcessSync();
-    const MemberList changes = disabled_.Reread();
-    if (!changes.members.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
+    const EndpointList changes = disabled_.ReloadIfChanged();
+    if (!changes.endpoints.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
     handover_.ReportDescriptors();
   });
 }
 
 // ---- endpoints ------------------------------------------------------------------------------------------
 
-void Proxy::OnEndpointList(const MemberList& list, EndpointUpdateKind kind) {
-  endpoints_.Apply(disabled_.Pass(list, kind != EndpointUpdateKind::kIncremental), kind);
-  has_endpoints_ |= !list.members.empty();
+void Proxy::OnEndpointList(const EndpointList& list, EndpointUpdateKind kind) {
+  endpoints_.Apply(disabled_.Apply(list, kind != EndpointUpdateKind::kIncremental), kind);
+  has_endpoints_ |= !list.endpoints.empty();
   if (clients_ && has_endpoints_) lifecycle_.OnStarted();
   membership_.Publish(lifecycle_.state());
   if (kind != EndpointUpdateKind::kCached && has_endpoints_) handover_.OnEndpointsReceived();
@@ -139,53 +142,55 @@
   return receiver_.OnRequest(std::move(request), std::move(responder));
 }
 
-void Proxy::OnClientGone(RequestId request) { receiver_.OnClientDisconnected(request); }
+void Proxy::OnClientDisconnected(RequestId request) { receiver_.OnClientDisconnected(request); }
 
 // ---- admin calls ----------------------------------------------------------------------------------------
 
-OperatorCalls::Verdict Proxy::Disable(const std::string& backend) {
-  MemberList changes;
+AdminHandler::AdminResult Proxy::Disable(const std::string& backend) {
+  EndpointList changes;
   const auto verdict = disabled_.Disable(backend, &changes);
   return ApplyOverride(verdict, changes);
 }
 
-OperatorCalls::Verdict Proxy::Enable(const std::string& backend) {
-  MemberList changes;
+AdminHandler::AdminResult Proxy::Enable(const std::string& backend) {
+  EndpointList changes;
   const auto verdict = disabled_.Enable(backend, &changes);
   return ApplyOverride(verdict, changes);
 }
 
-OperatorCalls::Verdict Proxy::ApplyOverride(DisabledBackends::Verdict verdict, const MemberList& changes) {
-  if (verdict == DisabledBackends::Verdict::kUnknown) return Verdict::kUnknownBackend;
-  if (verdict == DisabledBackends::Verdict::kNotKept) return Verdict::kNotKept;
-  if (!changes.members.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
-  return Verdict::kDone;
+AdminHandler::AdminResult Proxy::ApplyOverride(DisabledBackends::ChangeResult verdict,
+                                               const EndpointList& changes) {
+  if (verdict == DisabledBackends::ChangeResult::kUnknownBackend) return AdminResult::kUnknownBackend;
+  if (verdict == DisabledBackends::ChangeResult::kNotStored) return AdminResult::kNotStored;
+  if (!changes.endpoints.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
+  return AdminResult::kDone;
 }
 
-OperatorCalls::Verdict Proxy::Drain() {
-  if (!lifecycle_.StartDraining()) return Verdict::kStopping;
+AdminHandler::AdminResult Proxy::Drain() {
+  if (!lifecycle_.StartDraining()) return AdminResult::kStopping;
   ApplyDraining();
-  return Verdict::kDone;
+  return AdminResult::kDone;
 }
 
-OperatorCalls::Verdict Proxy::Undrain() {
-  if (!lifecycle_.StopDraining()) return Verdict::kStopping;
+AdminHandler::AdminResult Proxy::Undrain() {
+  if (!lifecycle_.StopDraining()) return AdminResult::kStopping;
   ApplyDraining();
-  return Verdict::kDone;
+  return AdminResult::kDone;
 }
 
 void Proxy::ApplyDraining() {
-  if (clients_) clients_->Drain(lifecycle_.draining());
+  if (clients_) clients_->SetDraining(lifecycle_.draining());
   membership_.Publish(lifecycle_.state());
 }
 
-std::string Proxy::Fleet() const { return membership_.host() ? membership_.host()->Json() : ""; }
+std::string Proxy::FleetStatus() const { return membership_.host() ? membership_.host()->Json() : ""; }
 
-bool Proxy::HasPart(std::string_view path) const {
+bool Proxy::IsFleetCall(std::string_view path) const {
   return membership_.host() && path.starts_with(kRolloutPath);
 }
 
-std::optional<OperatorCalls::Said> Proxy::Part(const std::string& path, bool post, const std::string& body) {
+std::optional<AdminHandler::FleetCallResult> Proxy::FleetCall(const std::string& path, bool post,
+                                                              const std::string& body) {
   return membership_.host()->Rollout(path.substr(kRolloutPath.size()), post, body);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -18,7 +18,7 @@
 #include "proxy/admin/admin_server.h"
 #include "proxy/clock.h"
 #include "proxy/config/config.h"
-#include "proxy/control/disabled.h"
+#include "proxy/control/disabled_backends.h"
 #include "proxy/core/action_executor.h"
 #include "proxy/core/descriptor_budget.h"
 #include "proxy/core/endpoint_table.h"
@@ -26,27 +26,27 @@
 #include "proxy/core/membership_publisher.h"
 #include "proxy/core/request_receiver.h"
 #include "proxy/core/request_table.h"
-#include "proxy/discovery/discovery.h"
-#include "proxy/downstream/clients.h"
+#include "proxy/discovery/discovery_client.h"
+#include "proxy/downstream/client_listener.h"
 #include "proxy/handover/handover_coordinator.h"
 #include "proxy/lifecycle/lifecycle.h"
-#include "proxy/upstream/backends.h"
+#include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
 
 // Owns every part of the proxy and passes on what one part reports and another needs. What goes where:
 //
-//   Clients ---- requests ---> RequestReceiver --+
-//   Discovery -- lists ------> EndpointTable ----+--> EventDispatcher --> Balancer
-//   Backends --- results ----> ActionExecutor ---+          |
-//                                    ^---------- actions ---+
+//   ClientListener -- requests --> RequestReceiver --+
+//   DiscoveryClient - lists -----> EndpointTable ----+--> EventDispatcher --> Balancer
+//   BackendPool ----- results ---> ActionExecutor ---+          |
+//                                        ^--------- actions ----+
 //
 // The RequestTable has the open requests, Lifecycle the state of the process; see there for what SIGTERM does
 // to requests in flight. All of it runs on the thread of the event loop.
-class Proxy : public RequestHandler, public OperatorCalls, private ListenerOwner {
+class Proxy : public RequestHandler, public AdminHandler, private ListenerOwner {
  public:
   // Listens, or prepares to take over from the process that listens, and watches discovery from here on.
-  // Throws BadConfig, or boost::system::system_error if it can't listen.
+  // Throws ConfigError, or boost::system::system_error if it can't listen.
   Proxy(boost::asio::io_context& io, Config config);
   ~Proxy() override;
 
@@ -59,35 +59,36 @@
   void Stop(std::function<void()> done);
 
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
-  void OnClientGone(RequestId request) override;
-  bool IsOpen(std::string_view id) const override { return requests_.IsOpen(id); }
+  void OnClientDisconnected(RequestId request) override;
+  bool IsRequestOpen(std::string_view id) const override { return requests_.IsOpen(id); }
   bool Ready() const override { return lifecycle_.ready(); }
 
   std::string StateName() const override { return NameOf(lifecycle_.state()); }
-  Verdict Disable(const std::string& backend) override;
-  Verdict Enable(const std::string& backend) override;
-  Verdict Drain() override;
-  Verdict Undrain() override;
-  std::string Fleet() const override;
-  bool HasPart(std::string_view path) const override;
-  std::optional<Said> Part(const std::string& path, bool post, const std::string& body) override;
+  AdminResult Disable(const std::string& backend) override;
+  AdminResult Enable(const std::string& backend) override;
+  AdminResult Drain() override;
+  AdminResult Undrain() override;
+  std::string FleetStatus() const override;
+  bool IsFleetCall(std::string_view path) const override;
+  std::optional<FleetCallResult> FleetCall(const std::string& path, bool post,
+                                           const std::string& body) override;
 
   boost::asio::ip::tcp::endpoint address() const { return clients_->address(); }
-  boost::asio::ip::tcp::endpoint operator_address() const { return admin_->address(); }
-  std::size_t client_connections() const override { return clients_->connections(); }
-  std::size_t backend_connections() const { return backends_.connections(); }
+  boost::asio::ip::tcp::endpoint admin_address() const { return admin_->address(); }
+  std::size_t client_connections() const override { return clients_->connection_count(); }
+  std::size_t backend_connections() const { return backends_.connection_count(); }
   std::uint64_t last_revision() const { return discovery_.revision(); }
-  std::size_t backends_known() const { return backends_.known(); }
+  std::size_t backends_known() const { return backends_.backend_count(); }
   std::size_t open_requests() const { return requests_.size(); }
 
  private:
   void StartAccepting(int listener) override;
-  std::optional<int> ReleaseListener() override { return clients_->HandOver(); }
-  void ReclaimListener() override { clients_->TakeBack(); }
-  void SetClientLimit(std::size_t connections) override { clients_->SetLimit(connections); }
+  std::optional<int> ReleaseListener() override { return clients_->ReleaseListener(); }
+  void ReclaimListener() override { clients_->ResumeAccepting(); }
+  void SetClientLimit(std::size_t connections) override { clients_->SetConnectionLimit(connections); }
 
-  void OnEndpointList(const MemberList& list, EndpointUpdateKind kind);
-  Verdict ApplyOverride(DisabledBackends::Verdict verdict, const MemberList& changes);
+  void OnEndpointList(const EndpointList& list, EndpointUpdateKind kind);
+  AdminResult ApplyOverride(DisabledBackends::ChangeResult verdict, const EndpointList& changes);
   // Sets the client connections and the membership to the draining state that the lifecycle has now.
   void ApplyDraining();
   // Exchanges with other processes of this proxy, repeatedly: the disabled backends by their file, the
@@ -95,7 +96,7 @@
   void ScheduleProcessSync();
 
   boost::asio::io_context& io_;
-  Config config_;  // the clients' limits are read here, so that Reload reaches them
+  Config config_;  // the time limits of clients are read here, so that Reload reaches them
   ModuleClock clock_;
   Balancer balancer_;
   Lifecycle lifecycle_;
@@ -106,13 +107,13 @@
   RequestTable requests_;
   EventDispatcher dispatcher_;
   boost::asio::steady_timer sync_timer_;
-  Backends backends_;
+  BackendPool backends_;
   EndpointTable endpoints_;
-  std::unique_ptr<Clients> clients_;  // null until this process accepts clients
-  Discovery discovery_;
+  std::unique_ptr<ClientListener> clients_;  // null until this process accepts clients
+  DiscoveryClient discovery_;
   ActionExecutor executor_;
   RequestReceiver receiver_;
-  std::unique_ptr<Operator> admin_;  // null if no address is configured
+  std::unique_ptr<AdminServer> admin_;  // null if no address is configured
   HandoverCoordinator handover_;
 };
 
--- a/tests/proxy/closing_test.cpp
+++ b/tests/proxy/closing_test.cpp
@@ -3,7 +3,7 @@
 // Connections that the proxy ends while bytes are on their way, and its own end with requests in flight.
 #include <gtest/gtest.h>
 
-#include "scripted.h"
+#include "support/scripted.h"
 
 namespace copperpoint::testing {
 namespace {
@@ -15,7 +15,7 @@
 TEST(Closing, ARequestThatCrossesTheEndOfARestingConnectionReadsThatEnd) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.lingering = std::chrono::minutes(10);
+  site.timeouts.lingering_close = std::chrono::minutes(10);
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).body(), "served");
@@ -33,7 +33,7 @@
 TEST(Closing, TheStopWaitsForClientsToSeeTheEndAndForNoLongerThanItMay) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.lingering = std::chrono::minutes(10);
+  site.timeouts.lingering_close = std::chrono::minutes(10);
   site.Start();
   auto client = std::make_unique<Client>(site.proxy->address);
   EXPECT_EQ(client->Ask(Look()).body(), "served");
@@ -44,7 +44,7 @@
   client.reset();
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 
-  site.patience.lingering = milliseconds(100);
+  site.timeouts.lingering_close = milliseconds(100);
   site.Start();
   Client stays(site.proxy->address);
   EXPECT_EQ(stays.Ask(Look()).body(), "served");
@@ -54,8 +54,8 @@
 TEST(Closing, WhatIsDrainedByStaffOrStandsIdleForTooLongIsNotReset) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.kept = milliseconds(50);
-  site.patience.lingering = std::chrono::minutes(10);
+  site.timeouts.keep_alive = milliseconds(50);
+  site.timeouts.lingering_close = std::chrono::minutes(10);
   site.Start();
   Client kept(site.proxy->address);
   EXPECT_EQ(kept.Ask(Look()).body(), "served");
@@ -133,12 +133,12 @@
 // What goes wrong while one action is carried out does not cost the answers that others are.
 class Throws : public proxy::Responder {
  public:
-  void Served(HttpResponse, std::shared_ptr<proxy::PieceSource>, std::optional<std::uint64_t>) override {
+  void SendResponse(HttpResponse, std::shared_ptr<proxy::BodySource>, std::optional<std::uint64_t>) override {
     Fall();
   }
-  void Refused(Duration) override { Fall(); }
-  void Failed() override { Fall(); }
-  void Rejected(http::status) override { Fall(); }
+  void SendUnavailable(Duration) override { Fall(); }
+  void SendBadGateway() override { Fall(); }
+  void SendClientError(http::status) override { Fall(); }
 
  private:
   static void Fall() { throw std::runtime_error("no memory"); }
@@ -146,7 +146,7 @@
 class Notes : public Throws {
  public:
   explicit Notes(Watched<int>& refused) : refused_(refused) {}
-  void Refused(Duration) override {
+  void SendUnavailable(Duration) override {
     refused_.Do([](int& n) { ++n; });
   }
 
@@ -166,7 +166,7 @@
       request.message.method(http::verb::get);
       request.message.target("/look");
       request.message.set("Req-Id", Numbered("t", i));
-      request.due = due;
+      request.deadline = due;
       if (i % 2 == 0) {
         p.OnRequest(std::move(request), std::make_shared<Throws>());
       } else {
