--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -35,7 +35,7 @@
       holders.push_back(std::make_unique<Client>(site.proxy->address));
       holders.back()->Send(WithId(Book(), Numbered("h", i)));
     }
-    return site.proxy->WaitUntil([n](proxy::Proxy& p) { return p.held() == n; });
+    return site.proxy->WaitUntil([n](proxy::Proxy& p) { return p.open_requests() == n; });
   }
   void Release() {
     release.Do([](bool& r) { r = true; });
