--- a/src/proxy/control/disabled_backends.h
+++ b/src/proxy/control/disabled_backends.h
@@ -1,54 +1,58 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The backends that staff have taken out by hand. DiscoveryClient's list passes through here and comes out
-// with these as draining, whatever discovery says of them. The set outlives this process in a file that a
-// second process of the same proxy reads and writes too.
+// The backends that operators have disabled by hand. Endpoint lists pass through here and come out with these
+// backends draining, whatever discovery says of them.
 #ifndef COPPERPOINT_PROXY_CONTROL_DISABLED_BACKENDS_H_
 #define COPPERPOINT_PROXY_CONTROL_DISABLED_BACKENDS_H_
 
+#include <cstdint>
 #include <map>
-#include <optional>
 #include <set>
 #include <string>
-#include <string_view>
 
 #include "log/log.h"
+#include "proxy/control/disabled_file.h"
 #include "proxy/discovery/endpoints.h"
 
 namespace copperpoint::proxy {
 
+// Owns the set of ids; a DisabledFile, which a second process of the same proxy reads and writes too, makes
+// it outlive this process.
 class DisabledBackends {
  public:
-  enum class ChangeResult { kDone, kUnknownBackend, kNotStored };
+  enum class ChangeResult {
+    kDone,
+    kUnknownBackend,  // neither listed by discovery nor disabled
+    kNotStored,       // a limit is reached, or the file could not be locked or written
+  };
 
-  // `file` keeps the set; empty: it lasts as long as this process.
+  // With an empty `file` the set lasts as long as this process.
   DisabledBackends(std::string file, log::Logger& log);
 
-  // What the rest of the proxy is to see of a list; a whole one names everything there is.
-  EndpointList Apply(EndpointList list, bool whole);
+  // The list with disabled backends draining. `snapshot`: it names every backend there is.
+  EndpointList Apply(EndpointList list, bool snapshot);
 
-  // `changes` gets what the rest of the proxy is to see otherwise from now on. Either may come twice. Unless
-  // kDone, nothing has changed.
+  // `changes` receives an incremental update for the rest of the proxy. Both are idempotent. Unless kDone is
+  // returned, nothing has changed.
   ChangeResult Disable(const std::string& id, EndpointList* changes);
   ChangeResult Enable(const std::string& id, EndpointList* changes);
 
-  // What another process has changed since.
+  // An incremental update with what another process has changed in the file since it was last read.
   EndpointList ReloadIfChanged();
 
   const std::set<std::string>& ids() const { return ids_; }
 
  private:
-  ChangeResult Change(const std::string& id, bool out, EndpointList* changes);
-  std::optional<std::set<std::string>> Load();
-  bool Store(const std::set<std::string>& ids);
-  EndpointList Take(std::set<std::string> ids, bool from_file);
+  ChangeResult Change(const std::string& id, bool disable, EndpointList* changes);
+  // Makes `ids` the set, logs the differences and returns them as an incremental update.
+  EndpointList Replace(std::set<std::string> ids, bool from_file);
 
-  const std::string file_;
+  const DisabledFile file_;
   log::Logger& log_;
   std::set<std::string> ids_;
-  std::map<std::string, DiscoveredEndpoint> listed_;  // as discovery has it
-  std::uint64_t revision_ = 0;
-  std::string seen_;  // which version of the file was read last
+  std::map<std::string, DiscoveredEndpoint> listed_;  // as discovery lists them
+  std::uint64_t revision_ = 0;                        // of discovery's last list
+  std::string file_version_;                          // last read or written
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -2,270 +2,143 @@
 #include "proxy/discovery/discovery_client.h"
 
 #include <algorithm>
-#include <array>
-#include <boost/beast/core/flat_buffer.hpp>
-#include <boost/beast/core/tcp_stream.hpp>
-#include <boost/beast/http/buffer_body.hpp>
-#include <boost/beast/http/empty_body.hpp>
-#include <boost/beast/http/parser.hpp>
-#include <boost/beast/http/read.hpp>
-#include <boost/beast/http/write.hpp>
-#include <optional>
 #include <utility>
 
 #include "log/log.h"
-#include "proxy/clock.h"
-#include "proxy/discovery/message_framer.h"
 
 namespace copperpoint::proxy {
 namespace {
 
-namespace asio = boost::asio;
-namespace beast = boost::beast;
-namespace http = beast::http;
-using Error = boost::system::error_code;
+constexpr std::chrono::milliseconds kMinBackoff{50};
+constexpr std::chrono::milliseconds kMaxBackoff{1000};
 
-constexpr std::size_t kMostMessage = 8 * 1024 * 1024;
-constexpr std::size_t kLeastRate = 500;  // bytes a millisecond of a list that is longer than most
-constexpr std::chrono::milliseconds kLeastBackoff{50}, kMostBackoff{1000};
-
-}  // namespace
-
-// One watch, from its connection to its end. It may take the whole list before it begins.
-class DiscoveryClient::Stream : public std::enable_shared_from_this<Stream> {
- public:
-  Stream(DiscoveryClient& owner, const asio::ip::tcp::endpoint& address, bool whole_list_first)
-      : owner_(&owner), address_(address), whole_list_(whole_list_first), stream_(owner.io_) {}
-
-  void Start() {
-    stream_.expires_after(owner_->options_.connect_timeout);
-    stream_.async_connect(address_, [self = shared_from_this()](const Error& failed) {
-      if (!self->owner_) return;
-      if (failed) return self->End(failed.message());
-      self->Ask();
-    });
-  }
-
-  void Orphan() {
-    owner_ = nullptr;
-    stream_.close();
-  }
-
- private:
-  // Only what is whole is a sign of life: a trickle of bytes must not keep a watch that tells nothing.
-  void Extend(bool answered = true) {
-    alive_at_ = Steady::now();
-    unfinished_ = 0;
-    answered_ = answered;
-  }
-  void ExpectMore() {
-    const auto& options = owner_->options_;
-    stream_.expires_at(alive_at_ + (answered_ ? options.idle_timeout : options.first_message_timeout) +
-                       std::chrono::milliseconds(unfinished_ / kLeastRate));
-  }
-
-  void End(const std::string& why) {
-    if (DiscoveryClient* owner = std::exchange(owner_, nullptr)) {
-      stream_.close();
-      owner->OnEnd(this, why);
-    }
-  }
-
-  void Ask() {
-    request_.method(http::verb::get);
-    request_.version(11);
-    const std::string from = std::to_string(owner_->options_.revision);
-    request_.target(whole_list_ ? "/v1/endpoints" : "/v1/endpoints?stream=1&index=" + from);
-    request_.set(http::field::host, address_.address().to_string());
-    Extend(/*answered=*/false);
-    ExpectMore();
-    http::async_write(stream_, request_, [self = shared_from_this()](const Error& failed, std::size_t) {
-      if (!self->owner_) return;
-      if (failed) return self->End(failed.message());
-      self->ReadHeader();
-    });
-  }
-
-  void ReadHeader() {
-    parser_.emplace();
-    parser_->body_limit(boost::none);
-    http::async_read_header(
-        stream_, buffer_, *parser_, [self = shared_from_this()](const Error& failed, std::size_t) {
-          if (!self->owner_) return;
-          if (failed) return self->End(failed.message());
-          if (self->parser_->get().result() != http::status::ok)
-            return self->End("answer " + std::to_string(self->parser_->get().result_int()));
-          self->ReadSome();
-        });
-  }
-
-  void ReadSome() {
-    if (parser_->is_done()) return whole_list_ ? TakeWholeList() : EndOfWatch("the watch ended");
-    parser_->get().body().data = piece_.data();
-    parser_->get().body().size = piece_.size();
-    ExpectMore();
-    http::async_read_some(stream_, buffer_, *parser_, [self = shared_from_this()](Error failed, std::size_t) {
-      if (!self->owner_) return;
-      if (failed == http::error::need_buffer) failed = {};
-      const std::size_t got = self->piece_.size() - self->parser_->get().body().size;
-      if (!self->Take({self->piece_.data(), got})) return;
-      if (failed) return self->EndOfWatch(failed.message());
-      self->ReadSome();
-    });
-  }
-
-  // What came whole was told, also if its line end did not come any more.
-  void EndOfWatch(const std::string& why) {
-    std::string last;
-    if (!whole_list_ && messages_.TakeLast(&last)) owner_->OnMessage(this, last);
-    End(why);
-  }
-
-  // The list came as one answer; the watch goes on from it, on the same connection if that stays open.
-  void TakeWholeList() {
-    const bool open = parser_->keep_alive();
-    const std::string list = std::exchange(whole_, {});
-    if (!owner_->OnMessage(this, list)) return End("a garbled list");
-    whole_list_ = false;
-    if (open) return Ask();
-    stream_.close();
-    buffer_.clear();
-    Start();
-  }
-
-  // False when the watch is over.
-  bool Take(std::string_view piece) {
-    unfinished_ += piece.size();
-    if (whole_list_) {
-      whole_ += piece;
-      return whole_.size() <= kMostMessage || EndWith("a list without end");
-    }
-    messages_.Add(piece);
-    std::string message;
-    for (;;) {
-      const MessageFramer::Result next = messages_.Take(&message);
-      if (next == MessageFramer::Result::kMore) break;
-      if (next == MessageFramer::Result::kGarbled) {
-        owner_->Garbled("no list");
-        return EndWith("a garbled message");
-      }
-      Extend();
-      if (next == MessageFramer::Result::kEmptyLine) continue;
-      const bool good = owner_->OnMessage(this, message);
-      if (!owner_) return false;
-      if (!good) return EndWith("a garbled message");
-    }
-    return messages_.size() <= kMostMessage || EndWith("a message without end");
-  }
+void LogMalformed(const std::string& reason) {
+  log::Global().Warn("discovery_garbled", {{"reason", reason}});
+}
 
-  bool EndWith(const char* why) {
-    End(why);
-    return false;
-  }
+// One step of Knuth's MMIX linear congruential generator.
+std::uint64_t NextJitterState(std::uint64_t state) {
+  return state * 6364136223846793005u + 1442695040888963407u;
+}
 
-  DiscoveryClient* owner_;
-  const asio::ip::tcp::endpoint address_;
-  bool whole_list_;  // is to be taken first
-  beast::tcp_stream stream_;
-  beast::flat_buffer buffer_;
-  http::request<http::empty_body> request_;
-  std::optional<http::response_parser<http::buffer_body>> parser_;
-  std::array<char, 16384> piece_;
-  std::string whole_;       // the whole list, as far as it has come
-  MessageFramer messages_;  // of the watch
-  Steady::time_point alive_at_{};
-  std::size_t unfinished_ = 0;  // bytes since then
-  bool answered_ = false;       // the call has brought its first message
-};
+}  // namespace
 
-DiscoveryClient::DiscoveryClient(asio::io_context& io, Options options, OnUpdate on_update,
+DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, Options options, OnUpdate on_update,
                                  OnFailure on_failure)
     : io_(io),
       options_(std::move(options)),
       on_update_(std::move(on_update)),
       on_failure_(std::move(on_failure)),
-      again_(io),
-      jitter_(options_.seed | 1) {}
+      backoff_timer_(io),
+      jitter_state_(options_.seed | 1) {}
 
 DiscoveryClient::~DiscoveryClient() {
-  for (const auto& stream : {stream_, next_}) {
-    if (stream) stream->Orphan();
+  for (const auto& stream : {watch_, replacement_}) {
+    if (stream) stream->Detach();
   }
 }
 
-void DiscoveryClient::Watch() {
-  if (moving_) return StartMove();
-  again_.cancel();
-  if (stream_) stream_->Orphan();
-  log::Global().Debug("discovery_called");
-  stream_ = std::make_shared<Stream>(*this, options_.address, /*whole_list_first=*/false);
-  stream_->Start();
-}
+void DiscoveryClient::Watch() { Enter(migrating() ? State::kMigrating : State::kWatching); }
 
-void DiscoveryClient::MoveTo(const asio::ip::tcp::endpoint& address) {
-  if (address == (moving_ ? next_address_ : options_.address)) return;
-  moving_ = true;
-  next_address_ = address;
+void DiscoveryClient::MoveTo(const boost::asio::ip::tcp::endpoint& address) {
+  if (address == (migrating() ? replacement_address_ : options_.address)) return;
+  replacement_address_ = address;
   backoff_ = std::chrono::milliseconds(0);
-  StartMove();
+  Enter(State::kMigrating);
+}
+
+void DiscoveryClient::Enter(State state) {
+  state_ = state;
+  switch (state) {
+    case State::kIdle:
+      return;
+    case State::kWatching:
+      return OpenWatch();
+    case State::kMigrating:
+      return OpenReplacement();
+    case State::kBackoff:
+    case State::kMigrationBackoff:
+      return ArmBackoff();
+  }
+}
+
+void DiscoveryClient::OpenWatch() {
+  backoff_timer_.cancel();
+  if (watch_) watch_->Detach();
+  watch_ = NewStream(options_.address, EndpointStream::Request::kWatch);
+  watch_->Start();
 }
 
-void DiscoveryClient::StartMove() {
-  again_.cancel();
-  if (next_) next_->Orphan();
+void DiscoveryClient::OpenReplacement() {
+  backoff_timer_.cancel();
+  if (replacement_) replacement_->Detach();
+  replacement_ = NewStream(replacement_address_, EndpointStream::Request::kSnapshot);
+  replacement_->Start();
+}
+
+// The replacement has delivered its snapshot and goes on as the watch.
+void DiscoveryClient::AdoptReplacement() {
+  if (watch_) watch_->Detach();
+  watch_ = std::move(replacement_);
+  options_.address = replacement_address_;
+  state_ = State::kWatching;
+}
+
+std::shared_ptr<EndpointStream> DiscoveryClient::NewStream(const boost::asio::ip::tcp::endpoint& address,
+                                                           EndpointStream::Request request) {
   log::Global().Debug("discovery_called");
-  next_ = std::make_shared<Stream>(*this, next_address_, /*whole_list_first=*/true);
-  next_->Start();
+  const EndpointStream::Timeouts timeouts{options_.connect_timeout, options_.first_message_timeout,
+                                          options_.idle_timeout};
+  EndpointStream::Observer& observer = *this;
+  return std::make_shared<EndpointStream>(io_, observer, address, timeouts, request);
 }
 
-void DiscoveryClient::Garbled(const std::string& why) {
-  log::Global().Warn("discovery_garbled", {{"reason", why}});
+// Half of the backoff is jitter, so that proxies do not reconnect in step.
+void DiscoveryClient::ArmBackoff() {
+  backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
+  jitter_state_ = NextJitterState(jitter_state_);
+  backoff_timer_.expires_after(backoff_ / 2 + backoff_ * (jitter_state_ >> 33) / 2 / (1ull << 31));
+  backoff_timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled) Watch();
+  });
 }
 
-bool DiscoveryClient::OnMessage(Stream* from, std::string_view message) {
-  std::string why;
-  const auto list = ParseEndpointList(message, &why);
-  if (!list) {
-    Garbled(why);
+bool DiscoveryClient::OnMessage(EndpointStream& stream, std::string_view message) {
+  std::string reason;
+  const auto update = ParseEndpointList(message, &reason);
+  if (!update) {
+    LogMalformed(reason);
     return false;
   }
-  if (from == next_.get()) {
-    if (!list->complete) return false;
-    if (stream_) stream_->Orphan();
-    stream_ = std::move(next_);
-    options_.address = next_address_;
-    moving_ = false;
+  if (&stream == replacement_.get()) {
+    if (!update->complete) return false;
+    AdoptReplacement();
   }
   backoff_ = std::chrono::milliseconds(0);
-  if (std::exchange(told_, false)) log::Global().Info("discovery_back");
-  // A change older than the list that it would change must not undo it.
-  if (!list->complete && list->revision < options_.revision) return true;
-  options_.revision = list->revision;
-  on_update_(*list);
+  if (std::exchange(outage_logged_, false)) log::Global().Info("discovery_back");
+  // An incremental update older than the list that it would change must not undo it.
+  if (!update->complete && update->revision < options_.revision) return true;
+  options_.revision = update->revision;
+  on_update_(*update);
   return true;
 }
 
-void DiscoveryClient::OnEnd(Stream* from, const std::string& why) {
-  log::Global().Debug("discovery_failed", {{"reason", why}});
-  // After a move nothing is lost with the old watch: only the new one is tried again.
-  if (moving_ && from == stream_.get()) return stream_.reset();
-  if (!std::exchange(told_, true)) log::Global().Warn("discovery_away", {{"reason", why}});
-  if (moving_) {
-    next_.reset();
-    return RetryLater();
-  }
-  stream_.reset();
-  if (options_.reconnect == Reconnect::kOnRequest) return on_failure_();
-  RetryLater();
-}
-
-void DiscoveryClient::RetryLater() {
-  backoff_ = std::clamp(backoff_ * 2, kLeastBackoff, kMostBackoff);
-  jitter_ = jitter_ * 6364136223846793005u + 1442695040888963407u;  // proxies must not come back in step
-  again_.expires_after(backoff_ / 2 + backoff_ * (jitter_ >> 33) / 2 / (1ull << 31));
-  again_.async_wait([this](const Error& cancelled) {
-    if (!cancelled) Watch();
-  });
+void DiscoveryClient::OnFramingError() { LogMalformed("no list"); }
+
+void DiscoveryClient::OnStreamEnded(EndpointStream& stream, const StreamFailure& failure) {
+  const std::string reason = failure.Describe();
+  log::Global().Debug("discovery_failed", {{"reason", reason}});
+  // While migrating nothing is lost with the old watch: only the replacement is retried.
+  if (migrating() && &stream == watch_.get()) return watch_.reset();
+  if (!std::exchange(outage_logged_, true)) log::Global().Warn("discovery_away", {{"reason", reason}});
+  if (migrating()) {
+    replacement_.reset();
+    return Enter(State::kMigrationBackoff);
+  }
+  watch_.reset();
+  if (options_.reconnect == Reconnect::kAutomatic) return Enter(State::kBackoff);
+  Enter(State::kIdle);
+  on_failure_();
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/discovery/discovery_client.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Watches discovery for changes of the list of backends.
+// Keeps the proxy's endpoint list current: holds one watch of discovery open, reconnects with backoff, and
+// migrates to another discovery address without losing the watch it has.
 #ifndef COPPERPOINT_PROXY_DISCOVERY_DISCOVERY_CLIENT_H_
 #define COPPERPOINT_PROXY_DISCOVERY_DISCOVERY_CLIENT_H_
 
@@ -12,27 +13,32 @@
 #include <memory>
 #include <string>
 
+#include "proxy/discovery/endpoint_stream.h"
 #include "proxy/discovery/endpoints.h"
 
 namespace copperpoint::proxy {
 
-class DiscoveryClient {
+// Owns its streams and the revision of the last update applied. Single-threaded: used from the event loop
+// that it is given, which must not run its handlers after the client is destroyed.
+class DiscoveryClient : private EndpointStream::Observer {
  public:
   using OnUpdate = std::function<void(const EndpointList&)>;
   using OnFailure = std::function<void()>;
-  enum class Reconnect { kAutomatic, kOnRequest };
+  enum class Reconnect {
+    kAutomatic,  // after a backoff of its own
+    kOnRequest,  // on the next Watch; the failure is reported
+  };
 
   struct Options {
     boost::asio::ip::tcp::endpoint address;
-    std::uint64_t revision = 0;  // of the list that is known already
+    std::uint64_t revision = 0;  // of the endpoint list that is known already
     Reconnect reconnect = Reconnect::kAutomatic;
-    // A watch that has fallen silent and the dial after it, or two dials that come to nothing, together must
-    // stay under the 6 s after which a change counts as told; after a move there are 4 s.
-    std::chrono::milliseconds idle_timeout{3000};  // without a whole message: one heartbeat and a half
-    std::chrono::milliseconds first_message_timeout{
-        4000};  // for the first message of a call: discovery handles calls in turn
+    // An idle watch and the connect after it, or two connects that time out, must together take less than the
+    // 6 s within which a change has to be known; after a migration there are 4 s.
+    std::chrono::milliseconds idle_timeout{3000};           // one and a half heartbeats
+    std::chrono::milliseconds first_message_timeout{4000};  // longer: discovery serves calls one by one
     std::chrono::milliseconds connect_timeout{1000};
-    std::uint64_t seed = 0;
+    std::uint64_t seed = 0;  // of the jitter
   };
 
   DiscoveryClient(boost::asio::io_context& io, Options options, OnUpdate on_update, OnFailure on_failure);
@@ -40,36 +46,50 @@
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Begins a watch from the last revision applied, in place of one that is open.
+  // Opens a watch from the last revision applied, in place of one that is open.
   void Watch();
 
-  std::uint64_t revision() const { return options_.revision; }  // the last one applied
+  // The revision of the last update applied.
+  std::uint64_t revision() const override { return options_.revision; }
 
-  // From now on discovery is elsewhere. Its revisions need not go on from those known, so that its whole list
-  // is taken first; the watch that is open stays until that has come.
+  // Migrates to another address. Revisions there need not continue the known ones, so a snapshot is fetched
+  // first; the open watch stays until it has arrived.
   void MoveTo(const boost::asio::ip::tcp::endpoint& address);
 
  private:
-  class Stream;
-  friend class Stream;
+  enum class State {
+    kIdle,              // no watch, no timer
+    kWatching,          // the watch is open or connecting
+    kBackoff,           // waiting to reconnect the watch
+    kMigrating,         // the replacement is open or connecting; the old watch may still deliver
+    kMigrationBackoff,  // waiting to reconnect the replacement
+  };
+
+  void Enter(State state);
+  bool migrating() const { return state_ == State::kMigrating || state_ == State::kMigrationBackoff; }
+  void OpenWatch();
+  void OpenReplacement();
+  void AdoptReplacement();
+  void ArmBackoff();
+  std::shared_ptr<EndpointStream> NewStream(const boost::asio::ip::tcp::endpoint& address,
+                                            EndpointStream::Request request);
 
-  void StartMove();
-  bool OnMessage(Stream* from, std::string_view message);  // false: it is garbled
-  void Garbled(const std::string& why);
-  void OnEnd(Stream* from, const std::string& why);
-  void RetryLater();
+  bool OnMessage(EndpointStream& stream, std::string_view message) override;
+  void OnFramingError() override;
+  void OnStreamEnded(EndpointStream& stream, const StreamFailure& failure) override;
 
   boost::asio::io_context& io_;
   Options options_;
   OnUpdate on_update_;
   OnFailure on_failure_;
-  boost::asio::steady_timer again_;
-  std::shared_ptr<Stream> stream_, next_;  // the watch; the one that is to take its place after a move
-  bool moving_ = false;
-  boost::asio::ip::tcp::endpoint next_address_;
+  State state_ = State::kIdle;
+  boost::asio::steady_timer backoff_timer_;
+  std::shared_ptr<EndpointStream> watch_;
+  std::shared_ptr<EndpointStream> replacement_;         // while migrating
+  boost::asio::ip::tcp::endpoint replacement_address_;  // while migrating
   std::chrono::milliseconds backoff_{0};
-  std::uint64_t jitter_;
-  bool told_ = false;  // that discovery is away
+  std::uint64_t jitter_state_;
+  bool outage_logged_ = false;
 };
 
 }  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/discovery/endpoint_stream.h
@@ -0,0 +1,111 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// One connection to discovery: an optional snapshot of all endpoints, then a watch that streams updates.
+#ifndef COPPERPOINT_PROXY_DISCOVERY_ENDPOINT_STREAM_H_
+#define COPPERPOINT_PROXY_DISCOVERY_ENDPOINT_STREAM_H_
+
+#include <array>
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/core/tcp_stream.hpp>
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/empty_body.hpp>
+#include <boost/beast/http/message.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "proxy/clock.h"
+#include "proxy/discovery/message_framer.h"
+#include "proxy/discovery/stream_error.h"
+
+namespace copperpoint::proxy {
+
+// Reads one call and reports to its observer. Owned by shared_ptr; pending socket operations keep it alive
+// until they complete, also after Detach.
+class EndpointStream : public std::enable_shared_from_this<EndpointStream> {
+ public:
+  class Observer {
+   public:
+    // A complete message, a snapshot or an update, as JSON text. False if it cannot be used: the stream ends.
+    // May detach the stream.
+    virtual bool OnMessage(EndpointStream& stream, std::string_view message) = 0;
+    // The bytes of the watch are not a sequence of messages. OnStreamEnded follows.
+    virtual void OnFramingError() = 0;
+    // Called at most once; the stream makes no further calls.
+    virtual void OnStreamEnded(EndpointStream& stream, const StreamFailure& failure) = 0;
+    // The revision from which a watch goes on.
+    virtual std::uint64_t revision() const = 0;
+
+   protected:
+    ~Observer() = default;
+  };
+
+  struct Timeouts {
+    std::chrono::milliseconds connect;
+    std::chrono::milliseconds first_message;  // of a call
+    std::chrono::milliseconds idle;           // between complete messages
+  };
+
+  // What a connection begins with.
+  enum class Request { kSnapshot, kWatch };
+
+  EndpointStream(boost::asio::io_context& io, Observer& observer,
+                 const boost::asio::ip::tcp::endpoint& address, const Timeouts& timeouts, Request request);
+
+  void Start() { Enter(State::kConnecting); }
+
+  // Closes the connection without a further call to the observer.
+  void Detach();
+
+ private:
+  using Error = boost::system::error_code;
+  enum class State { kConnecting, kSendingRequest, kReadingHeader, kReadingBody };
+
+  // Begins the one socket operation of a state.
+  void Enter(State state);
+  void Connect();
+  void SendRequest();
+  void ReadHeader();
+  void ReadBody();
+
+  void OnHeader();
+  void OnBodyComplete();
+  void OnBodyError(const Error& error);
+  // Return false when the stream is over.
+  bool OnBody(std::string_view bytes);
+  bool OnSnapshotBytes(std::string_view bytes);
+  bool OnWatchBytes(std::string_view bytes);
+  void OnSnapshotComplete();
+
+  // Only a complete message counts as activity: a trickle of bytes must not hold an idle watch open.
+  void RecordActivity();
+  void ArmIdleTimeout();
+  // Reports the end. False, for callers that return it.
+  bool End(const StreamFailure& failure);
+
+  Observer* observer_;  // null once detached or ended
+  const boost::asio::ip::tcp::endpoint address_;
+  const Timeouts timeouts_;
+  Request request_kind_;
+  boost::beast::tcp_stream socket_;
+  boost::beast::flat_buffer buffer_;
+  boost::beast::http::request<boost::beast::http::empty_body> request_;
+  std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
+  std::array<char, 16384> chunk_;
+  std::string snapshot_;  // received so far
+  MessageFramer framer_;  // of the watch
+  Steady::time_point last_activity_{};
+  std::size_t unfinished_bytes_ = 0;  // received since last_activity_
+  bool message_received_ = false;     // in this call
+};
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_DISCOVERY_ENDPOINT_STREAM_H_
--- /dev/null
+++ b/tests/proxy/admin_server_test.cpp
@@ -0,0 +1,112 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The bytes with which the admin interface answers, whatever handler it has.
+#include "proxy/admin/admin_server.h"
+
+#include <gtest/gtest.h>
+
+#include "support/loopback.h"
+
+namespace copperpoint::testing {
+namespace {
+
+using proxy::AdminHandler;
+
+class StubHandler : public AdminHandler {
+ public:
+  bool Ready() const override { return ready; }
+  std::string StateName() const override { return ready ? "ready" : "drained"; }
+  AdminResult Disable(const std::string& backend) override { return last_backend = backend, result; }
+  AdminResult Enable(const std::string& backend) override { return last_backend = backend, result; }
+  AdminResult Drain() override { return result; }
+  AdminResult Undrain() override { return result; }
+  std::string FleetStatus() const override { return fleet; }
+  bool IsFleetCall(std::string_view path) const override { return path.starts_with("/rollout"); }
+  std::optional<FleetCallResult> FleetCall(const std::string& path, bool post,
+                                           const std::string& body) override {
+    if (path == "/rollout/none") return std::nullopt;
+    return FleetCallResult{path != "/rollout/fails", (post ? "post " : "get ") + body};
+  }
+
+  bool ready = true;
+  AdminResult result = AdminResult::kDone;
+  std::string fleet, last_backend;
+};
+
+class AdminServerTest : public ::testing::Test {
+ protected:
+  // All that the server sends for one call, until it closes its side.
+  std::string Call(const std::string& method, const std::string& target, const std::string& body = "") {
+    asio::io_context io;
+    proxy::AdminServer server(io, kAnyPort, handler);
+    std::string answer;
+    std::thread client([&, address = server.address()] {
+      asio::io_context client_io;
+      Tcp::socket socket(client_io);
+      socket.connect(address);
+      const std::string length =
+          body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n";
+      asio::write(socket,
+                  asio::buffer(method + " " + target + " HTTP/1.1\r\nHost: x\r\n" + length + "\r\n" + body));
+      error_code ended;
+      asio::read(socket, asio::dynamic_buffer(answer), ended);
+      asio::post(io, [&io] { io.stop(); });
+    });
+    io.run();
+    client.join();
+    return answer;
+  }
+  static std::string Answer(const std::string& status, const std::string& text) {
+    return "HTTP/1.1 " + status + "\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: " +
+           std::to_string(text.size() + 1) + "\r\n\r\n" + text + "\n";
+  }
+
+  StubHandler handler;
+};
+
+TEST_F(AdminServerTest, AnswersReadinessWithTheStateName) {
+  EXPECT_EQ(Call("GET", "/ready"), Answer("200 OK", "ready"));
+  handler.ready = false;
+  EXPECT_EQ(Call("GET", "/ready"), Answer("503 Service Unavailable", "drained"));
+}
+
+TEST_F(AdminServerTest, AnswersChangesByTheirResult) {
+  EXPECT_EQ(Call("POST", "/drain"), Answer("200 OK", "draining"));
+  EXPECT_EQ(Call("POST", "/undrain"), Answer("200 OK", "serving again"));
+  EXPECT_EQ(Call("POST", "/backends/disable?member=s%2D1"), Answer("200 OK", "disabled"));
+  EXPECT_EQ(handler.last_backend, "s-1");
+  EXPECT_EQ(Call("POST", "/backends/enable?x=1&member=s-2"), Answer("200 OK", "enabled"));
+  EXPECT_EQ(handler.last_backend, "s-2");
+  handler.result = AdminHandler::AdminResult::kUnknownBackend;
+  EXPECT_EQ(Call("POST", "/backends/enable?member=s-1"),
+            Answer("404 Not Found", "no backend of this id is listed"));
+  handler.result = AdminHandler::AdminResult::kNotStored;
+  EXPECT_EQ(Call("POST", "/backends/disable?member=s-1"),
+            Answer("503 Service Unavailable", "the change could not be stored in $TMPDIR; nothing changed"));
+  handler.result = AdminHandler::AdminResult::kStopping;
+  EXPECT_EQ(Call("POST", "/drain"), Answer("409 Conflict", "this process is stopping"));
+}
+
+TEST_F(AdminServerTest, AnswersWrongCallsWithWhatIsWrong) {
+  EXPECT_EQ(Call("POST", "/nothing"), Answer("404 Not Found", "no such call"));
+  EXPECT_EQ(Call("POST", "/ready"), Answer("405 Method Not Allowed", "use GET"));
+  EXPECT_EQ(Call("GET", "/drain"), Answer("405 Method Not Allowed", "use POST"));
+  EXPECT_EQ(Call("POST", "/backends/disable"), Answer("400 Bad Request", "member is missing"));
+  EXPECT_EQ(Call("POST", "/backends/disable?member=%2"), Answer("400 Bad Request", "member is malformed"));
+  EXPECT_EQ(Call("POST", "/backends/disable?member=a&member=b"),
+            Answer("400 Bad Request", "member is given more than once"));
+}
+
+TEST_F(AdminServerTest, AnswersFleetCallsFromTheHandler) {
+  EXPECT_EQ(Call("GET", "/fleet"), Answer("404 Not Found", "this proxy is in no fleet"));
+  handler.fleet = "{}";
+  EXPECT_EQ(Call("GET", "/fleet"), Answer("200 OK", "{}"));
+  EXPECT_EQ(Call("GET", "/rollout"), Answer("200 OK", "get "));
+  EXPECT_EQ(Call("POST", "/rollout/start", "plan"), Answer("200 OK", "post plan"));
+  EXPECT_EQ(Call("POST", "/rollout/fails"), Answer("409 Conflict", "post "));
+  EXPECT_EQ(Call("GET", "/rollout/none"), Answer("404 Not Found", "no such call"));
+  EXPECT_EQ(Call("DELETE", "/rollout"), Answer("405 Method Not Allowed", "use GET or POST"));
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
