--- a/src/proxy/downstream/request_handler.h
+++ b/src/proxy/downstream/request_handler.h
@@ -12,7 +12,7 @@
 #include <string_view>
 
 #include "copperpoint/balancer.h"
-#include "proxy/http/framing.h"
+#include "proxy/http/client_request.h"
 
 namespace copperpoint::proxy {
 
--- a/src/proxy/downstream/request_reader.cpp
+++ b/src/proxy/downstream/request_reader.cpp
@@ -14,6 +14,7 @@
 #include <utility>
 
 #include "proxy/downstream/client_session.h"
+#include "proxy/http/framing.h"
 
 namespace copperpoint::proxy {
 namespace {
--- a/src/proxy/downstream/request_reader.h
+++ b/src/proxy/downstream/request_reader.h
@@ -17,7 +17,7 @@
 #include "proxy/clock.h"
 #include "proxy/downstream/arrival_times.h"
 #include "proxy/http/body_stream.h"
-#include "proxy/http/framing.h"
+#include "proxy/http/messages.h"
 
 namespace copperpoint::proxy {
 
--- a/src/proxy/downstream/response_writer.h
+++ b/src/proxy/downstream/response_writer.h
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "proxy/http/body_stream.h"
-#include "proxy/http/framing.h"
+#include "proxy/http/messages.h"
 
 namespace copperpoint::proxy {
 
--- /dev/null
+++ b/src/proxy/http/client_request.h
@@ -0,0 +1,37 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// A client's request with its header fields parsed and validated.
+#ifndef COPPERPOINT_PROXY_HTTP_CLIENT_REQUEST_H_
+#define COPPERPOINT_PROXY_HTTP_CLIENT_REQUEST_H_
+
+#include <cstdint>
+#include <memory>
+#include <optional>
+
+#include "proxy/clock.h"
+#include "proxy/config/config.h"
+#include "proxy/http/body_stream.h"
+#include "proxy/http/messages.h"
+
+namespace copperpoint::proxy {
+
+struct ClientRequest {
+  HttpRequest message;                      // what is forwarded; its body may go on in `body_stream`
+  std::shared_ptr<BodySource> body_stream;  // null if the body is complete
+  Steady::time_point deadline{};
+  int request_class = 0;           // index in Config::classes
+  int tenant = 0;                  // index in Config::tenants
+  std::uint64_t affinity_key = 0;  // hash of what the request is about; 0: it has none
+  bool has_work_estimate = false;
+  bool client_retry = false;  // the client marks it as a retry
+  double estimated_work_ms = 0;
+};
+
+// Parses the header fields of `message`, whose last byte arrived at `read_at`, into `request`. The error, if
+// they are invalid; `request` is then incomplete.
+std::optional<RequestError> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
+                                               const Config& config, ClientRequest* request);
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_HTTP_CLIENT_REQUEST_H_
--- /dev/null
+++ b/src/proxy/upstream/attempt.h
@@ -0,0 +1,51 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// One attempt: a request forwarded to one backend, and its result.
+#ifndef COPPERPOINT_PROXY_UPSTREAM_ATTEMPT_H_
+#define COPPERPOINT_PROXY_UPSTREAM_ATTEMPT_H_
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+
+#include "copperpoint/balancer.h"
+#include "proxy/clock.h"
+#include "proxy/http/body_stream.h"
+#include "proxy/http/messages.h"
+
+namespace copperpoint::proxy {
+
+struct AttemptResult {
+  AttemptOutcome outcome = AttemptOutcome::kUnknown;
+  // Of kSuccess: complete but for `body_stream`. Of kUnknown: the 4xx with which the backend rejected the
+  // request.
+  HttpResponse response;
+  // The rest of a large body; null if there is none. Releasing it releases the connection.
+  std::shared_ptr<BodySource> body_stream;
+  std::optional<std::uint64_t>
+      body_length;  // bytes of the whole body, if it is streamed and its length known
+  // When the last byte of a streamed request body was written.
+  std::optional<Steady::time_point> request_written_at;
+  // Of kNotSent: this process lacked descriptors, ports or connection capacity.
+  bool local_failure = false;
+};
+using AttemptCallback = std::function<void(AttemptResult)>;
+
+// An attempt in progress; owned by the connection that carries it.
+struct Attempt {
+  std::shared_ptr<const HttpRequest> request;
+  std::shared_ptr<RequestBodyStream>
+      upload;                    // the rest of a large request body; null if `request` is complete
+  AttemptCallback on_completed;  // null once completed
+  Steady::duration timeout{};
+  Steady::time_point deadline{};    // `timeout` from its start or, with an upload, from its last byte
+  Steady::time_point written_at{};  // the last byte of an upload
+  bool completing = false;  // the completion is posted to the event loop; nothing else may come before
+
+  bool in_progress() const { return on_completed != nullptr; }
+};
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_UPSTREAM_ATTEMPT_H_
--- /dev/null
+++ b/src/proxy/upstream/backend_connection.cpp
@@ -0,0 +1,248 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/upstream/backend_connection.h"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/post.hpp>
+#include <cassert>
+#include <chrono>
+#include <utility>
+
+#include "proxy/upstream/backend_pool.h"
+#include "proxy/upstream/outcome.h"
+
+namespace copperpoint::proxy {
+namespace {
+
+namespace asio = boost::asio;
+using Tcp = asio::ip::tcp;
+using Error = boost::system::error_code;
+
+Steady::duration ToSteady(Duration duration) { return std::chrono::ceil<Steady::duration>(duration); }
+
+// Not the backend's fault: this process or this machine lacks the means.
+bool IsLocalFailure(const Error& error) {
+  return error == asio::error::no_descriptors || error == asio::error::no_buffer_space ||
+         error == asio::error::no_memory || error == boost::system::errc::too_many_files_open_in_system ||
+         error == boost::system::errc::address_not_available;
+}
+
+}  // namespace
+
+// The rest of a streamed response. Without a reader, an unfinished response makes its connection useless.
+class BackendConnection::ResponseBodyStream : public BodySource {
+ public:
+  explicit ResponseBodyStream(std::shared_ptr<BackendConnection> connection)
+      : connection_(std::move(connection)) {}
+  ~ResponseBodyStream() override { connection_->EndStream(); }
+  void Read(OnBodyChunk on_chunk) override { connection_->reader_.ReadStreamedBody(std::move(on_chunk)); }
+
+ private:
+  std::shared_ptr<BackendConnection> connection_;
+};
+
+BackendConnection::BackendConnection(BackendPool& pool, BackendId backend, std::uint64_t generation)
+    : pool_(&pool),
+      backend_(backend),
+      generation_(generation),
+      socket_(pool.io()),
+      timer_(pool.io()),
+      writer_(*this, socket_),
+      reader_(*this, socket_) {}
+
+void BackendConnection::EnterState(ConnectionState state) {
+  assert(IsValidTransition(state_, state));
+  state_ = state;
+}
+
+void BackendConnection::Assign(Attempt&& attempt) {
+  ++attempt_id_;
+  attempt_ = std::move(attempt);
+  reader_.Reset();
+}
+
+void BackendConnection::Connect(const Tcp::endpoint& address, Duration timeout) {
+  Error error;
+  socket_.open(address.protocol(), error);
+  if (!error) socket_.set_option(Tcp::no_delay(true), error);
+  if (!error) socket_.non_blocking(true, error);
+  if (error) return FailSoon(AttemptOutcome::kNotSent, /*local_failure=*/true);
+  SetTimer(std::min(attempt_.deadline, Steady::now() + ToSteady(timeout)));
+  socket_.async_connect(address, [self = shared_from_this(), id = attempt_id_](const Error& error) {
+    if (!self->IsCurrent(id)) return;
+    if (error && IsLocalFailure(error)) return self->Fail(AttemptOutcome::kNotSent, /*local_failure=*/true);
+    if (error) return self->Fail(AttemptOutcome::kConnectFailure);
+    self->SetTimer(self->attempt_.deadline);
+    // A peer that sends before it has a request will not respond to it.
+    if (!self->IsQuiescent()) return self->Fail(AttemptOutcome::kConnectFailure);
+    self->WriteRequest();
+  });
+}
+
+void BackendConnection::Reuse() {
+  Error ignored;
+  socket_.cancel(ignored);  // the wait for the backend's end
+  SetTimer(attempt_.deadline);
+  WriteRequest();
+}
+
+void BackendConnection::WriteRequest() {
+  EnterState(ConnectionState::kWritingRequest);
+  writer_.Write();
+}
+
+void BackendConnection::OnRequestWritten() {
+  EnterState(ConnectionState::kAwaitingResponse);
+  if (attempt_.upload) {
+    writer_.Clear();
+    attempt_.written_at = Steady::now();
+    attempt_.deadline = attempt_.written_at + attempt_.timeout;
+    SetTimer(attempt_.deadline);
+  }
+  socket_.async_wait(Tcp::socket::wait_read,
+                     [self = shared_from_this(), id = attempt_id_](const Error& error) {
+                       if (!self->IsCurrent(id)) return;
+                       if (error) return self->FailResponse();
+                       self->EnterState(ConnectionState::kReadingResponse);
+                       self->RestartResponseTimer();
+                       self->reader_.Read();
+                     });
+}
+
+// A response that has begun is complete soon or never: its connection may stay open and silent.
+void BackendConnection::RestartResponseTimer() {
+  SetTimer(std::min(attempt_.deadline, Steady::now() + timeouts().response_stall));
+}
+
+void BackendConnection::OnResponse(HttpResponse&& response, bool reusable) {
+  AttemptResult result;
+  result.outcome = ClassifyResponse(*attempt_.request, response);
+  result.response = std::move(response);
+  Complete(std::move(result), reusable);
+}
+
+// The attempt succeeds with the first bytes of a large response; what follows is between this connection and
+// the client.
+void BackendConnection::OnStreamedResponse(HttpResponse&& response,
+                                           std::optional<std::uint64_t> body_length) {
+  const auto self = shared_from_this();
+  AttemptResult result;
+  result.outcome = AttemptOutcome::kSuccess;
+  result.body_length = body_length;
+  result.response = std::move(response);
+  if (attempt_.upload) result.request_written_at = attempt_.written_at;
+  const AttemptCallback on_completed = std::exchange(attempt_.on_completed, nullptr);
+  attempt_.request = {};
+  attempt_.upload.reset();
+  EnterState(ConnectionState::kStreamingResponse);
+  SetTimer(Steady::time_point::max());
+  result.body_stream = std::make_shared<ResponseBodyStream>(self);
+  on_completed(std::move(result));
+}
+
+void BackendConnection::EndStream() {
+  reader_.CancelStreamedBody();
+  if (closed()) return;
+  if (!reader_.allows_reuse() || !pool_) return Close();
+  Clear();
+  pool_->ReturnToIdle(shared_from_this());
+}
+
+void BackendConnection::StartIdle(Duration timeout) {
+  EnterState(ConnectionState::kIdle);
+  idle_since_ = Steady::now();
+  SetTimer(idle_since_ + ToSteady(timeout));
+  socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), id = attempt_id_](const Error&) {
+    if (id == self->attempt_id_) self->Close();  // the backend's end, or bytes that no request asked for
+  });
+}
+
+void BackendConnection::SetTimer(Steady::time_point at) {
+  timer_.expires_at(at);
+  timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
+    if (cancelled || self->closed() || self->attempt_.completing) return;
+    if (Steady::now() < self->timer_.expiry()) return;
+    self->OnTimer();
+  });
+}
+
+void BackendConnection::OnTimer() {
+  // Idle for too long, or stalled in a streamed response.
+  if (!attempt_.in_progress()) return Close();
+  const bool deadline_reached = timer_.expiry() >= attempt_.deadline;
+  Fail(OutcomeOfTimeout(state_, deadline_reached));
+}
+
+void BackendConnection::CancelUnsent() {
+  if (!attempt_.in_progress() || attempt_.completing || IsRequestWritten(state_)) return;
+  if (attempt_.upload && attempt_.upload->consumed) return;
+  FailSoon(AttemptOutcome::kNotSent);
+}
+
+void BackendConnection::FailSoon(AttemptOutcome outcome, bool local_failure) {
+  attempt_.completing = true;
+  asio::post(pool_->io(), [self = shared_from_this(), outcome, local_failure, id = attempt_id_] {
+    if (id == self->attempt_id_) self->Fail(outcome, local_failure);
+  });
+}
+
+void BackendConnection::Fail(AttemptOutcome outcome, bool local_failure) {
+  AttemptResult result;
+  result.outcome = outcome;
+  result.local_failure = local_failure;
+  Complete(std::move(result), /*reusable=*/false);
+}
+
+void BackendConnection::Complete(AttemptResult&& result, bool reusable) {
+  if (!attempt_.in_progress()) return;
+  const auto self = shared_from_this();
+  const AttemptCallback on_completed = std::exchange(attempt_.on_completed, nullptr);
+  if (attempt_.upload && IsRequestWritten(state_)) result.request_written_at = attempt_.written_at;
+  // Closed before the end is reported: the next attempt must not find this one on an open connection. A read
+  // or write that has not completed yet may still access its buffers, which stay.
+  if (reusable && pool_) {
+    Clear();
+    pool_->ReturnToIdle(self);
+  } else {
+    Close();
+  }
+  // Where one response does not arrive, the backend's idle connections may be dead too.
+  if (result.outcome == AttemptOutcome::kTimeout && pool_) pool_->CloseIdleConnections(backend_);
+  on_completed(std::move(result));
+}
+
+bool BackendConnection::IsQuiescent() {
+  Error error;
+  char byte;
+  socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+  return error == asio::error::would_block || error == asio::error::try_again;
+}
+
+void BackendConnection::Close() {
+  if (closed()) return;
+  EnterState(ConnectionState::kClosed);
+  Error ignored;
+  socket_.close(ignored);
+  timer_.cancel();
+  if (pool_) pool_->OnConnectionClosed(*this);
+  if (const auto on_chunk = reader_.CancelStreamedBody()) on_chunk(false, {}, true);
+}
+
+void BackendConnection::Detach() {
+  pool_ = nullptr;
+  attempt_.on_completed = nullptr;
+  reader_.CancelStreamedBody();
+  Close();
+}
+
+// An idle connection holds no memory of its last attempt.
+void BackendConnection::Clear() {
+  attempt_.request = {};
+  attempt_.upload.reset();
+  reader_.Clear();
+  writer_.Clear();
+}
+
+const Timeouts& BackendConnection::timeouts() const { return pool_->timeouts(); }
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/upstream/connection_state.h
@@ -0,0 +1,69 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// States of a backend connection, the transitions between them, and what a timeout means in each.
+#ifndef COPPERPOINT_PROXY_UPSTREAM_CONNECTION_STATE_H_
+#define COPPERPOINT_PROXY_UPSTREAM_CONNECTION_STATE_H_
+
+#include "copperpoint/balancer.h"
+
+namespace copperpoint::proxy {
+
+//   state               | ends when                               | limited by
+//   --------------------|-----------------------------------------|-------------------------------------------
+//   kConnecting         | the connection is established           | connect timeout, attempt timeout
+//   kWritingRequest     | the kernel has the last byte            | attempt timeout; of an upload, stall
+//   timeout kAwaitingResponse   | the response's first byte arrives       | attempt timeout kReadingResponse
+//   | the response is complete or too large   | time between its bytes, attempt timeout kStreamingResponse  |
+//   the last chunk is read, or the reader   | stall timeout of each read
+//                       | releases the stream                     |
+//   kIdle               | the pool assigns an attempt             | idle timeout
+//   kClosed             | never                                   |
+enum class ConnectionState {
+  kConnecting,
+  kWritingRequest,
+  kAwaitingResponse,
+  kReadingResponse,
+  kStreamingResponse,
+  kIdle,
+  kClosed,
+};
+
+// The whole table of transitions. Any state but kClosed may also go to kClosed.
+constexpr bool IsValidTransition(ConnectionState from, ConnectionState to) {
+  if (to == ConnectionState::kClosed) return from != ConnectionState::kClosed;
+  switch (from) {
+    case ConnectionState::kConnecting:
+      return to == ConnectionState::kWritingRequest;
+    case ConnectionState::kWritingRequest:
+      return to == ConnectionState::kAwaitingResponse;
+    case ConnectionState::kAwaitingResponse:
+      return to == ConnectionState::kReadingResponse;
+    case ConnectionState::kReadingResponse:
+      return to == ConnectionState::kStreamingResponse || to == ConnectionState::kIdle;
+    case ConnectionState::kStreamingResponse:
+      return to == ConnectionState::kIdle;
+    case ConnectionState::kIdle:
+      return to == ConnectionState::kWritingRequest;
+    case ConnectionState::kClosed:
+      return false;
+  }
+  return false;
+}
+
+// Whether the backend may have received the whole request of the attempt in progress, so that it may run.
+constexpr bool IsRequestWritten(ConnectionState state) {
+  return state == ConnectionState::kAwaitingResponse || state == ConnectionState::kReadingResponse;
+}
+
+// The outcome of an attempt whose connection times out in `state`. `deadline_reached`: the limit that expired
+// is the attempt's own.
+constexpr AttemptOutcome OutcomeOfTimeout(ConnectionState state, bool deadline_reached) {
+  if (!IsRequestWritten(state)) return AttemptOutcome::kConnectFailure;  // nothing has run
+  if (state == ConnectionState::kReadingResponse && !deadline_reached)
+    return AttemptOutcome::kConnectionReset;  // the response has stopped halfway
+  return AttemptOutcome::kTimeout;
+}
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_UPSTREAM_CONNECTION_STATE_H_
--- a/src/proxy/upstream/outcome.cpp
+++ b/src/proxy/upstream/outcome.cpp
@@ -2,15 +2,26 @@
 #include "proxy/upstream/outcome.h"
 
 namespace copperpoint::proxy {
+namespace {
 
-// 503 and 504 alone may come from anything on the way; only the backend's own word proves that it never ran.
-AttemptOutcome ClassifyResponse(const HttpRequest&, const HttpResponse& response) {
+namespace http = boost::beast::http;
+
+// By number: Beast has no name for every status that a backend may send.
+bool Is(unsigned status, http::status named) { return status == static_cast<unsigned>(named); }
+
+}  // namespace
+
+AttemptOutcome ClassifyResponse(const HttpRequest& /*request*/, const HttpResponse& response) {
   const unsigned status = response.result_int();
-  if (status == 200) return AttemptOutcome::kSuccess;
-  if ((status == 503 || status == 504) && response["Srv-Declined"] == "1")
-    return AttemptOutcome::kBackendRejected;
-  // What a backend says of the request is no failure of the backend's, and no other would say otherwise.
-  if (status >= 400 && status < 500 && status != 408 && status != 429) return AttemptOutcome::kUnknown;
+  if (Is(status, http::status::ok)) return AttemptOutcome::kSuccess;
+  // Any hop may send a 503 or 504: only the backend's own field proves that the request never ran.
+  const bool is_unavailable =
+      Is(status, http::status::service_unavailable) || Is(status, http::status::gateway_timeout);
+  if (is_unavailable && response["Srv-Declined"] == "1") return AttemptOutcome::kBackendRejected;
+  const bool is_client_error = http::to_status_class(status) == http::status_class::client_error;
+  const bool concerns_backend =
+      Is(status, http::status::request_timeout) || Is(status, http::status::too_many_requests);
+  if (is_client_error && !concerns_backend) return AttemptOutcome::kUnknown;
   return AttemptOutcome::kServerError;
 }
 
--- /dev/null
+++ b/src/proxy/upstream/response_reader.h
@@ -0,0 +1,62 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Reads a backend's response: header, body up to the buffered limit, and the streamed rest of a larger body.
+#ifndef COPPERPOINT_PROXY_UPSTREAM_RESPONSE_READER_H_
+#define COPPERPOINT_PROXY_UPSTREAM_RESPONSE_READER_H_
+
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "proxy/http/body_stream.h"
+#include "proxy/http/messages.h"
+
+namespace copperpoint::proxy {
+
+class BackendConnection;
+
+// Part of a BackendConnection, which owns it and the socket. Ends with the connection's OnResponse,
+// OnStreamedResponse or Complete.
+class ResponseReader {
+ public:
+  ResponseReader(BackendConnection& connection, boost::asio::ip::tcp::socket& socket);
+
+  // Before the request is written.
+  void Reset();
+  // Reads a response whose first bytes have arrived.
+  void Read();
+
+  // Reads the next piece of a streamed body. `on_chunk` is called once, unless CancelStreamedBody comes
+  // first.
+  void ReadStreamedBody(BodySource::OnBodyChunk on_chunk);
+  BodySource::OnBodyChunk CancelStreamedBody();
+
+  // Whether the response has been read to its end and leaves the connection usable for another request.
+  bool allows_reuse() const;
+
+  // Frees all buffers.
+  void Clear();
+
+ private:
+  void OnHeader();
+  bool IsFramingAcceptable() const;
+  void ReadBody();
+  void StartStream();
+
+  BackendConnection& connection_;
+  boost::asio::ip::tcp::socket& socket_;
+  boost::beast::flat_buffer buffer_;
+  std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
+  std::string body_;                  // the buffered part of the body
+  std::vector<char> chunk_;           // target of the read in progress
+  BodySource::OnBodyChunk on_chunk_;  // of the streamed read in progress
+  int informational_responses_ = 0;   // 1xx received ahead of the final one
+};
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_UPSTREAM_RESPONSE_READER_H_
