--- a/src/proxy/core/request_table.cpp
+++ b/src/proxy/core/request_table.cpp
@@ -50,7 +50,7 @@
 
 void RequestTable::Complete(RequestId id, RequestOutcome outcome, RejectReason reason,
                             const Respond& respond) {
-  if (const auto responder = TakeResponder(id, end, reason)) RespondSafely(*responder, respond);
+  if (const auto responder = TakeResponder(id, outcome, reason)) RespondSafely(*responder, respond);
 }
 
 bool RequestTable::Abandon(RequestId id) {
@@ -72,8 +72,8 @@
                        {"attempts", request->attempts},
                        {"after_ms", elapsed.count()},
                        {"allowed_ms", Duration(request->deadline - request->received_at).count()}});
-  observer_.OnRequestCompleted(
-      {request->request_class, request->tenant, end, now <= request->deadline, request->attempts, elapsed});
+  observer_.OnRequestCompleted({request->request_class, request->tenant, outcome, now <= request->deadline,
+                                request->attempts, elapsed});
   request->upload.reset();
   return std::exchange(request->responder, nullptr);
 }
