--- a/src/proxy/core/request_receiver.h
+++ b/src/proxy/core/request_receiver.h
@@ -10,7 +10,7 @@
 #include "proxy/clock.h"
 #include "proxy/core/event_sink.h"
 #include "proxy/core/request_table.h"
-#include "proxy/downstream/client_listener.h"
+#include "proxy/downstream/request_handler.h"
 #include "proxy/upstream/backend_pool.h"
 
 namespace copperpoint::proxy {
--- a/src/proxy/core/request_table.h
+++ b/src/proxy/core/request_table.h
@@ -15,7 +15,7 @@
 
 #include "copperpoint/balancer.h"
 #include "proxy/clock.h"
-#include "proxy/downstream/client_listener.h"
+#include "proxy/downstream/request_handler.h"
 #include "proxy/membership/request_counts.h"
 #include "proxy/upstream/backend_pool.h"
 
