--- a/src/decision/attempt_timeout.h
+++ b/src/decision/attempt_timeout.h
@@ -12,7 +12,7 @@
   bool may_retry = false;    // idempotency, attempts and budget permit another attempt after this one
   bool has_samples = false;  // the two latencies below rest on enough answers
   bool backend_has_attempts = false;  // attempts are outstanding at the backend
-  Duration backend_silence{0};        // since its last sign of life
+  Duration time_since_activity{0};    // since its last activity
   Duration unlikely_latency{0};       // of such a request
   Duration usual_latency{0};          // that the retry needs
   TimePoint now{}, deadline{};        // the deadline is the client's
@@ -23,7 +23,7 @@
 // work. None either where a retry isn't permitted or would come too late.
 inline Duration AttemptTimeoutFor(const AttemptTimeoutInputs& inputs) {
   if (!inputs.may_retry || !inputs.has_samples || !inputs.backend_has_attempts) return Duration(0);
-  if (inputs.backend_silence < inputs.unlikely_latency) return Duration(0);
+  if (inputs.time_since_activity < inputs.unlikely_latency) return Duration(0);
   if (inputs.now + inputs.unlikely_latency + inputs.usual_latency > inputs.deadline) return Duration(0);
   return inputs.unlikely_latency;
 }
--- a/src/decision/backend_state.h
+++ b/src/decision/backend_state.h
@@ -65,8 +65,8 @@
   int outstanding_attempts = 0;
   bool in_zone_outage = false;
   SlowStartState slow_start;
-  TimePoint last_sign_of_life{};  // the last outcome but a timeout, or the first attempt after none was out
-  TimePoint removed_at{};         // owned by EndpointSet
+  TimePoint last_activity{};  // the last outcome but a timeout, or the first attempt after none was out
+  TimePoint removed_at{};     // owned by EndpointSet
 
   bool ready() const { return endpoint.state == EndpointState::kReady; }
   bool in_service() const { return !(health.ejected || in_zone_outage); }
--- a/src/decision/client_timeouts.h
+++ b/src/decision/client_timeouts.h
@@ -16,7 +16,7 @@
 // but the last one of a few usual timeouts, which differ among clients; the last attempt has what is left of
 // the deadline. The usual timeouts of a class are found by counting how often each recurs.
 //
-// Owns the counts of one class, of at most kTimeouts timeouts; a new one replaces the one counted least.
+// Owns the counts of one class, of at most kTimeouts timeouts; a new one replaces the one counted rarest.
 class ClientTimeouts {
  public:
   // Counts a request that arrived with `remaining` until its deadline, where the settings' is `deadline`, and
@@ -45,14 +45,14 @@
     if (++requests_ % kHalvingRequests == 0) {
       for (Timeout& timeout : timeouts_) timeout.count /= 2;
     }
-    Timeout* least = timeouts_.data();
+    Timeout* rarest = timeouts_.data();
     for (Timeout& timeout : timeouts_) {
       if (timeout.count > 0 &&
           std::abs((remaining - timeout.time).count()) <= kEqualFraction * timeout.time.count())
         return ++timeout.count;
-      if (timeout.count < least->count) least = &timeout;
+      if (timeout.count < rarest->count) rarest = &timeout;
     }
-    *least = {remaining, 1};
+    *rarest = {remaining, 1};
     return 1;
   }
   int MaxCount() const {
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -19,11 +19,12 @@
 }  // namespace
 
 bool ConcurrencyLimit::HasCapacity(const Inputs& inputs) const {
-  const double least = std::max(MinInFlight(), kMinPerBackend * inputs.ready_capacity / inputs.proxy_count);
+  const double always_permitted =
+      std::max(MinInFlight(), kMinPerBackend * inputs.ready_capacity / inputs.proxy_count);
   const double useful_latency_ms = std::min(kMaxObjectiveFraction * inputs.mean_objective_ms,
                                             kMaxLatencyMultiple * inputs.uncongested_latency_ms);
   const double mean = inputs.answers_per_ms * useful_latency_ms;
-  return in_flight_ - overdue_ < std::max(least, mean + kDeviations * std::sqrt(mean));
+  return in_flight_ - overdue_ < std::max(always_permitted, mean + kDeviations * std::sqrt(mean));
 }
 
 // With many proxies this bounds what backends hold: it is smaller the more congested they are.
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -67,7 +67,7 @@
     state_.retry_budget.OnRetry();
   }
   const Duration timeout = TimeoutFor(request, backend);
-  if (backend.outstanding_attempts == 0) backend.last_sign_of_life = state_.now;
+  if (backend.outstanding_attempts == 0) backend.last_activity = state_.now;
   state_.concurrency_limit.OnAttemptStarted();
   backend.outstanding_work_ms += request.work_ms;
   ++backend.outstanding_attempts;
@@ -89,7 +89,7 @@
                      state_.retry_budget.HasToken() && !state_.retry_policy.IsLastAttempt(request);
   inputs.has_samples = state_.latencies.HasSamples(request.request_class);
   inputs.backend_has_attempts = backend.outstanding_attempts > 0;
-  inputs.backend_silence = state_.now - backend.last_sign_of_life;
+  inputs.time_since_activity = state_.now - backend.last_activity;
   inputs.unlikely_latency = state_.latencies.UnlikelyLatency(request.request_class, request.work_ms);
   inputs.usual_latency = state_.latencies.UsualLatency(request.request_class, request.work_ms);
   inputs.now = state_.now;
--- a/src/decision/fleet_updates.cpp
+++ b/src/decision/fleet_updates.cpp
@@ -83,8 +83,8 @@
 }
 
 void FleetUpdates::ReturnBackends() {
-  state_.outlier_detector.BeginReturns();
-  state_.zone_outages.BeginReturns();
+  state_.outlier_detector.ResetNextReturn();
+  state_.zone_outages.ResetNextReturn();
   state_.retry_queue = true;
   for (BackendState& backend : state_.endpoints.backends()) {
     backend.in_zone_outage = state_.zone_outages.UpdateReturn(backend.endpoint.zone, state_.now);
--- a/src/decision/outcome_observer.cpp
+++ b/src/decision/outcome_observer.cpp
@@ -8,7 +8,7 @@
 namespace copperpoint {
 namespace {
 
-bool TellsOfBackend(AttemptOutcome outcome) {
+bool ReflectsBackend(AttemptOutcome outcome) {
   return !(outcome == AttemptOutcome::kCancelled || outcome == AttemptOutcome::kNotSent ||
            outcome == AttemptOutcome::kUnknown);
 }
@@ -25,7 +25,7 @@
   BackendState& backend = state_.endpoints[attempt.backend];
   state_.concurrency_limit.OnAttemptEnded(attempt.overdue);
   ReleaseBackend(request, completed.outcome, backend);
-  if (!TellsOfBackend(completed.outcome)) return;
+  if (!ReflectsBackend(completed.outcome)) return;
   const bool success = completed.outcome == AttemptOutcome::kSuccess;
   state_.slow_start.OnOutcome();
   state_.last_outcome = state_.now;
@@ -44,7 +44,7 @@
 void OutcomeObserver::ReleaseBackend(const RequestState& request, AttemptOutcome outcome,
                                      BackendState& backend) {
   backend.outstanding_work_ms -= request.work_ms;
-  if (outcome != AttemptOutcome::kTimeout) backend.last_sign_of_life = state_.now;
+  if (outcome != AttemptOutcome::kTimeout) backend.last_activity = state_.now;
   if (--backend.outstanding_attempts == 0) backend.outstanding_work_ms = 0;  // no rounding errors remain
 }
 
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -85,8 +85,8 @@
 }
 
 bool OutlierDetector::TakeIntervalEnd(TimePoint now) {
-  if (now < interval_ends_at_) return false;
-  interval_ends_at_ = now + interval_;
+  if (now < interval_end_) return false;
+  interval_end_ = now + interval_;
   backends_with_volume_ = failures_ = attempts_ = 0;
   return true;
 }
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -49,10 +49,10 @@
   // Continues what the predecessor of this process exported.
   void Restore(BackendHealth& health, bool ready, const BackendSnapshot& snapshot, TimePoint now);
 
-  // Ends the ejection if its time is over; true if so. Between BeginReturns and the last call the next return
-  // is found anew: call it for all backends.
+  // Ends the ejection if its time is over; true if so. Between ResetNextReturn and the last call the next
+  // return is found anew: call it for all backends.
   bool ReturnIfDue(BackendHealth& health, bool ready, TimePoint now);
-  void BeginReturns() { next_return_at_ = kNever; }
+  void ResetNextReturn() { next_return_at_ = kNever; }
   TimePoint next_return_at() const { return next_return_at_; }
 
   // True once when the interval is over; then call EndInterval for all backends.
@@ -76,7 +76,7 @@
   int backends_with_volume_ = 0, failures_ = 0, attempts_ = 0;
   Duration interval_{kInterval};
   bool low_traffic_ = false;
-  TimePoint interval_ends_at_{}, next_return_at_ = kNever;
+  TimePoint interval_end_{}, next_return_at_ = kNever;
 };
 
 }  // namespace copperpoint
--- a/src/decision/zone_outage_detector.h
+++ b/src/decision/zone_outage_detector.h
@@ -32,9 +32,9 @@
   TimePoint LastAnswer(int zone) const { return StateOf(zone).last_answer; }
   TimePoint last_answer() const { return last_answer_; }
 
-  // When the next outage ends. Between BeginReturns and the last call of UpdateReturn that time is found
+  // When the next outage ends. Between ResetNextReturn and the last call of UpdateReturn that time is found
   // anew: call it for the zone of each backend. UpdateReturn returns whether the zone is still out.
-  void BeginReturns() { next_return_at_ = kNever; }
+  void ResetNextReturn() { next_return_at_ = kNever; }
   bool UpdateReturn(int zone, TimePoint now);
   TimePoint next_return_at() const { return next_return_at_; }
 
--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -112,7 +112,7 @@
  protected:
   AttemptTimeoutTest() {
     inputs_.may_retry = inputs_.has_samples = inputs_.backend_has_attempts = true;
-    inputs_.backend_silence = Duration(101);
+    inputs_.time_since_activity = Duration(101);
     inputs_.unlikely_latency = Duration(100);
     inputs_.usual_latency = Duration(20);
     inputs_.now = At(0);
@@ -126,9 +126,9 @@
 }
 
 TEST_F(AttemptTimeoutTest, IsNoneWhereTheBackendAnsweredLatelyOrOwesNothing) {
-  inputs_.backend_silence = Duration(99);
+  inputs_.time_since_activity = Duration(99);
   EXPECT_EQ(AttemptTimeoutFor(inputs_), Duration(0));
-  inputs_.backend_silence = Duration(500);
+  inputs_.time_since_activity = Duration(500);
   inputs_.backend_has_attempts = false;
   EXPECT_EQ(AttemptTimeoutFor(inputs_), Duration(0));
 }
