--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -14,7 +14,7 @@
 namespace copperpoint::proxy {
 namespace {
 
-// A fault in one handler costs what that handler was about, not the proxy.
+// Runs the event loop until it is stopped. An exception ends the handler that threw it, not the process.
 void Run(boost::asio::io_context& io) {
   for (;;) {
     try {
@@ -26,7 +26,7 @@
   }
 }
 
-void Refused(const std::string& fault) {
+void LogRejectedConfig(const std::string& fault) {
   log::Global().Error("configuration_refused", {{"fault", fault}, {"in_force", "the one before"}});
 }
 
@@ -38,9 +38,9 @@
     log::Global().Info("configuration_reloaded");
   } catch (const config::BadFile& error) {
     for (const config::Fault& fault : error.faults())
-      Refused(config::Describe(options.operators_file, fault));
+      LogRejectedConfig(config::Describe(options.operators_file, fault));
   } catch (const ConfigError& error) {
-    Refused(error.what());
+    LogRejectedConfig(error.what());
   }
 }
 
@@ -74,16 +74,16 @@
 
 void Serve(const ServeOptions& options, const Environment& env) {
   boost::asio::io_context io(1);
-  // Caught from before the proxy listens: one that is ready must not die of a signal.
-  boost::asio::signal_set ends(io, SIGTERM, SIGINT), reloads(io, SIGHUP);
+  // Set up before the proxy listens, so that a signal never kills one that is ready.
+  boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
   log::Settings log;
   Config config = Configure(options, LoadConfig(env), &log);
   log::Global().Set(log);
   Proxy proxy(io, std::move(config));
-  ends.async_wait([&](const boost::system::error_code& failed, int) {
+  stop_signals.async_wait([&](const boost::system::error_code& failed, int) {
     if (!failed) proxy.Stop([&] { io.stop(); });
   });
-  ReloadAtSignal(reloads, options, env, proxy);
+  ReloadAtSignal(reload_signals, options, env, proxy);
   Run(io);
 }
 
