--- a/src/decision/backend_picker.cpp
+++ b/src/decision/backend_picker.cpp
@@ -41,6 +41,41 @@
   bool best_in_service() const { return best != nullptr && best_rank < 2; }
 };
 
+inline double BackendPicker::ScoreOf(const BackendState& backend, BackendIndex index,
+                                     const Search& search) const {
+  const RequestState& request = search.request;
+  const bool has_affinity = request.key != 0 && (search.preferred.Contains(index) ||
+                                                 in_.key_memory.Contains(request.key, index, search.now));
+  return backend.outstanding_work_ms +
+         kSlownessWeight * request.work_ms * (RelativeLatency::Of(backend.latency, search.now) - 1) -
+         (has_affinity ? kAffinityWeight * request.work_ms : 0) +
+         (backend.endpoint.zone != in_.settings.zone ? search.crossing_work_ms : 0);
+}
+
+inline void BackendPicker::Consider(BackendIndex index, Search& search) const {
+  BackendState& backend = in_.endpoints[index];
+  if (!backend.ready()) return;
+  if (search.deduplication_anchor &&
+      !RetryPolicy::InDeduplicationScope(search.deduplication_scope, *search.deduplication_anchor,
+                                         backend.endpoint))
+    return;
+  search.any_in_service |= backend.in_service();
+  if (!HasSlowStartBudget(backend, search)) {
+    if (!search.over_budget) search.over_budget = &backend;
+    return;
+  }
+  const int rank = 2 * !backend.in_service() + WasAttempted(search.request, index);
+  const double score = ScoreOf(backend, index, search);
+  if (search.best && (rank > search.best_rank || (rank == search.best_rank && score > search.best_score)))
+    return;
+  const bool tie = search.best && rank == search.best_rank && score == search.best_score;
+  search.ties = tie ? search.ties + 1 : 1;
+  if (tie && search.random.Below(search.ties) != 0) return;
+  search.best = &backend;
+  search.best_rank = rank;
+  search.best_score = score;
+}
+
 BackendPicker::Result BackendPicker::Pick(const RequestState& request,
                                           std::optional<BackendIndex> deduplication_anchor, TimePoint now,
                                           Random& random) {
@@ -102,30 +137,6 @@
   __builtin_prefetch(at + 64);
 }
 
-void BackendPicker::Consider(BackendIndex index, Search& search) const {
-  BackendState& backend = in_.endpoints[index];
-  if (!backend.ready()) return;
-  if (search.deduplication_anchor &&
-      !RetryPolicy::InDeduplicationScope(search.deduplication_scope, *search.deduplication_anchor,
-                                         backend.endpoint))
-    return;
-  search.any_in_service |= backend.in_service();
-  if (!HasSlowStartBudget(backend, search)) {
-    if (!search.over_budget) search.over_budget = &backend;
-    return;
-  }
-  const int rank = 2 * !backend.in_service() + WasAttempted(search.request, index);
-  const double score = ScoreOf(backend, index, search);
-  if (search.best && (rank > search.best_rank || (rank == search.best_rank && score > search.best_score)))
-    return;
-  const bool tie = search.best && rank == search.best_rank && score == search.best_score;
-  search.ties = tie ? search.ties + 1 : 1;
-  if (tie && search.random.Below(search.ties) != 0) return;
-  search.best = &backend;
-  search.best_rank = rank;
-  search.best_score = score;
-}
-
 bool BackendPicker::HasSlowStartBudget(BackendState& backend, const Search& search) const {
   const double fraction = in_.slow_start.CapacityFraction(backend.endpoint, search.now);
   if (fraction >= 1) return true;
@@ -138,14 +149,4 @@
   return in_.slow_start.HasBudget(backend, search.request.work_ms, budget, search.now);
 }
 
-double BackendPicker::ScoreOf(const BackendState& backend, BackendIndex index, const Search& search) const {
-  const RequestState& request = search.request;
-  const bool has_affinity = request.key != 0 && (search.preferred.Contains(index) ||
-                                                 in_.key_memory.Contains(request.key, index, search.now));
-  return backend.outstanding_work_ms +
-         kSlownessWeight * request.work_ms * (RelativeLatency::Of(backend.latency, search.now) - 1) -
-         (has_affinity ? kAffinityWeight * request.work_ms : 0) +
-         (backend.endpoint.zone != in_.settings.zone ? search.crossing_work_ms : 0);
-}
-
 }  // namespace copperpoint
