--- a/src/decision/backend_picker.cpp
+++ b/src/decision/backend_picker.cpp
@@ -41,8 +41,20 @@
   bool best_in_service() const { return best != nullptr && best_rank < 2; }
 };
 
-inline double BackendPicker::ScoreOf(const BackendState& backend, BackendIndex index,
-                                     const Search& search) const {
+inline bool BackendPicker::HasSlowStartBudget(BackendState& backend, const Search& search) const {
+  const double fraction = in_.slow_start.CapacityFraction(backend.endpoint, search.now);
+  if (fraction >= 1) return true;
+  SlowStart::Budget budget;
+  budget.capacity_fraction = fraction;
+  budget.in_subset = in_.subset.Contains(backend);
+  budget.backends_per_subset_slot =
+      static_cast<double>(in_.endpoints.ring().size()) / static_cast<double>(in_.subset.backends().size());
+  budget.mean_work_ms = in_.latencies.mean_work_ms();
+  return in_.slow_start.HasBudget(backend, search.request.work_ms, budget, search.now);
+}
+
+[[gnu::always_inline]] inline double BackendPicker::ScoreOf(const BackendState& backend, BackendIndex index,
+                                                            const Search& search) const {
   const RequestState& request = search.request;
   const bool has_affinity = request.key != 0 && (search.preferred.Contains(index) ||
                                                  in_.key_memory.Contains(request.key, index, search.now));
@@ -137,16 +149,4 @@
   __builtin_prefetch(at + 64);
 }
 
-bool BackendPicker::HasSlowStartBudget(BackendState& backend, const Search& search) const {
-  const double fraction = in_.slow_start.CapacityFraction(backend.endpoint, search.now);
-  if (fraction >= 1) return true;
-  SlowStart::Budget budget;
-  budget.capacity_fraction = fraction;
-  budget.in_subset = in_.subset.Contains(backend);
-  budget.backends_per_subset_slot =
-      static_cast<double>(in_.endpoints.ring().size()) / static_cast<double>(in_.subset.backends().size());
-  budget.mean_work_ms = in_.latencies.mean_work_ms();
-  return in_.slow_start.HasBudget(backend, search.request.work_ms, budget, search.now);
-}
-
 }  // namespace copperpoint
