--- a/src/proxy/downstream/request_reader.cpp
+++ b/src/proxy/downstream/request_reader.cpp
@@ -23,8 +23,8 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
-constexpr std::size_t kMaxReadAheadBytes = 32 * 1024;
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{32} * 1024;
 constexpr std::size_t kDiscardBufferBytes = 4096;
 // Bound on the reads for one client before others have their turn.
 constexpr int kMaxReadsPerTurn = 32;
@@ -102,7 +102,7 @@
 void RequestReader::ReadBufferedBody() {
   if (parser_->is_done() || (body_.size() >= body_limit_bytes_ && !ExtendBodyBuffer()))
     return session_.OnRequestRead(Steady::now());
-  session_.ExtendDeadline(body_started_ + session_.timeouts().body_grace + TimeAtLeastRate(body_.size()));
+  session_.ExtendDeadline(body_started_ + session_.timeouts().body_grace + TimeAtMinRate(body_.size()));
   ReadBodyChunk(socket_, buffer_, *parser_, chunk_,
                 [this, session = session_.shared_from_this()](const Error& error, auto bytes_read) {
                   if (!session->IsReadingRequest()) return;
@@ -123,7 +123,7 @@
   return true;
 }
 
-Steady::duration RequestReader::TimeAtLeastRate(std::size_t bytes) const {
+Steady::duration RequestReader::TimeAtMinRate(std::size_t bytes) const {
   return std::chrono::milliseconds(bytes * 1000 /
                                    static_cast<std::size_t>(session_.shares().min_body_rate_bytes_per_s));
 }
@@ -158,15 +158,15 @@
   return now;
 }
 
-// Over all its chunks, a streamed body may take a grace period more than it does at the least rate. Time in
+// Over all its chunks, a streamed body may take a grace period more than it does at the minimum rate. Time in
 // which the backend's side reads no chunk (backpressure) doesn't count against the client.
 void RequestReader::ReadStreamedBody(BodySource::OnBodyChunk on_chunk) {
   on_chunk_ = std::move(on_chunk);
   const auto started = Steady::now();
-  session_.SetDeadline(
-      started + std::max<Steady::duration>(
-                    session_.timeouts().body_grace + TimeAtLeastRate(streamed_bytes_) - streaming_time_,
-                    std::chrono::milliseconds(1)));
+  session_.SetDeadline(started +
+                       std::max<Steady::duration>(
+                           session_.timeouts().body_grace + TimeAtMinRate(streamed_bytes_) - streaming_time_,
+                           std::chrono::milliseconds(1)));
   ReadBodyChunk(socket_, buffer_, *parser_, chunk_,
                 [this, session = session_.shared_from_this(), started](const Error& error, auto bytes_read) {
                   if (!session->IsAwaitingResponse() || !on_chunk_) return;
--- a/src/proxy/downstream/request_reader.h
+++ b/src/proxy/downstream/request_reader.h
@@ -70,7 +70,7 @@
   bool ExtendBodyBuffer();
   void OnReadError(const boost::system::error_code& error);
   void OnStreamedBodyError(const boost::system::error_code& error);
-  Steady::duration TimeAtLeastRate(std::size_t bytes) const;
+  Steady::duration TimeAtMinRate(std::size_t bytes) const;
 
   ClientSession& session_;
   boost::asio::ip::tcp::socket& socket_;
--- a/src/proxy/downstream/session_manager.cpp
+++ b/src/proxy/downstream/session_manager.cpp
@@ -99,10 +99,10 @@
       static_cast<std::size_t>(static_cast<double>(max_connections_) * kIdleCloseThreshold);
   for (auto it = sessions_.begin(); it != sessions_.end();) {
     const auto session = *it++;
-    if (draining_ && (session->IsKeptAliveSince(now) || session->IsUnusedSince(now - kFirstRequestGrace))) {
-      session->CloseLingering();
-    } else if (sessions_.size() > threshold &&
-               session->IsKeptAliveSince(now - config_.timeouts.idle_reclaim)) {
+    const bool ends_by_draining =
+        draining_ && (session->IsKeptAliveSince(now) || session->IsUnusedSince(now - kFirstRequestGrace));
+    if (ends_by_draining ||
+        (sessions_.size() > threshold && session->IsKeptAliveSince(now - config_.timeouts.idle_reclaim))) {
       session->CloseLingering();
     } else {
       session->OnDeadlineCheck(now);
@@ -126,11 +126,8 @@
   bool unfinished = false;
   for (auto it = sessions_.begin(); it != sessions_.end();) {
     const auto session = *it++;
-    if (session->IsIdle() && (read_grace_over || !MayBeAboutToSend(*session, now))) {
-      session->CloseLingering();
-    } else if (session->ExpectsRequest() && read_grace_over) {
-      session->CloseLingering();
-    }
+    const bool is_unneeded = session->IsIdle() && (read_grace_over || !MayBeAboutToSend(*session, now));
+    if (is_unneeded || (session->ExpectsRequest() && read_grace_over)) session->CloseLingering();
     unfinished |= session->HasUndeliveredResponse() || session->ExpectsRequest();
   }
   return unfinished;
--- a/src/proxy/downstream/session_state.h
+++ b/src/proxy/downstream/session_state.h
@@ -9,7 +9,7 @@
 //   state               | ends when                              | limited by
 //   --------------------|----------------------------------------|----------------------------------------
 //   kIdle               | the first byte of a request arrives    | request timeout (first), keep-alive
-//   kReadingRequest     | the request is read, or is invalid     | request timeout, least body rate
+//   kReadingRequest     | the request is read, or is invalid     | request timeout, minimum body rate
 //   kAwaitingResponse   | the Responder is called                | the request's deadline, kept by the proxy
 //   kWritingResponse    | the response's last byte is written    | write timeout
 //   kLingering          | the client closes (lingering close)    | lingering timeout
--- a/src/proxy/http/body_stream.h
+++ b/src/proxy/http/body_stream.h
@@ -19,11 +19,11 @@
 namespace copperpoint::proxy {
 
 // Bytes up to which a body is always buffered completely.
-inline constexpr std::size_t kMaxBufferedBody = 64 * 1024;
+inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
 // Bytes of any body, of requests and responses.
-inline constexpr std::size_t kMaxBody = 33 * 1024 * 1024;
+inline constexpr std::size_t kMaxBody = std::size_t{33} * 1024 * 1024;
 // Bytes of one read of a body.
-inline constexpr std::size_t kBodyChunkSize = 32 * 1024;
+inline constexpr std::size_t kBodyChunkSize = std::size_t{32} * 1024;
 
 // The rest of a body, read chunk by chunk.
 class BodySource {
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -123,7 +123,7 @@
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > latest_idle_since) --end;
   while (end != backend.idle.begin()) {
-    const auto connection = *--end;
+    auto connection = *--end;
     end = backend.idle.erase(end);
     if (connection->IsQuiescent()) return connection;
     const auto index = end - backend.idle.begin();
--- a/src/proxy/upstream/connection_state.h
+++ b/src/proxy/upstream/connection_state.h
@@ -8,16 +8,15 @@
 
 namespace copperpoint::proxy {
 
-//   state               | ends when                               | limited by
-//   --------------------|-----------------------------------------|-------------------------------------------
-//   kConnecting         | the connection is established           | connect timeout, attempt timeout
-//   kWritingRequest     | the kernel has the last byte            | attempt timeout; of an upload, stall
-//   timeout kAwaitingResponse   | the response's first byte arrives       | attempt timeout kReadingResponse
-//   | the response is complete or too large   | time between its bytes, attempt timeout kStreamingResponse  |
-//   the last chunk is read, or the reader   | stall timeout of each read
-//                       | releases the stream                     |
-//   kIdle               | the pool assigns an attempt             | idle timeout
-//   kClosed             | never                                   |
+//   state              | ends when                                | limited by
+//   -------------------|------------------------------------------|----------------------------------
+//   kConnecting        | the connection is established            | connect timeout, attempt timeout
+//   kWritingRequest    | the kernel has the last byte             | attempt timeout (upload: stall)
+//   kAwaitingResponse  | the response's first byte arrives        | attempt timeout
+//   kReadingResponse   | the response is complete or too large    | stall timeout, attempt timeout
+//   kStreamingResponse | the stream is read or released           | stall timeout of each read
+//   kIdle              | the pool assigns an attempt              | idle timeout
+//   kClosed            | never                                    |
 enum class ConnectionState {
   kConnecting,
   kWritingRequest,
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -17,7 +17,7 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 constexpr int kMaxInformationalResponses = 8;
 constexpr unsigned kFirstFinalStatus = 200;
 
