--- a/src/proxy/discovery/endpoint_stream.cpp
+++ b/src/proxy/discovery/endpoint_stream.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-constexpr std::size_t kMaxMessageBytes = 8 * 1024 * 1024;
+constexpr std::size_t kMaxMessageBytes = std::size_t{8} * 1024 * 1024;
 // A long message extends the idle timeout by the time that its bytes take at this rate.
 constexpr std::size_t kMinBytesPerMillisecond = 500;
 
--- a/src/proxy/discovery/message_framer.h
+++ b/src/proxy/discovery/message_framer.h
@@ -27,6 +27,11 @@
 
  private:
   Result Cut(Result what, std::string* message);
+  // One character inside or outside of a JSON string. False if the message is malformed.
+  bool ScanInString(char c);
+  bool ScanStructure(char c);
+  // kMore if the message continues on the next line.
+  Result OnLineEnd(std::string* message);
 
   std::string text_;
   std::size_t at_ = 0;  // looked at as far as here
--- a/src/proxy/discovery/stream_error.cpp
+++ b/src/proxy/discovery/stream_error.cpp
@@ -30,8 +30,8 @@
 }  // namespace
 
 const boost::system::error_category& StreamErrorCategory() {
-  static const Category category;
-  return category;
+  static const Category kCategory;
+  return kCategory;
 }
 
 boost::system::error_code make_error_code(StreamError error) {
