--- a/tests/config/operating_test.cpp
+++ b/tests/config/operating_test.cpp
@@ -17,12 +17,12 @@
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-TEST(OperatorSettings, ThePageSaysWhatTheCodeDoes) {
+TEST(OperatorSettings, DocumentationMatchesTheCode) {
   EXPECT_EQ(Contents(std::string(SOURCE_DIR) + "/docs/configuration.md"), ConfigurationReference())
       << "write it anew: copperpoint config reference > docs/configuration.md";
 }
 
-TEST(OperatorSettings, TheFileThatIsShippedIsGoodAndSaysTheDefaults) {
+TEST(OperatorSettings, ShippedFileIsValidAndSaysTheDefaults) {
   const auto shipped = config::Read<OperatorSettings>(std::string(SOURCE_DIR) + "/deploy/copperpoint.toml");
   const OperatorSettings defaults;
   EXPECT_EQ(shipped.timeouts.keep_alive, defaults.timeouts.keep_alive);
@@ -33,7 +33,7 @@
   EXPECT_EQ(shipped.log.lines_per_s, defaults.log.lines_per_s);
 }
 
-TEST(OperatorSettings, EveryDefaultIsWithinItsOwnRange) {
+TEST(OperatorSettings, EveryDefaultIsWithinItsRange) {
   OperatorSettings defaults;
   struct Ranges : config::Visitor {
     void Number(std::string_view key, double& value, const config::About& about) override {
@@ -58,7 +58,7 @@
   defaults.Describe(ranges);
 }
 
-TEST(OperatorSettings, OutOfRangeIsRefusedWithItsKey) {
+TEST(OperatorSettings, RejectsValueOutOfRangeWithItsKey) {
   try {
     config::ReadFrom<OperatorSettings>("[shares]\nclients = 0.95\n[patience]\nkept_ms = -1\n", "f");
     FAIL();
--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -18,7 +18,7 @@
 constexpr int kFewSockets = 64;  // of these (64 - 24) * 0.6 are for clients
 constexpr std::size_t kFewClients = 24;
 
-// Holds all places for clients with requests that wait at a backend.
+// A proxy at its client limit, with requests that wait at a backend.
 struct FullSite {
   FullSite()
       : backend([this](Tcp::socket& s, const HttpRequest& r) {
@@ -54,7 +54,7 @@
   std::vector<std::unique_ptr<Client>> holders;
 };
 
-TEST(AcceptQueue, WhoLeftWhileItWaitedThereIsNotSentOn) {
+TEST(AcceptQueue, DoesNotForwardRequestOfClientThatDisconnectedThere) {
   FullSite full;
   ASSERT_TRUE(full.Fill());
   {
@@ -70,7 +70,7 @@
   EXPECT_EQ(looks[0]["Req-Id"], "after");
 }
 
-TEST(AcceptQueue, TheTimeSpentThereIsNotToldToTheBackend) {
+TEST(AcceptQueue, TimeSpentThereReducesTheDeadline) {
   FullSite full;
   ASSERT_TRUE(full.Fill());
   Client late(full.site.proxy->address);
@@ -83,7 +83,7 @@
   EXPECT_LE(std::stoi(std::string(looks[0]["Req-Deadline-Ms"])), 29600);
 }
 
-TEST(AcceptQueue, ALargeBodyThatWaitedThereIsWhole) {
+TEST(AcceptQueue, LargeBodyThatWaitedThereIsComplete) {
   FullSite full;
   ASSERT_TRUE(full.Fill());
   const std::string body(60 * 1024, 'z');
@@ -98,8 +98,8 @@
   }
 }
 
-// Clients that rest, that never ask, or that never finish asking, hold all places; spare_ms is far away.
-TEST(AcceptQueue, WhoWaitsThereGetsThePlaceOfWhoRests) {
+// Idle clients, silent ones, or ones that never complete a request use up the limit.
+TEST(AcceptQueue, WaitingClientReplacesIdleOne) {
   for (const std::string& first : {Look(), std::string(), std::string("GET /look HTTP/1.1\r\nReq-Id: ")}) {
     Backend backend;
     Site site(Members(MemberJson("s-1", backend.address())));
--- a/tests/proxy/action_failure_test.cpp
+++ b/tests/proxy/action_failure_test.cpp
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-// What goes wrong while one action is carried out does not cost the answers that others are.
+// Responders that throw, and responders that count rejections.
 class Throws : public proxy::Responder {
  public:
   void SendResponse(HttpResponse, std::shared_ptr<proxy::BodySource>, std::optional<std::uint64_t>) override {
@@ -41,7 +41,7 @@
   Watched<int>& refused_;
 };
 
-TEST(Actions, OneThatThrowsDoesNotCostTheOthersTheirAnswers) {
+TEST(Actions, ExceptionInOneDoesNotAffectTheOthers) {
   Backend backend;
   Site site({});  // without a list: all are held, and refused in one turn
   site.Start();
--- a/tests/proxy/admin_calls_test.cpp
+++ b/tests/proxy/admin_calls_test.cpp
@@ -39,7 +39,7 @@
   Tcp::endpoint calls;
 };
 
-TEST(Operation, WrongCallsAreAPlainNo) {
+TEST(AdminCalls, InvalidCallsAreRejected) {
   Backend backend;
   OperatedSite site(Members(MemberJson("s-1", backend.address())));
   EXPECT_EQ(site.Call("GET", "/ready"), 200u);
@@ -61,7 +61,7 @@
   EXPECT_TRUE(twice.Ended());
 }
 
-TEST(Operation, CallersThatFinishNoCallShutNobodyOut) {
+TEST(AdminCalls, UnfinishedCallsDoNotBlockOthers) {
   Backend backend;
   OperatedSite site(Members(MemberJson("s-1", backend.address())));
   std::vector<std::unique_ptr<Client>> silent;
@@ -74,7 +74,7 @@
   EXPECT_EQ(silent.back()->Ask("\r\n").result_int(), 200u);
 }
 
-TEST(Operation, ADisabledBackendGetsNothingAndOneCallPutsItBack) {
+TEST(AdminCalls, DisabledBackendGetsNoRequestsUntilEnabled) {
   Backend one("one"), two("two");
   OperatedSite site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
   EXPECT_EQ(site.Call("POST", "/backends/disable?member=s%2D1"), 200u);
@@ -92,7 +92,7 @@
   EXPECT_EQ(client.Ask(Look()).body(), "one");
 }
 
-TEST(Operation, ADrainedProxySendsClientsAwayAndComesBack) {
+TEST(AdminCalls, DrainedProxyClosesConnectionsUntilUndrained) {
   Watched<bool> answer;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     answer.WaitFor([](bool now) { return now; });
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -67,9 +67,9 @@
   std::optional<proxy::AttemptResult> result_;
 };
 
-TEST_F(Attempts, TellsWhatIsLeftWhenItIsWrittenAndNotWhenItWasDialled) {
+TEST_F(Attempts, SendsTheTimeLeftWhenTheRequestIsWritten) {
   Send(milliseconds(60000));
-  StandStill(milliseconds(300));  // a slow dial
+  StandStill(milliseconds(300));  // a slow connect
   Tcp::socket peer = Accepted();
   std::string bytes;
   ASSERT_TRUE(StepUntil(io_, [&] {
@@ -82,8 +82,8 @@
   EXPECT_EQ(bytes.find("Req-Deadline-Ms: ", at + 1), std::string::npos) << "told once";
 }
 
-TEST_F(Attempts, WhatIsCalledNeverRunHasNotBeenWrittenWhole) {
-  // The dial has come up, and the time is up, in one turn of the loop.
+TEST_F(Attempts, NotExecutedMeansNotWrittenCompletely) {
+  // The connection is ready and the timeout expires in one turn of the loop.
   Send(milliseconds(30));
   StandStill(milliseconds(60));
   Tcp::socket peer = Accepted();
@@ -94,7 +94,7 @@
 
 // The last bytes go out in the turn in which the timer fires. How much the system takes of a request that
 // nobody reads is measured first, so that a little is left.
-TEST_F(Attempts, AWriteThatEndsInTheTurnOfTheTimerIsSaidAsItIs) {
+TEST_F(Attempts, ReportsWriteThatCompletesAsTheTimerFires) {
   const auto unread = [this](const std::shared_ptr<const HttpRequest>& request, milliseconds timeout) {
     Send(timeout, request);
     Tcp::socket peer = Accepted();
@@ -126,9 +126,9 @@
   EXPECT_GT(whole, 0) << "the crossing was met";
 }
 
-TEST_F(Attempts, AbortedWhenItsDialStandsReadyItIsNeverWritten) {
+TEST_F(Attempts, WritesNothingWhenCancelledAsItsConnectionIsReady) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();  // it is up, and the loop has not heard of it
+  Tcp::socket peer = Accepted();  // it is ready, and the event loop has not seen it yet
   backends_->CancelUnsent(ticket_);
   EXPECT_FALSE(result_) << "not from within the call";
   ASSERT_TRUE(Ended());
@@ -138,8 +138,8 @@
   EXPECT_EQ(backends_->connection_count(), 0u);
 }
 
-// Both are ready in one turn of the loop: what ends the attempt comes first, and the dial right behind it.
-TEST_F(Attempts, EndedInTheTurnInWhichItsDialComesUpItIsNeverWritten) {
+// Both are ready in one turn of the loop: first the end of the attempt, then its connection.
+TEST_F(Attempts, WritesNothingWhenEndedInTheTurnOfItsConnection) {
   const std::function<void()> ends[] = {[this] { backends_->CancelUnsent(ticket_); },
                                         [this] { backends_->DrainBackend(kServer); }};
   for (const auto& end : ends) {
@@ -156,7 +156,7 @@
   }
 }
 
-TEST_F(Attempts, ABackendThatDrainsWhileItIsDialledGetsNothing) {
+TEST_F(Attempts, BackendThatDrainsWhileConnectingGetsNothing) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   backends_->DrainBackend(kServer);
@@ -166,7 +166,7 @@
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
 }
 
-TEST_F(Attempts, ABackendThatAListLeavesOutWhileItIsDialledGetsNothing) {
+TEST_F(Attempts, BackendRemovedByASnapshotWhileConnectingGetsNothing) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   backends_->DrainAllExcept({});
@@ -174,7 +174,7 @@
   EXPECT_EQ(HearToTheEnd(peer).bytes, "");
 }
 
-TEST_F(Attempts, ABackendThatStartsAnewWhileItIsDialledGetsNothingThatWasMeantForTheOneBefore) {
+TEST_F(Attempts, BackendRestartedWhileConnectingGetsNothingOfTheOneBefore) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 1234);
@@ -185,7 +185,7 @@
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(next).bytes.empty(); }));
 }
 
-TEST_F(Attempts, HalfWrittenWhenItsBackendDrainsItEndsAndIsNeverWhole) {
+TEST_F(Attempts, PartlyWrittenRequestEndsWhenItsBackendDrains) {
   const auto request = Request(std::string(64 * 1024 * 1024, 'y'));
   Send(milliseconds(60000), request);
   Tcp::socket peer = Accepted();
@@ -201,7 +201,7 @@
   EXPECT_FALSE(Whole(bytes, *request));
 }
 
-TEST_F(Attempts, WhatIsOutWholeIsNotAborted) {
+TEST_F(Attempts, CompletelyWrittenRequestIsNotCancelled) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
@@ -213,7 +213,7 @@
   EXPECT_EQ(result_->response.body(), "it ran");
 }
 
-TEST_F(Attempts, ATicketOfAnEarlierUseEndsNothing) {
+TEST_F(Attempts, TicketOfAnEarlierUseCancelsNothing) {
   Send(milliseconds(60000));
   const proxy::BackendPool::AttemptHandle first = ticket_;
   Tcp::socket peer = Accepted();
@@ -228,20 +228,20 @@
   EXPECT_EQ(result_->response.body(), "two");
 }
 
-TEST_F(Attempts, AConnectionThatEndsBeforeItIsUsedAgainIsNotWrittenTo) {
+TEST_F(Attempts, WritesNothingToConnectionThatEndedWhileIdle) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
   SendRaw(peer, OkAnswer("one"));
   ASSERT_TRUE(Ended());
-  peer.shutdown(Tcp::socket::shutdown_send);  // the loop has not heard of it
+  peer.shutdown(Tcp::socket::shutdown_send);  // the event loop has not seen it yet
   Send(milliseconds(60000));
   Tcp::socket next = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(next).bytes.empty(); }));
   EXPECT_EQ(HearSoFar(peer).bytes, "");
 }
 
-TEST_F(Attempts, AResetAfterTheLastByteMayHaveRunAndOneBeforeItNever) {
+TEST_F(Attempts, OnlyResetAfterTheLastByteMayHaveExecuted) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
@@ -258,8 +258,8 @@
   EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectFailure);
 }
 
-// Cut at every byte: what is whole by its own framing is served, and nothing else.
-TEST_F(Attempts, AnAnswerCutAtAnyByteIsNoAnswer) {
+// Only what is complete by its own framing is returned.
+TEST_F(Attempts, ResponseTruncatedAtAnyByteIsAFailure) {
   const std::string forms[] = {
       OkAnswer("body"),
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b\r\nbo\r\n2\r\ndy\r\n0\r\nT: 1\r\n\r\n",
@@ -285,8 +285,7 @@
   }
 }
 
-// The same forms, a byte at a time: where it is split makes no difference.
-TEST_F(Attempts, AnAnswerInPiecesOfOneByteIsWhole) {
+TEST_F(Attempts, ResponseInSingleBytesIsComplete) {
   for (const std::string& form :
        {OkAnswer("body"),
         std::string(
@@ -309,14 +308,13 @@
   }
 }
 
-// A second answer that comes when the connection is back in the pool is nobody's.
-TEST_F(Attempts, ALateSecondAnswerEndsTheConnectionAndReachesNobody) {
+TEST_F(Attempts, SecondResponseOnIdleConnectionClosesIt) {
   Send(milliseconds(60000));
   Tcp::socket peer = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(peer).bytes.empty(); }));
   SendRaw(peer, OkAnswer("one"));
   ASSERT_TRUE(Ended());
-  SendRaw(peer, OkAnswer("again"));  // the loop has not heard of it
+  SendRaw(peer, OkAnswer("again"));  // the event loop has not seen it yet
   Send(milliseconds(60000));
   Tcp::socket next = Accepted();
   ASSERT_TRUE(StepUntil(io_, [&] { return !HearSoFar(next).bytes.empty(); }));
--- a/tests/proxy/backend_ids_test.cpp
+++ b/tests/proxy/backend_ids_test.cpp
@@ -14,7 +14,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(BackendIds, ComeFromTheIdAloneAndCollisionsFromTheNames) {
+TEST(BackendIds, DependOnNamesOnlyAlsoInCollisions) {
   const auto list = [](std::vector<std::string> ids) {
     std::vector<proxy::DiscoveredEndpoint> members;
     for (const auto& id : ids) members.emplace_back().id = id;
--- a/tests/proxy/client_connection_test.cpp
+++ b/tests/proxy/client_connection_test.cpp
@@ -14,7 +14,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, RequestsRightBehindOneAnotherAreServedInOrder) {
+TEST(ClientConnection, ServesPipelinedRequestsInOrder) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, OkAnswer(std::string(r["Req-Id"])));
     return true;
@@ -26,7 +26,7 @@
   for (const char* id : {"b1", "b2", "b3"}) EXPECT_EQ(client.Read().body(), id);
 }
 
-TEST(Proxy, ASlowRequestHasOneDeadlineAndEndsWithA408) {
+TEST(ClientConnection, SlowRequestEndsWith408AtItsDeadline) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.request_head = std::chrono::milliseconds(500);
@@ -53,7 +53,7 @@
   EXPECT_EQ(kept.Read().result_int(), 408u);
 }
 
-TEST(Proxy, SilentConnectionsMakeRoomAndDoNotShutOthersOut) {
+TEST(ClientConnection, SilentConnectionsAreReplaced) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
@@ -67,7 +67,7 @@
   EXPECT_TRUE(silent.front()->Ended());
 }
 
-TEST(Proxy, MoreClientsThanItMayHoldTakeThePlacesOfIdleOnes) {
+TEST(ClientConnection, ClientsBeyondTheLimitReplaceIdleOnes) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Clients that leave: nothing begins for them, whatever they had sent and wherever their request stood.
+// Clients that disconnect: no attempt starts for them, whatever they had sent and wherever their request was.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -12,7 +12,7 @@
 namespace copperpoint::testing {
 namespace {
 
-// One backend that never comes up, and dials that are waited for as long as a test may take.
+// A backend that never accepts connections, and a connect timeout longer than any test.
 struct HeldSite : Site {
   explicit HeldSite(const HeldDial& dial) : Site(Members(MemberJson("s-1", dial.address()))) {
     config["settings"]["permissions"]["connectTimeoutMs"] = 600000.0;
@@ -21,7 +21,7 @@
   bool Dialling() {
     return proxy->WaitUntil([](proxy::Proxy& p) { return p.backend_connections() == 1; });
   }
-  // The client's end has been seen, and the attempt for it has ended with it.
+  // The disconnect has been seen, and the attempt has been cancelled.
   bool AllForgotten() {
     return proxy->WaitUntil([](proxy::Proxy& p) {
       return p.client_connections() == 0 && p.held() == 0 && p.backend_connections() == 0;
@@ -29,7 +29,7 @@
   }
 };
 
-// A client that asks, says more once its attempt is being dialled, and leaves.
+// A client that sends a request, sends more once its attempt is connecting, and disconnects.
 void ExpectForgotten(const std::string& asks, const std::string& more = "") {
   HeldDial dial;
   HeldSite site(dial);
@@ -42,11 +42,15 @@
   EXPECT_TRUE(site.AllForgotten());
 }
 
-TEST(ClientDisconnected, AnAttemptThatIsBeingDialledEndsWithIt) { ExpectForgotten(Book()); }
-TEST(ClientDisconnected, IsSeenBehindANextRequest) { ExpectForgotten(Book() + WithId(Book(), "next")); }
-TEST(ClientDisconnected, IsSeenBehindAFlood) { ExpectForgotten(Book(), std::string(2 * 1024 * 1024, 'x')); }
+TEST(ClientDisconnected, CancelsAttemptThatIsConnecting) { ExpectForgotten(Book()); }
+TEST(ClientDisconnected, IsDetectedBehindAPipelinedRequest) {
+  ExpectForgotten(Book() + WithId(Book(), "next"));
+}
+TEST(ClientDisconnected, IsDetectedBehindAFlood) {
+  ExpectForgotten(Book(), std::string(2 * 1024 * 1024, 'x'));
+}
 
-TEST(ClientDisconnected, ByAResetIsSeenToo) {
+TEST(ClientDisconnected, IsDetectedByAReset) {
   HeldDial dial;
   HeldSite site(dial);
   Client client(site.proxy->address);
@@ -56,7 +60,7 @@
   EXPECT_TRUE(site.AllForgotten());
 }
 
-TEST(ClientDisconnected, ManyAtOnceAreAllForgotten) {
+TEST(ClientDisconnected, ManyAtOnceAreAllReleased) {
   HeldDial dial;
   HeldSite site(dial);
   {
@@ -70,7 +74,7 @@
   EXPECT_TRUE(site.AllForgotten());
 }
 
-TEST(ClientDisconnected, OneThatFloodsBehindItsRequestGetsItsAnswerAndTheEnd) {
+TEST(ClientDisconnected, FloodBehindARequestGetsItsResponseAndTheEnd) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -90,7 +94,7 @@
   EXPECT_EQ(HearToTheEnd(client.socket).how, asio::error::eof);
 }
 
-TEST(Proxy, AClientThatLeavesIsForgottenAndItsAttemptStillReports) {
+TEST(ClientDisconnected, WrittenAttemptStillReports) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -107,7 +111,7 @@
   }
   release.Do([](bool& r) { r = true; });
   EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
-  // The answer came in whole, so that the connection is good for the next request.
+  // The response was complete, so that the connection can be reused.
   Client next(site.proxy->address);
   EXPECT_EQ(next.Ask(Book()).body(), "for nobody");
   EXPECT_EQ(backend.seen.Get().opened, 1);
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -13,7 +13,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, RequestsOneAfterTheOtherShareAConnection) {
+TEST(ConnectionPool, SequentialRequestsShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.connection_rest = {};
@@ -23,7 +23,7 @@
   EXPECT_EQ(backend.seen.Get().opened, 1);
 }
 
-TEST(Proxy, AConnectionThatTheBackendClosedIsNotUsedAgain) {
+TEST(ConnectionPool, DoesNotReuseConnectionClosedByBackend) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, OkAnswer("once"));
     return false;  // closes, without saying so
@@ -37,7 +37,7 @@
   }
 }
 
-TEST(Proxy, IdleConnectionsCloseBeforeTheBackendWould) {
+TEST(ConnectionPool, ClosesIdleConnectionsBeforeTheBackendDoes) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["settings"]["permissions"]["connIdleMs"] = 100;
@@ -47,7 +47,7 @@
   EXPECT_TRUE(backend.WaitForClosed(1));
 }
 
-TEST(Proxy, ARestartOrAMoveDropsIdleConnections) {
+TEST(ConnectionPool, RestartOrNewAddressClosesIdleConnections) {
   Backend backend, elsewhere("elsewhere");
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -62,7 +62,7 @@
   EXPECT_EQ(client.Ask(Look()).body(), "elsewhere");
 }
 
-TEST(Proxy, AConnectionThatBroughtMoreThanItsAnswerIsNotUsedAgain) {
+TEST(ConnectionPool, DoesNotReuseConnectionWithExcessBytes) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     const std::string answer = OkAnswer(std::string(r["Req-Id"]));
     SendRaw(s, answer + answer);
@@ -76,7 +76,7 @@
   EXPECT_EQ(backend.seen.Get().opened, 3);
 }
 
-TEST(Proxy, AConnectionRestsBeforeItIsUsedAgain) {
+TEST(ConnectionPool, DoesNotReuseConnectionBeforeItsRestTime) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.connection_rest = std::chrono::hours(1);
@@ -87,7 +87,7 @@
   EXPECT_EQ(site.proxy->Ask([](proxy::Proxy& p) { return p.backend_connections(); }), 3u);
 }
 
-TEST(Proxy, WantOfPlacesHereIsRefusedWithoutAnAttempt) {
+TEST(ConnectionPool, FailsLocallyWithoutAttemptAtConnectionLimit) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -113,7 +113,7 @@
   EXPECT_EQ(results[1].outcome, AttemptOutcome::kSuccess);
 }
 
-TEST(Proxy, ATimeOutClosesTheIdleConnectionsToo) {
+TEST(ConnectionPool, AttemptTimeoutClosesIdleConnections) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "book") release.WaitFor([](bool go) { return go; });
@@ -130,7 +130,7 @@
   release.Do([](bool& go) { go = true; });
 }
 
-TEST(Proxy, BackendsLongGoneAreForgotten) {
+TEST(ConnectionPool, ForgetsRemovedBackends) {
   Backend backend;
   Site site(Members(MemberJson("s-0", backend.address())));
   site.timeouts.removed_backend_retention = {};
--- a/tests/proxy/disabled_backends_test.cpp
+++ b/tests/proxy/disabled_backends_test.cpp
@@ -29,7 +29,7 @@
   return list;
 }
 
-TEST(Disabled, ABackendCountsAsDrainingWhateverDiscoverySaysUntilOneCallPutsItBack) {
+TEST(DisabledBackends, CountAsDrainingUntilEnabled) {
   DisabledBackends disabled("", log::Global());
   EndpointList changes;
   disabled.Apply(ListOf("s-1"), true);
@@ -51,7 +51,7 @@
   EXPECT_EQ(changes.endpoints[0].up_since_unix_ms, 7);
 }
 
-TEST(Disabled, TwoProcessesAgreeAndALaterOneStillKnows) {
+TEST(DisabledBackends, AreSharedWithOtherInstancesAndLaterOnes) {
   const Folder folder;
   const std::string file = folder.path + "/disabled.json";
   DisabledBackends one(file, log::Global()), two(file, log::Global());
@@ -71,7 +71,7 @@
   EXPECT_EQ(DisabledBackends(file, log::Global()).ids(), (std::set<std::string>{"s-1"}));
 }
 
-TEST(Disabled, AFileThatIsTornOrForeignIsIgnoredAndReplacedByTheNextCall) {
+TEST(DisabledBackends, CorruptFileIsIgnoredAndReplaced) {
   const Folder folder;
   const std::string file = folder.path + "/disabled.json";
   for (const std::string text :
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(Disabled, WhatCannotBeStoredIsNotDone) {
+TEST(DisabledBackends, ChangeThatCannotBeStoredIsNotMade) {
   DisabledBackends disabled("/nowhere/at/all/disabled.json", log::Global());
   EndpointList changes;
   disabled.Apply(ListOf("s-1"), true);
--- a/tests/proxy/discovery_messages_test.cpp
+++ b/tests/proxy/discovery_messages_test.cpp
@@ -37,7 +37,7 @@
   return all;
 }
 
-TEST(Messages, AreTheSameHoweverTheyAreIndentedAndWhereverTheyAreSplit) {
+TEST(MessageFramer, FramesMessagesOfAnyIndentationAndSplit) {
   const auto member = MemberJson("s-{1}\"]", Tcp::endpoint(kAnyPort.address(), 80));
   for (const int indent : {-1, 0, 1, 4}) {
     const std::string one = List(42, {member}, true, indent), two = List(43, {member, member}, false, indent);
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(Messages, GarbageIsSeenAsSoonAsItCanBe) {
+TEST(MessageFramer, DetectsGarbageAtOnce) {
   for (const char* text : {"[]\n", "x", "{}}\n", "{} {}\n", "{\"a\n", "{\"members\":[\n\n", "{\n}\n]"}) {
     bool garbled = false;
     Cut(text, 1, &garbled);
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(Messages, AtTheEndOnlyTheLineEndMayBeMissing) {
+TEST(MessageFramer, LastMessageMayLackOnlyItsLineEnd) {
   std::string message;
   MessageFramer whole;
   whole.Add("{\"a\":\"\\\"}\"}  ");
--- a/tests/proxy/discovery_watch_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Watches of discovery: what a message is, what counts as life, and how soon a change is known whatever
-// failed.
+// Watches of discovery: messages, timeouts, and how soon a change is applied whatever failed.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -102,7 +101,7 @@
   return MemberJson(id, Tcp::endpoint(kAnyPort.address(), 80), phase);
 };
 
-TEST(WatchMessages, AnIndentedListOnAWatchIsTaken) {
+TEST(WatchMessages, AppliesIndentedList) {
   ScriptedDiscovery fake({[](Tcp::socket& s) {
     ScriptedDiscovery::Open(s);
     for (const char byte : List(42, Members(kMember("s-1")), true, 2) + "\n")
@@ -117,7 +116,7 @@
   EXPECT_EQ(fake.calls.Get().size(), 1u);
 }
 
-TEST(WatchMessages, TheLastLineOfAWatchThatEndsInTheSameSegmentIsTaken) {
+TEST(WatchMessages, AppliesLastLineInTheSegmentOfTheEnd) {
   for (const std::string& end : {std::string("\n"), std::string()}) {
     for (const bool cleanly : {true, false}) {
       ScriptedDiscovery fake({[&](Tcp::socket& s) {
@@ -133,7 +132,7 @@
   }
 }
 
-TEST(WatchMessages, AnObjectFollowedByMoreOnItsLineIsNotTaken) {
+TEST(WatchMessages, IgnoresObjectFollowedByMoreOnItsLine) {
   ScriptedDiscovery fake({[](Tcp::socket& s) {
     ScriptedDiscovery::Open(s);
     SendRaw(s, Chunk(List(42) + "}\n"));
@@ -145,8 +144,7 @@
   EXPECT_TRUE(watch.lists.Get().empty());
 }
 
-// Bytes alone are no sign of life.
-TEST(WatchSilence, ATrickleWithoutAWholeMessageEndsTheWatch) {
+TEST(WatchIdleTimeout, BytesWithoutAMessageDoNotExtendIt) {
   ScriptedDiscovery fake({[](Tcp::socket& s) {
     ScriptedDiscovery::Open(s);
     SendRaw(s, Chunk("{\"revision\":42,"));
@@ -162,7 +160,7 @@
   EXPECT_TRUE(fake.WaitForCalls(2));
 }
 
-TEST(WatchSilence, ALongListThatKeepsComingIsWaitedFor) {
+TEST(WatchIdleTimeout, ListThatKeepsArrivingIsReadCompletely) {
   std::vector<nlohmann::json> members;
   for (int i = 0; i < 8000; ++i) members.push_back(kMember((Numbered("s-", i)).c_str()));
   const std::string list = List(42, members);
@@ -183,7 +181,7 @@
   EXPECT_EQ(watch.lists.Get()[0].endpoints.size(), 8000u);
 }
 
-TEST(WatchSilence, ADialThatHangsIsGivenUpBeforeASilentWatchIs) {
+TEST(WatchIdleTimeout, ConnectTimeoutIsShorter) {
   HeldDial held;
   Watching watch(held.address());
   watch.options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
@@ -195,7 +193,7 @@
 
 // The bound, by the real times: a watch falls silent, the dial after it hangs, the call after that gets 503,
 // and the change that was made when it fell silent is here within 6 s of that.
-TEST(WatchBound, AChangeIsKnownSixSecondsAfterTheWatchFellSilentWhateverFailedInBetween) {
+TEST(WatchBound, ChangeIsAppliedWithinSixSecondsDespiteFailures) {
   for (const auto reconnect :
        {proxy::DiscoveryClient::Reconnect::kAutomatic, proxy::DiscoveryClient::Reconnect::kOnRequest}) {
     Watched<std::chrono::steady_clock::time_point> silent_since;
@@ -220,7 +218,7 @@
   }
 }
 
-TEST(WatchBound, TheTimesOfAWatchAddUpToLessThanTheSixSeconds) {
+TEST(WatchBound, TimeoutsAddUpToLessThanSixSeconds) {
   const proxy::DiscoveryClient::Options options;
   // Two dials that hang, one after the silence and one at the return, with the longest back-off between.
   EXPECT_LE(options.idle_timeout + 2 * options.connect_timeout + std::chrono::milliseconds(1000 - 500),
@@ -233,7 +231,7 @@
   EXPECT_LE(2 * options.connect_timeout, std::chrono::seconds(3));
 }
 
-TEST(DiscoveryWatch, AWatchWhoseHeartbeatStaysAwayIsAskedAgain) {
+TEST(DiscoveryWatch, ReconnectsWithoutHeartbeat) {
   FakeDiscovery fake;
   asio::io_context io(1);
   proxy::DiscoveryClient::Options options;
@@ -249,7 +247,7 @@
   loop.join();
 }
 
-TEST(DiscoveryWatch, WhereItMustBeAskedAFailureIsReportedAndNotMended) {
+TEST(DiscoveryWatch, ReportsFailureWithoutReconnectingWherePolled) {
   Tcp::endpoint nobody;
   {
     FakeDiscovery gone;
--- a/tests/proxy/endpoint_list_test.cpp
+++ b/tests/proxy/endpoint_list_test.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, WatchesFromTheKnownRevisionAndGoesOnFromTheLastOneApplied) {
+TEST(EndpointLists, WatchContinuesFromTheLastAppliedRevision) {
   Backend one("one"), two("two");
   Site site(Members(MemberJson("s-1", one.address())));
   site.Start();
@@ -18,7 +18,7 @@
   EXPECT_EQ(site.discovery.seen.Get().watches[0], "/v1/endpoints?stream=1&index=41");
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).body(), "one");
-  // A drain and a newcomer in one change: all goes to the newcomer, and the drained one's connection closes.
+  // A draining and a new backend in one update: requests go to the new one, and idle connections close.
   site.discovery.Push(ListJson(
       43, false, Members(MemberJson("s-1", one.address(), "terminating"), MemberJson("s-2", two.address()))));
   EXPECT_TRUE(one.WaitForClosed(1));
@@ -26,14 +26,14 @@
   site.discovery.EndWatch();
   ASSERT_TRUE(site.discovery.WaitForWatches(2));
   EXPECT_EQ(site.discovery.seen.Get().watches[1], "/v1/endpoints?stream=1&index=43");
-  // Addresses go on being used while discovery is away; a complete list takes the place of all.
+  // Endpoints remain in use while discovery is unreachable; a snapshot replaces all.
   EXPECT_EQ(client.Ask(Look()).body(), "two");
   site.discovery.Push(ListJson(50, true, Members(MemberJson("s-1", one.address()))));
   EXPECT_TRUE(two.WaitForClosed(1));
   EXPECT_EQ(client.Ask(Look()).body(), "one");
 }
 
-TEST(Proxy, AGarbledLineEndsTheWatchAndNotTheProxy) {
+TEST(EndpointLists, MalformedLineEndsTheWatchOnly) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -52,7 +52,7 @@
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
 }
 
-TEST(Proxy, ABackendThatIsGoneAndNeverHadAnAddressIsNoCrash) {
+TEST(EndpointLists, RemovedBackendMayLackAnAddress) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -63,7 +63,7 @@
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
 }
 
-TEST(WatchLists, AWholeListThatLeavesABackendOutTakesItAway) {
+TEST(EndpointLists, SnapshotRemovesBackendsItDoesNotList) {
   Backend one("one"), two("two");
   Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address(), "terminating")));
   site.Start();
@@ -74,7 +74,7 @@
 }
 
 // A request that is being dialled when its backend drains is served by another, and that dial is given up.
-TEST(WatchLists, ADialToABackendThatDrainsIsGivenUpAndAnotherServes) {
+TEST(EndpointLists, DrainingBackendIsReplacedWhileConnecting) {
   HeldDial held;
   Backend other("other");
   Site site(Members(MemberJson("s-1", held.address())));
--- a/tests/proxy/forwarding_test.cpp
+++ b/tests/proxy/forwarding_test.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, PassesARequestOnAndItsAnswerBackUnchanged) {
+TEST(Forwarding, ForwardsRequestAndReturnsResponseUnchanged) {
   Backend backend("a body");
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -33,7 +33,7 @@
   EXPECT_EQ(backend.seen.Get().requests[1].target(), "/look/it?page=2");
 }
 
-TEST(Proxy, AnAnswerCutShortIsAFailureAndUnsafeWorkIsNotSentAgain) {
+TEST(Forwarding, TruncatedResponseFailsNonIdempotentRequest) {
   const auto cut = [](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
     return false;
@@ -46,7 +46,7 @@
   EXPECT_EQ(one.seen.Get().requests.size() + two.seen.Get().requests.size(), 1u);
 }
 
-TEST(Proxy, AnAnswerThatOnlyTheConnectionsEndDelimitsIsNotTrusted) {
+TEST(Forwarding, ResponseDelimitedByUnannouncedCloseFails) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 200 OK\r\n\r\nperhaps not all");
     return false;
@@ -57,7 +57,7 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
 }
 
-TEST(Proxy, AnAnswerThatEndsWithItsConnectionIsTakenIfTheBackendSaidSo) {
+TEST(Forwarding, ResponseDelimitedByAnnouncedCloseIsReturned) {
   for (const std::size_t size : {std::size_t{10}, std::size_t{300 * 1000}}) {
     const std::string answer(size, 'z');
     Backend backend([&](Tcp::socket& s, const HttpRequest&) {
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(Proxy, AnAnswerThatClaimsToBeHugeIsAFailure) {
+TEST(Forwarding, HugeContentLengthFails) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on");
     return true;
@@ -83,7 +83,7 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
 }
 
-TEST(Proxy, GarbageFromABackendIsAFailureAndTheProxyLivesOn) {
+TEST(Forwarding, GarbageFromBackendFailsThatRequestOnly) {
   Watched<int> asked;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     asked.Do([](int& n) { ++n; });
@@ -97,7 +97,7 @@
   EXPECT_EQ(client.Ask(Book()).body(), "well");
 }
 
-TEST(Proxy, InterimAnswersAreSkippedAndTheFinalOneServed) {
+TEST(Forwarding, SkipsInterimResponses) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(
         s, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OkAnswer("final"));
@@ -109,7 +109,7 @@
   EXPECT_EQ(client.Ask(Book()).body(), "final");
 }
 
-TEST(Proxy, InterimAnswersWithoutEndAreAFailure) {
+TEST(Forwarding, TooManyInterimResponsesFail) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     for (int i = 0; i < 50; ++i) SendRaw(s, "HTTP/1.1 103 Early Hints\r\n\r\n");
     SendRaw(s, OkAnswer("too late"));
@@ -121,7 +121,7 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
 }
 
-TEST(Proxy, AnswersThatCanBeReadInTwoWaysAreFailuresAndTheirConnectionsCloseAtOnce) {
+TEST(Forwarding, AmbiguousResponseFailsAndClosesItsConnection) {
   for (const char* head :
        {"Content-Length: 4\r\nContent-Length: 4\r\n", "Content-Length: 4, 4\r\n", "Content-Length: +4\r\n",
         "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n", "Transfer-Encoding: gzip, chunked\r\n",
@@ -140,7 +140,7 @@
   }
 }
 
-TEST(Proxy, AnAnswerThatBeginsAndStallsIsGivenUp) {
+TEST(Forwarding, StalledResponseFails) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, r["Req-Kind"] == "book" ? "HTTP/1.1 200 OK\r\nContent-" : OkAnswer("well"));
     return true;
--- a/tests/proxy/graceful_shutdown_test.cpp
+++ b/tests/proxy/graceful_shutdown_test.cpp
@@ -18,7 +18,7 @@
 
 // A request that crosses the end of a resting connection is not sent on, nor is the connection reset: its
 // client reads the end, and so knows that it may send it once more.
-TEST(Closing, ARequestThatCrossesTheEndOfARestingConnectionReadsThatEnd) {
+TEST(Closing, RequestThatCrossesTheCloseReadsTheEndNotAReset) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.lingering_close = std::chrono::minutes(10);
@@ -36,7 +36,7 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
 }
 
-TEST(Closing, TheStopWaitsForClientsToSeeTheEndAndForNoLongerThanItMay) {
+TEST(Closing, ShutdownWaitsForClientsUpToTheLingeringTimeout) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.lingering_close = std::chrono::minutes(10);
@@ -57,7 +57,7 @@
   EXPECT_EQ(site.proxy->Stop().wait_for(kGiveUp), std::future_status::ready);
 }
 
-TEST(Closing, WhatIsDrainedByStaffOrStandsIdleForTooLongIsNotReset) {
+TEST(Closing, DrainedOrIdleConnectionIsNotReset) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.keep_alive = milliseconds(50);
@@ -83,8 +83,8 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 2u);
 }
 
-// The kernel has accepted them, so that they count as taken: at the connection limit too.
-TEST(Closing, WhoWaitsToBeAcceptedAtTheStopIsServed) {
+// The kernel has accepted them: they count as accepted at the connection limit too.
+TEST(Closing, ServesClientsInTheAcceptQueueAtShutdown) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "book") release.WaitFor([](bool r) { return r; });
@@ -114,8 +114,7 @@
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 }
 
-// Half a request at the stop: what comes whole in time is served, and what does not reads the end.
-TEST(Closing, AHalfReadRequestAtTheStopIsServedIfTheRestComes) {
+TEST(Closing, ServesPartlyReadRequestAtShutdownIfTheRestArrives) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -136,7 +135,7 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
 }
 
-TEST(Proxy, AtTheStopItServesWhatItHoldsAndWhatComesAndThenEnds) {
+TEST(Closing, ServesRequestsInFlightAndNewOnesAtShutdown) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "book") release.WaitFor([](bool r) { return r; });
@@ -150,7 +149,7 @@
   holding.Send(Book());
   ASSERT_TRUE(backend.WaitForRequests(2));
   auto stopped = site.proxy->Stop();
-  // The first that the stopping proxy says: it takes no new front traffic.
+  // From now on the proxy is not ready.
   Client asks(site.proxy->address);
   EXPECT_EQ(asks.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 503u);
   Client late(site.proxy->address);
--- a/tests/proxy/large_body_test.cpp
+++ b/tests/proxy/large_body_test.cpp
@@ -12,7 +12,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, BodiesOf64KiBPassBothWays) {
+TEST(LargeBodies, ForwardsBodiesOf64KiB) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, OkAnswer(r.body()));
     return true;
@@ -64,12 +64,12 @@
   EXPECT_EQ(backend.seen.Get().opened, 1);  // the connection is of use after a large answer
 }
 
-TEST(Proxy, LargeBodiesPassBothWaysWhateverTheirFraming) {
-  ExpectLargeBodiesToPass(300 * 1000);       // held whole
-  ExpectLargeBodiesToPass(3 * 1000 * 1000);  // passed on piece by piece
+TEST(LargeBodies, ForwardsBodiesOfAnyFraming) {
+  ExpectLargeBodiesToPass(300 * 1000);       // buffered
+  ExpectLargeBodiesToPass(3 * 1000 * 1000);  // forwarded piece by piece
 }
 
-TEST(Proxy, ManyLargeBodiesAtOnceTakeLittleMemory) {
+TEST(LargeBodies, ForwardsManyAtOnce) {
   const std::string answer = Patterned(4 * 1000 * 1000);
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, OkAnswer(answer));
@@ -83,11 +83,11 @@
     clients.back()->Send(WithId(Look(), std::to_string(i)));
   }
   ASSERT_TRUE(backend.WaitForRequests(20));
-  // Nobody has read a byte yet; each gets all of it in the end.
+  // No client has read a byte yet.
   for (const auto& client : clients) EXPECT_EQ(client->Read().body(), answer);
 }
 
-TEST(Proxy, ALargeAnswerThatBreaksOffEndsSoThatTheClientCanTellAndIsNotAskedForAgain) {
+TEST(LargeBodies, TruncatedResponseEndsTheConnectionWithoutRetry) {
   for (const bool chunked : {false, true}) {
     const auto cut = [&](Tcp::socket& s, const HttpRequest&) {
       const std::string part = Patterned(300 * 1000);
@@ -104,8 +104,8 @@
   }
 }
 
-TEST(Proxy, ALargeBodyThatHasPartlyLeftIsNotSentAgain) {
-  // Closes once it has read the head, as one does that wants no more.
+TEST(LargeBodies, PartlySentBodyIsNotRetried) {
+  // Closes once it has read the head, as a backend does that rejects the body.
   Watched<int> begun;
   const auto cut = [&](Tcp::socket& s) {
     std::string some(200 * 1000, ' ');
@@ -121,7 +121,7 @@
   EXPECT_EQ(begun.Get(), 1);
 }
 
-TEST(Proxy, AStalledLargeBodyIsTurnedAwayAndNothingRuns) {
+TEST(LargeBodies, StalledBodyIsRejectedWithoutExecution) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.body_grace = std::chrono::milliseconds(100);
@@ -135,7 +135,7 @@
   EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
 }
 
-TEST(Proxy, ABodyAnnouncedTooLargeIsTurnedAwayAtItsHeader) {
+TEST(LargeBodies, RejectsTooLargeContentLengthAtTheHeader) {
   Site site(Members());
   site.Start();
   for (const char* length : {"60000000", "18446744073709551615", "99999999999999999999999"}) {
@@ -148,7 +148,7 @@
   }
 }
 
-TEST(Proxy, BodiesBeyondTheMemoryAreTurnedAwayAndTheirPlaceComesBack) {
+TEST(LargeBodies, RejectsBodiesBeyondTheMemoryLimit) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["memory_mb"] = 8;  // a quarter for bodies, each counted twice: sixteen of the largest
@@ -159,7 +159,7 @@
   unsigned turned_away = 0;
   for (int i = 0; i < 17; ++i) {
     uploads.push_back(std::make_unique<Client>(site.proxy->address));
-    // Only who may send is asked to go on.
+    // Only a client whose body is admitted gets 100 Continue.
     uploads.back()->Send(WithId(head, std::to_string(i) + "u"));
     turned_away += uploads.back()->Read().result_int() == 503;
   }
--- a/tests/proxy/module_clock_test.cpp
+++ b/tests/proxy/module_clock_test.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(ModuleClock, LongAgoStaysLongAgoAndTimesKeepTheirDistance) {
+TEST(ModuleClock, PreservesOrderAndDistanceOfWallClockTimes) {
   const proxy::ModuleClock clock;
   EXPECT_EQ(clock.FromUnix(0), TimePoint{});
   const double unix_now = Duration(std::chrono::system_clock::now().time_since_epoch()).count();
--- a/tests/proxy/pipelining_test.cpp
+++ b/tests/proxy/pipelining_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 
 // Many requests at once are answered in order, however they are cut.
-TEST(Pipelined, ManyAtOnceAreAnsweredInOrderWhereverTheyAreCut) {
+TEST(Pipelined, RequestsInAnySegmentsAreServedInOrder) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, OkAnswer(std::string(r["Req-Id"])));
     return true;
@@ -31,7 +31,7 @@
 
 // Each has its time from when it came, not from when the first of them did, nor from when the one before was
 // answered.
-TEST(Pipelined, EachHasItsTimeFromWhenItCame) {
+TEST(Pipelined, DeadlineStartsWhenEachRequestArrives) {
   Watched<int> answered;
   Watched<int> may_answer;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
@@ -60,7 +60,7 @@
 }
 
 // What comes behind a request that is the connection's last is not looked at, nor does it cost the answer.
-TEST(Pipelined, WhatComesBehindALastRequestIsNotServedAndTheAnswerArrivesWhole) {
+TEST(Pipelined, IgnoresBytesBehindTheLastRequest) {
   Backend backend(std::string(60 * 1024, 'a'));
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The program as it is started: its configuration, its signals, its limits.
+// The program as a process: its configuration, its signals, its limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +23,7 @@
   EXPECT_NE(text.find(part), std::string::npos) << text;
 }
 
-TEST(Process, BadOrMissingConfigurationIsOneLineAndAnExit) {
+TEST(Process, ExitsWithOneLineOnInvalidConfiguration) {
   ExpectComplaint({}, "ROUTER_CONFIG");
   ExpectComplaint({{"ROUTER_CONFIG", "/nowhere/at/all"}}, "/nowhere/at/all");
   const auto with = [](const std::string& text, const std::string& part) {
@@ -51,7 +51,7 @@
   with(changed("/limits/memory_mb", 1), "memory_mb");
 }
 
-TEST(Process, EndsWellAtSigtermAndStartsAgainOnTheSameAddress) {
+TEST(Process, ExitsAtSigtermAndRestartsOnTheSameAddress) {
   Backend backend;
   FakeDiscovery discovery;
   const ConfigFile file(
@@ -72,8 +72,8 @@
   }
 }
 
-// While it ends it is asked to end again, and to reload: what it holds is answered all the same.
-TEST(Process, FurtherSignalsWhileItEndsCostNoRequestItsAnswer) {
+// Further SIGTERM, SIGINT and SIGHUP during the shutdown.
+TEST(Process, SignalsDuringShutdownLoseNoRequest) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -114,9 +114,8 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// Clients that rest have all the places that are theirs, and more wait: discovery and backends are still
-// reached, and who asks is served.
-TEST(Process, ClientsThatFillTheDescriptorsLeaveRoomForDiscoveryAndBackends) {
+// Idle clients use up their limit, and more wait: discovery and backends are still reached.
+TEST(Process, ClientsLeaveDescriptorsForDiscoveryAndBackends) {
   constexpr rlim_t kDescriptors = 256;
   Backend backend;
   FakeDiscovery discovery;
@@ -137,7 +136,7 @@
   for (std::size_t watches = 2; watches < 5; ++watches) {
     discovery.EndWatch();
     fill(50);
-    ASSERT_TRUE(discovery.WaitForWatches(watches));  // another descriptor was there for it
+    ASSERT_TRUE(discovery.WaitForWatches(watches));  // another descriptor was available for it
     Client asks(address);
     EXPECT_EQ(asks.Ask(WithId(Look(), Numbered("r", watches))).body(), "served");
   }
@@ -148,8 +147,7 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// One that is told to end before it serves, or before it has a list, ends.
-TEST(Process, ToldToEndBeforeItIsReadyItEnds) {
+TEST(Process, ExitsAtSigtermBeforeItIsReady) {
   FakeDiscovery discovery;
   const ConfigFile file(ConfigJson(discovery.address(), {}).dump());
   const auto address = FreePort();
@@ -160,7 +158,7 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-TEST(Process, OutlivesRunningOutOfDescriptors) {
+TEST(Process, SurvivesRunningOutOfDescriptors) {
   Backend backend;
   FakeDiscovery discovery;
   const ConfigFile file(
--- a/tests/proxy/readiness_test.cpp
+++ b/tests/proxy/readiness_test.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, WithoutAListItIsNotReadyAndRefusesWithoutHarm) {
+TEST(Readiness, RejectsRequestsWithoutEndpointList) {
   Site site(Members());
   site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
   site.Start();
@@ -19,10 +19,10 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 503u);
 }
 
-TEST(Proxy, ARefusalSaysWhenToComeBack) {
+TEST(Readiness, RejectionHasRetryAfter) {
   Site site(Members());
   site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
-  // Also where the simulator's clients are not told: on sockets the answer itself carries the advice.
+  // Also without permission to advise simulated clients: over HTTP the response carries the header.
   site.config["settings"]["permissions"]["retryAfter"] = false;
   site.config["settings"]["permissions"]["maxRetryAfterMs"] = 1500;
   site.Start();
@@ -34,7 +34,7 @@
   EXPECT_LE(told, 1.5);
 }
 
-TEST(Proxy, IsReadyOnceItHasAList) {
+TEST(Readiness, IsReadyWithEndpointList) {
   Backend backend;
   Site site(Members());
   site.Start();
--- a/tests/proxy/reload_test.cpp
+++ b/tests/proxy/reload_test.cpp
@@ -12,7 +12,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Process, AtSighupDiscoveryMovesAndItsWholeListIsTaken) {
+TEST(Reload, SwitchesDiscoveryAndAppliesItsSnapshot) {
   Backend before("before"), after("after"), later("later");
   FakeDiscovery here, there;
   const ConfigFile file(ConfigJson(here.address(), Members(MemberJson("s-1", before.address()))).dump());
@@ -28,11 +28,11 @@
 
   Replace(file, ConfigJson(there.address(), {}).dump());
   child.Signal(SIGHUP);
-  // Until the new one has spoken, the old one is listened to.
+  // Until the new one has responded, updates of the old one are applied.
   ASSERT_TRUE(there.seen.WaitFor([](const FakeDiscovery::Seen& s) { return s.asked == 1; }));
   here.Push(ListJson(42, false, Members(MemberJson("s-1", before.address(), "in_service", 1e12))));
   ASSERT_TRUE(before.WaitForClosed(1));
-  // The new one's revisions are lower than the old one's, and it does not name what is gone.
+  // The new one has lower revisions, and does not list removed backends.
   there.SetWhole(ListJson(7, true, Members(MemberJson("s-2", after.address()))));
   ASSERT_TRUE(there.WaitForWatches(1));
   EXPECT_EQ(there.seen.Get().watches[0], "/v1/endpoints?stream=1&index=7");
@@ -46,7 +46,7 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-TEST(Process, TheOperatorsFileRulesPatienceAndABadOneAtSighupLeavesTheOldInForce) {
+TEST(Reload, InvalidOperatorFileLeavesTheOldInForce) {
   Backend backend("here");
   FakeDiscovery discovery;
   const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address())));
@@ -67,7 +67,7 @@
     EXPECT_NE(line.find(fault), std::string::npos) << line;
   }
   EXPECT_EQ(Client(address).Ask(Look()).body(), "here");
-  // A client that stands idle is kept by the first file, and soon closed by the third.
+  // An idle client stays connected by the first file, and is soon closed by the third.
   Replace(operating, "[patience]\nkept_ms = 1\n[log]\nlevel = \"info\"\n");
   child.Signal(SIGHUP);
   EXPECT_NE(child.StderrLine().find(" info configuration_reloaded"), std::string::npos);
@@ -76,7 +76,7 @@
   EXPECT_TRUE(idle.Ended());
 }
 
-TEST(Process, ABadFileAtSighupIsOneLineAndTheOldConfigurationStays) {
+TEST(Reload, InvalidConfigurationLeavesTheOldInForce) {
   Backend before("before"), after("after");
   FakeDiscovery discovery;
   const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", before.address())));
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -12,7 +12,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, RequestsThatCanBeReadInTwoWaysAreTurnedAwayAndTheirConnectionsClose) {
+TEST(RequestValidation, RejectsAmbiguousFraming) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -41,7 +41,7 @@
   EXPECT_EQ(backend.seen.Get().requests.at(0).body(), "text");
 }
 
-TEST(Proxy, HeadersThatDoNotFitTogetherAreTurnedAwayAndTheConnectionCloses) {
+TEST(RequestValidation, RejectsInconsistentHeaders) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -60,7 +60,7 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 0u);
 }
 
-TEST(Proxy, TheIdOfAnOpenRequestIsTurnedAway) {
+TEST(RequestValidation, RejectsIdOfOpenRequest) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool go) { return go; });
@@ -80,7 +80,7 @@
   EXPECT_EQ(first.Ask(Book()).result_int(), 200u);  // it is over
 }
 
-TEST(Proxy, BadRequestsGetAPlain4xxAndTheProxyLivesOn) {
+TEST(RequestValidation, RejectsMalformedRequestsWith4xx) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -113,7 +113,7 @@
       200u);
 }
 
-TEST(Understand, ReadsWhatTheModuleIsTold) {
+TEST(ParseClientRequest, ReadsTheFieldsOfADecision) {
   Backend backend;
   auto json = ConfigJson(backend.address(), {});
   json["settings"]["tenants"] = {{{"name", "acme"}, {"quotaPerS", 5.0}},
--- a/tests/proxy/retry_safety_test.cpp
+++ b/tests/proxy/retry_safety_test.cpp
@@ -12,7 +12,7 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Proxy, UnsafeWorkGoesElsewhereOnlyWhenDeclined) {
+TEST(RetrySafety, NonIdempotentRequestIsRetriedOnlyWhenDeclined) {
   Watched<int> declined;
   const auto decline_first = [&](Tcp::socket& s, const HttpRequest&) {
     int n = 0;
@@ -28,7 +28,7 @@
   EXPECT_EQ(declined.Get(), 2);
 }
 
-TEST(Proxy, A503WithoutTheBackendsWordMayHaveRun) {
+TEST(RetrySafety, Undeclined503MayHaveExecuted) {
   const auto busy = [](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     return true;
@@ -37,11 +37,11 @@
   Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
   site.Start();
   Client client(site.proxy->address);
-  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);  // failed, not refused
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);  // failed, not rejected
   EXPECT_EQ(one.seen.Get().requests.size() + two.seen.Get().requests.size(), 1u);
 }
 
-TEST(Proxy, ARefusedConnectionNeverRanAndAnotherBackendServes) {
+TEST(RetrySafety, RefusedConnectionIsRetriedElsewhere) {
   Tcp::endpoint nobody;
   {
     Backend gone;
@@ -54,7 +54,7 @@
   for (int i = 0; i < 6; ++i) EXPECT_EQ(client.Ask(Book()).result_int(), 200u) << i;
 }
 
-TEST(Proxy, AConnectionThatBreaksAfterTheRequestIsAReset) {
+TEST(RetrySafety, ResetAfterTheRequestIsRetriedOnlyIfIdempotent) {
   Watched<int> asked;
   const auto drop = [&](Tcp::socket&, const HttpRequest&) {
     asked.Do([](int& n) { ++n; });
@@ -66,13 +66,13 @@
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
   EXPECT_EQ(asked.Get(), 1);
-  // A safe one is sent again, up to maxAttempts.
+  // An idempotent one is retried, up to maxAttempts.
   client.Ask(Look());
   EXPECT_GT(asked.Get(), 2);
   EXPECT_LE(asked.Get(), 5);
 }
 
-TEST(Proxy, AtTheTimeOutTheConnectionIsClosedAndALateAnswerDropped) {
+TEST(RetrySafety, TimeoutClosesTheConnectionAndDropsALateResponse) {
   Watched<bool> release;
   Watched<int> asked;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
@@ -91,7 +91,7 @@
   EXPECT_EQ(client.Ask(Book()).body(), "in time");
 }
 
-TEST(Proxy, WhatABackendFindsFaultyIsNotTriedElsewhereNorHeldAgainstIt) {
+TEST(RetrySafety, BadRequestIsNotRetriedAndNotCountedAgainstItsBackend) {
   Watched<int> asked;
   const auto judge = [&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Id"] == "odd") {
@@ -113,7 +113,7 @@
   }
 }
 
-TEST(Proxy, AttemptsThatFellSilentDoNotTakeThePlacesOfOthers) {
+TEST(RetrySafety, SilentAttemptsDoNotBlockOthers) {
   Watched<bool> over;
   Watched<int> silent;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
@@ -129,7 +129,7 @@
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(client.Ask(Book()).result_int(), 200u);
-  // All of them go out, and others still do: far more than the proxy's limit for one backend.
+  // All of them are sent, and others still are: far more than the limit for one backend.
   constexpr int kSilent = 40;
   std::vector<std::unique_ptr<Client>> waiting;
   for (int i = 0; i < kSilent; ++i) {
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -27,7 +27,7 @@
   return Client(address).Ask("POST " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
 }
 
-TEST(Upgrade, ANextProcessTakesOverWithoutLosingAConnectionOrABan) {
+TEST(Upgrade, NextProcessTakesOverConnectionsAndDisabledBackends) {
   Backend one("one"), two("two");
   FakeDiscovery discovery;
   const auto list = Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address()));
@@ -48,7 +48,7 @@
   discovery.Push(ListJson(42, true, list));
   ASSERT_TRUE(WaitUntilReady(next_calls));
   EXPECT_EQ(ReadyStatus(first_calls), 200u);
-  // A call at either process holds for both.
+  // A call at either process applies to both.
   EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-2"), 200u);
   EXPECT_EQ(Operate(next_calls, "/backends/enable?member=s-1"), 200u);
   Client fresh(address);
@@ -68,7 +68,7 @@
   EXPECT_NE(said.find("upgrade_before_gone"), std::string::npos) << said;
 }
 
-TEST(Upgrade, WhenTheNextProcessDiesTheOldOneServesOn) {
+TEST(Upgrade, OldProcessServesOnWhenTheNextOneDies) {
   Backend backend;
   FakeDiscovery discovery;
   const auto list = Members(MemberJson("s-1", backend.address()));
@@ -93,7 +93,7 @@
   EXPECT_EQ(first.Wait(), 0);
 }
 
-TEST(Upgrade, ADeadOrForeignSocketDoesNotStopTheStart) {
+TEST(Upgrade, StartsDespiteStaleOrForeignSocket) {
   Backend backend;
   FakeDiscovery discovery;
   const ConfigFile file(
--- /dev/null
+++ b/tests/support/client.h
@@ -0,0 +1,73 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// A client of the proxy, and the requests that it sends.
+#ifndef COPPERPOINT_TESTS_SUPPORT_CLIENT_H_
+#define COPPERPOINT_TESTS_SUPPORT_CLIENT_H_
+
+#include <boost/asio/read.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/read.hpp>
+#include <boost/beast/http/string_body.hpp>
+#include <cstddef>
+#include <string>
+
+#include "support/sockets.h"
+
+namespace copperpoint::testing {
+
+class Client {
+ public:
+  explicit Client(const Tcp::endpoint& proxy) : socket(io_) { socket.connect(proxy); }
+
+  void Send(const std::string& bytes) { SendRaw(socket, bytes); }
+  // The next answer; status 0 if the connection ended before it was whole.
+  HttpResponse Read() {
+    HttpResponse response;
+    error_code failed;
+    http::read(socket, buffer_, response, failed);
+    if (failed) response = {}, response.result(0u);
+    return response;
+  }
+  HttpResponse Ask(const std::string& bytes) {
+    Send(bytes);
+    return Read();
+  }
+  bool Ended() {
+    char byte;
+    error_code failed;
+    asio::read(socket, asio::buffer(&byte, 1), failed);
+    return static_cast<bool>(failed);
+  }
+
+ private:
+  asio::io_context io_;
+  boost::beast::flat_buffer buffer_;
+
+ public:
+  Tcp::socket socket;
+};
+
+// Requests of the three classes.
+inline std::string Look(const std::string& more = "") {
+  return "GET /look/it?page=2 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: 0a\r\nReq-Kind: look\r\n" + more +
+         "\r\n";
+}
+inline std::string Post(const std::string& kind, const std::string& more = "",
+                        const std::string& body = "text") {
+  return "POST /" + kind + " HTTP/1.1\r\nHost: service.internal\r\nReq-Id: 0b\r\nReq-Kind: " + kind + "\r\n" +
+         "Content-Length: " + std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
+}
+inline std::string Change() { return Post("change", "Idempotency-Key: 7e\r\n"); }
+inline std::string Book() { return Post("book"); }
+
+inline std::string Numbered(std::string name, std::size_t n) { return name.append(std::to_string(n)); }
+
+// The same under another Req-Id.
+inline std::string WithId(std::string request, const std::string& id) {
+  const std::size_t from = request.find("Req-Id: ") + 8;
+  return request.replace(from, request.find("\r\n", from) - from, id);
+}
+
+}  // namespace copperpoint::testing
+
+#endif  // COPPERPOINT_TESTS_SUPPORT_CLIENT_H_
--- a/tests/support/log_lines.h
+++ b/tests/support/log_lines.h
@@ -12,7 +12,7 @@
 
 namespace copperpoint::testing {
 
-// What is written to a log, from the level on, without the time.
+// The lines that a logger writes, without their time.
 class Lines {
  public:
   std::vector<std::string> lines;
