--- a/tests/support/running_proxy.h
+++ b/tests/support/running_proxy.h
@@ -88,7 +88,7 @@
     return true;
   }
   bool WaitUntilNothingIsHeld() {
-    return WaitUntil([](proxy::Proxy& p) { return p.held() == 0; });
+    return WaitUntil([](proxy::Proxy& p) { return p.open_requests() == 0; });
   }
 
  private:
