--- a/include/copperpoint/balancer.h
+++ b/include/copperpoint/balancer.h
@@ -119,11 +119,11 @@
   kServerError,
   kBackendRejected,
   kTimeout,
-  kConnectFailure,
+  kConnectFailure,  // no connection, or the request was not written completely: it did not run
   kConnectionReset,
   kCancelled,
   kNotSent,
-  kUnknown,
+  kUnknown,  // the backend rejected the request itself (4xx): says nothing of the backend's health
 };
 
 // Why a request was rejected or failed.
--- a/src/decision/backend_picker.cpp
+++ b/src/decision/backend_picker.cpp
@@ -111,6 +111,7 @@
     if (BackendState* picked = PickFromSample(candidates, search)) return picked;
   }
   for (const BackendIndex index : candidates) Consider(index, search);
+  // Where backends in service lack only slow start budget: wait rather than use one that is out of service.
   return search.best && !search.best_in_service() && search.any_in_service ? nullptr : search.best;
 }
 
--- a/src/decision/backend_state.h
+++ b/src/decision/backend_state.h
@@ -50,8 +50,9 @@
 // Owned by SlowStart.
 struct SlowStartState {
   WorkWindow sent;
-  TimePoint last_sent{};     // or the start of its process
-  double wait_fraction = 1;  // of the time between two attempts that has to pass before the next
+  TimePoint last_sent{};  // or the start of its process
+  double wait_fraction =
+      1;  // of the slow start wait that must pass before the next attempt; random for the first
 };
 
 struct BackendState {
@@ -65,7 +66,7 @@
   int outstanding_attempts = 0;
   bool in_zone_outage = false;
   SlowStartState slow_start;
-  TimePoint last_activity{};  // the last outcome but a timeout, or the first attempt after none was out
+  TimePoint last_activity{};  // last outcome but a timeout, or start of an attempt while none was outstanding
   TimePoint removed_at{};     // owned by EndpointSet
 
   bool ready() const { return endpoint.state == EndpointState::kReady; }
--- a/src/decision/balancer.cpp
+++ b/src/decision/balancer.cpp
@@ -58,7 +58,7 @@
     attempt.outstanding = false;
     attempt.may_have_run = RetryPolicy::MayHaveRun(event.outcome);
     observer_.OnAttemptCompleted(request, event);
-    state_.retry_queue = true;
+    state_.recheck_queue = true;
     if (event.request_completed && !request.finished)
       dispatcher_.MarkFinished(request,
                                /*client_may_retry=*/event.outcome != AttemptOutcome::kSuccess);
@@ -80,12 +80,12 @@
     fleet_.Advance();
     sampler_.Advance();
     if (state_.poller.TakeDuePoll(state_.now)) state_.Emit(PollEndpoints{});
-    dispatcher_.RejectOverdue();
+    dispatcher_.EndExpiredWaits();
   }
 
   void SetNextTimer() {
     const TimePoint next_sample = state_.queue.empty() ? kNever : sampler_.next_sample_at();
-    const TimePoint at = std::min({state_.poller.next_poll_at(), next_sample, state_.queue.next_deadline()});
+    const TimePoint at = std::min({state_.poller.next_poll_at(), next_sample, state_.queue.next_wake_up()});
     if (at >= timer_at_) return;
     timer_at_ = at;
     state_.Emit(SetTimer{at, 0});
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -9,12 +9,12 @@
 
 constexpr double kMaxObjectiveFraction = 0.33;  // of the mean objective that an attempt may take, in the mean
 constexpr double kMaxLatencyMultiple = 3;       // of the uncongested latency that it may take, in the mean
-constexpr double kDeviations = 1;               // of a random number in flight that are no overload
-constexpr double kMinPerBackend = 3;            // in flight at one backend, of all proxies, always permitted
-constexpr double kMaxMinInFlight = 4;           // of the smallest limit, while answers are uncongested
-constexpr double kCongestionGain = 0.1;         // of one answer
-constexpr double kMaxCongestion = 16;           // that one answer counts as
-constexpr Duration kCongestionMemory{8000};     // without further answers
+constexpr double kDeviations = 1;  // standard deviations of a Poisson number in flight that are still normal
+constexpr double kMinPerBackend = 3;         // in flight at one backend, of all proxies, always permitted
+constexpr double kMaxMinInFlight = 4;        // upper bound of MinInFlight(), reached without congestion
+constexpr double kCongestionGain = 0.1;      // of one answer
+constexpr double kMaxCongestion = 16;        // that one answer counts as
+constexpr Duration kCongestionMemory{8000};  // without further answers
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   return in_flight_ - overdue_ < std::max(always_permitted, mean + kDeviations * std::sqrt(mean));
 }
 
-// With many proxies this bounds what backends hold: it is smaller the more congested they are.
+// With many proxies this bounds the queues at the backends: 4 up to a congestion of 1.5, falling to 1 at 6.
 double ConcurrencyLimit::MinInFlight() const {
   return std::clamp(1.5 * kMaxMinInFlight / std::max(congestion_, 0.1), 1.0, kMaxMinInFlight);
 }
--- a/src/decision/decision_state.h
+++ b/src/decision/decision_state.h
@@ -45,9 +45,9 @@
 // Of the backends listed as ready.
 struct FleetCapacity {
   double ready = 0;  // one that is warming up counts as its capacity fraction
-  // Those that are not ejected. One that is warming up counts as the root of its fraction: by the fraction, a
-  // fleet half of which is warming up would take its warm backends for several times as able as they are; as
-  // a whole one, a fleet that is warming up altogether would limit itself to nothing.
+  // Those that are not ejected; zone outages are not subtracted. A backend that is warming up counts as the
+  // square root of its capacity fraction, between the fraction itself (which overstates the rate of the warm
+  // backends) and 1 (which starves a fleet that is warming up altogether).
   double in_service = 0;
   bool any_warming_up = false;
 };
@@ -91,8 +91,8 @@
   // Requests.
   Requests requests;
   RequestQueue queue;
-  bool retry_queue = false;  // capacity may have come free for queued requests
-  TimePoint last_outcome{};  // that tells of its backend
+  bool recheck_queue = false;  // capacity may have come free: DispatchQueued tries the queued requests
+  TimePoint last_outcome{};    // last outcome that reflects its backend's health
   RequestPriority priority{settings};
   RetryPolicy retry_policy{settings.max_attempts};
   RetryBudget retry_budget;
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -16,15 +16,15 @@
 
 bool Dispatcher::Dispatch(RequestState& request) {
   const RetryPolicy::Permission permission = PermissionFor(request);
-  BackendState* backend = permission.dispatch && HasCapacity() ? Pick(request, permission) : nullptr;
+  BackendState* backend = permission.may_dispatch && HasCapacity() ? Pick(request, permission) : nullptr;
   if (backend) {
     state_.queue.Remove(request);
     StartAttemptAt(request, *backend);
     return true;
   }
-  if (!permission.dispatch) {
+  if (!permission.may_dispatch) {
     Finish(request, RejectReason::kNotRetriable, RetryAfter(request));
-  } else if (state_.now >= request.reject_at) {
+  } else if (state_.now >= request.wait_until) {
     RejectForNoCapacity(request);
   } else if (!request.queued) {
     Enqueue(request);
@@ -103,31 +103,33 @@
       request.priority_weight / state_.ClassOf(request).priority_weight *
       state_.priority.PriorityOf(request.request_class, within_quota ? request.tenant : -1);
   state_.queue.Add(request);
-  state_.queue.AddDeadline(request.reject_at, request.id);
+  state_.queue.AddWakeUp(request.wait_until, request.id);
 }
 
 void Dispatcher::Retry(RequestState& request, bool adds_load) {
-  if (!PermissionFor(request).dispatch) return Finish(request, RejectReason::kNotRetriable);
+  if (!PermissionFor(request).may_dispatch) return Finish(request, RejectReason::kNotRetriable);
   if (adds_load && !state_.retry_budget.HasToken())
     return Finish(request, RejectReason::kRetryBudgetExhausted);
+  // A retry may wait four ticks for capacity, but must end two ticks before the client's deadline.
   const Duration tick = state_.settings.tick;
-  request.reject_at =
-      std::max(request.reject_at, std::min(request.deadline - tick * 2, state_.now + tick * 4));
+  request.wait_until =
+      std::max(request.wait_until, std::min(request.deadline - tick * 2, state_.now + tick * 4));
   Dispatch(request);
 }
 
 void Dispatcher::Finish(RequestState& request, RejectReason reason, Duration retry_after) {
-  const bool reject = PermissionFor(request).reject;
+  const bool reject = PermissionFor(request).may_reject;
   if (state_.MayLog(LogKind::kRequestEnd)) LogEnd(request, reject);
   if (reject) {
     state_.Emit(RejectRequest{request.id, retry_after, reason});
   } else {
     state_.Emit(FailRequest{request.id, reason});
   }
-  ++state_.overload_counts.rejected;
+  ++state_.overload_counts.unserved;
   MarkFinished(request, reject || state_.ClassOf(request).idempotency == Idempotency::kIdempotent);
 }
 
+// For operators, seldom; the reason of each request is in the event request_completed, at level debug.
 void Dispatcher::LogEnd(const RequestState& request, bool rejected) {
   std::string cause = "not in time";
   if (!request.attempts.empty()) {
@@ -157,12 +159,12 @@
   if (!request.has_outstanding_attempt()) state_.requests.erase(entry);
 }
 
-void Dispatcher::RejectOverdue() {
+void Dispatcher::EndExpiredWaits() {
   while (const std::optional<RequestId> id = state_.queue.TakeDue(state_.now)) {
     const auto found = state_.requests.find(*id);
     if (found == state_.requests.end()) continue;
     RequestState& request = found->second;
-    if (request.queued && state_.now >= request.reject_at) OnMaxQueueTime(request);
+    if (request.queued && state_.now >= request.wait_until) OnMaxQueueTime(request);
     EraseIfDone(found);
   }
 }
@@ -172,8 +174,8 @@
 void Dispatcher::OnMaxQueueTime(RequestState& request) {
   if (state_.last_outcome > request.received_at || state_.now >= request.max_wait_until)
     return RejectForNoCapacity(request);
-  request.reject_at = request.max_wait_until;
-  state_.queue.AddDeadline(request.reject_at, request.id);
+  request.wait_until = request.max_wait_until;
+  state_.queue.AddWakeUp(request.wait_until, request.id);
 }
 
 void Dispatcher::RejectForNoCapacity(RequestState& request) {
@@ -187,8 +189,8 @@
 }
 
 void Dispatcher::DispatchQueued() {
-  if (!state_.retry_queue) return;
-  state_.retry_queue = false;
+  if (!state_.recheck_queue) return;
+  state_.recheck_queue = false;
   int misses = 0;
   state_.queue.VisitInOrder([&](RequestId id) {
     const auto found = state_.requests.find(id);
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -28,8 +28,9 @@
   // Erases a finished request that has no outstanding attempt; removes a finished one from the queue.
   void EraseIfDone(Requests::iterator entry);
 
-  // Ends queued requests whose time is over, and tries the others if capacity may have come free.
-  void RejectOverdue();
+  // Ends queued requests whose maximum wait is over, or extends the wait during an interruption.
+  void EndExpiredWaits();
+  // Tries queued requests, in order of priority, if capacity may have come free.
   void DispatchQueued();
 
   bool HasCapacity() const;
--- a/src/decision/fleet_updates.cpp
+++ b/src/decision/fleet_updates.cpp
@@ -20,7 +20,7 @@
       state_.slow_start.OnStarted(backend.slow_start, state_.now, state_.random);
   }
   OnFleetChanged();
-  state_.retry_queue = true;
+  state_.recheck_queue = true;
 }
 
 void FleetUpdates::OnStateRestored(const StateRestored& restored) {
@@ -85,7 +85,7 @@
 void FleetUpdates::ReturnBackends() {
   state_.outlier_detector.ResetNextReturn();
   state_.zone_outages.ResetNextReturn();
-  state_.retry_queue = true;
+  state_.recheck_queue = true;
   for (BackendState& backend : state_.endpoints.backends()) {
     backend.in_zone_outage = state_.zone_outages.UpdateReturn(backend.endpoint.zone, state_.now);
     if (state_.outlier_detector.ReturnIfDue(backend.health, backend.ready(), state_.now) &&
--- a/src/decision/load_shedder.cpp
+++ b/src/decision/load_shedder.cpp
@@ -14,10 +14,11 @@
 
 }  // namespace
 
-bool LoadShedder::ShouldShed(const Arrival& arrival, bool alone, Random& random) const {
+bool LoadShedder::ShouldShed(const Arrival& arrival, bool concurrency_limit_suffices, Random& random) const {
   const double pressure_now = pressure();
-  if (alone || pressure_now <= 1) return false;
-  // Without an estimate, different requests of one key have one fingerprint, and that key would always be
+  if (concurrency_limit_suffices || pressure_now <= 1) return false;
+  // Position of the logical request in [0, 1), the same at every proxy; those above the admitted fraction are
+  // shed. Without an estimate, all requests of one key have one fingerprint, and that key would always be
   // shed.
   const double position = arrival.has_work_estimate
                               ? MixBits(static_cast<std::uint32_t>(arrival.fingerprint)) * 0x1.0p-32
--- a/src/decision/load_shedder.h
+++ b/src/decision/load_shedder.h
@@ -13,11 +13,10 @@
 
 namespace copperpoint {
 
-// Where many proxies share the traffic, a limit of one or two attempts in flight is too coarse to protect the
-// backends, and a rejected client returns to another proxy, which can't know it. So requests are shed by a
-// hash of what a client's attempts have in common, as DAGOR does by user: all proxies reject the same logical
-// requests, whose retries cost no backend anything, and the others are served at their first attempt. Shed at
-// random, most of what is served are late retries. Requests over their tenant's quota are shed first.
+// Sheds by fingerprint, as DAGOR does by user, so that all proxies reject the same logical requests and the
+// others succeed at their first attempt. Requests over their tenant's quota are shed first. Applies where
+// many proxies share the traffic: there, a concurrency limit of one or two attempts is too coarse to protect
+// the backends, and a rejected client returns to another proxy.
 //
 // Owns the pressure: the fraction of the latency objective that answers take, over its target. A request that
 // got no capacity counts as one that took all of its objective.
@@ -28,8 +27,9 @@
     bool has_work_estimate = false;
     bool over_quota = false;
   };
-  // `alone`: this proxy's traffic and the number of proxies are such that its concurrency limit suffices.
-  bool ShouldShed(const Arrival& arrival, bool alone, Random& random) const;
+  // `concurrency_limit_suffices`: few proxies, each with enough traffic, so that the concurrency limit alone
+  // protects the backends.
+  bool ShouldShed(const Arrival& arrival, bool concurrency_limit_suffices, Random& random) const;
 
   // 1: answers take just the target. Requests are shed above.
   double pressure() const { return objective_fraction_ / kTargetFraction; }
--- a/src/decision/log_names.h
+++ b/src/decision/log_names.h
@@ -11,27 +11,34 @@
 
 namespace copperpoint {
 
-inline const char* WordFor(AttemptOutcome outcome) {
-  static constexpr const char* kWords[] = {"ok",    "error",     "full", "timeout", "connect_failed",
-                                           "reset", "cancelled", "moot", "unknown"};
-  return kWords[static_cast<std::size_t>(outcome)];
+inline const char* LogName(AttemptOutcome outcome) {
+  static constexpr const char* kNames[] = {"success",   "server_error",    "backend_rejected",
+                                           "timeout",   "connect_failure", "connection_reset",
+                                           "cancelled", "not_sent",        "unknown"};
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
-inline const char* WordFor(EndpointUpdateKind kind) {
-  static constexpr const char* kWords[] = {"delta", "full", "cached", "failed"};
-  return kWords[static_cast<std::size_t>(kind)];
+inline const char* LogName(EndpointUpdateKind kind) {
+  static constexpr const char* kNames[] = {"incremental", "snapshot", "cached", "failed"};
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
-inline const char* WordFor(EndpointState state) {
-  static constexpr const char* kWords[] = {"gone", "ready", "draining"};
-  return kWords[static_cast<std::size_t>(state)];
+inline const char* LogName(EndpointState state) {
+  static constexpr const char* kNames[] = {"removed", "ready", "draining"};
+  return kNames[static_cast<std::size_t>(state)];
 }
 
-inline const char* WordFor(RejectReason reason) {
-  static constexpr const char* kWords[] = {
-      "",          "unknown_class", "too_large", "throttled",    "no_place",
-      "no_repeat", "retry_budget",  "own_limit", "body_has_left"};
-  return kWords[static_cast<std::size_t>(reason)];
+inline const char* LogName(RejectReason reason) {
+  static constexpr const char* kNames[] = {"",
+                                           "unknown_class",
+                                           "deadline_unreachable",
+                                           "load_shed",
+                                           "no_capacity",
+                                           "not_retriable",
+                                           "retry_budget_exhausted",
+                                           "process_limit",
+                                           "request_body_consumed"};
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
 }  // namespace copperpoint
--- a/src/decision/outcome_observer.cpp
+++ b/src/decision/outcome_observer.cpp
@@ -100,7 +100,7 @@
       if (state_.zone_outages.LastAnswer(backend.endpoint.zone) < attempt.started_at)
         fleet_.OnNoAnswer(backend);
       state_.concurrency_limit.OnOverdue();
-      state_.retry_queue = true;
+      state_.recheck_queue = true;
     }
   }
 }
--- a/src/decision/outcome_observer.h
+++ b/src/decision/outcome_observer.h
@@ -23,7 +23,6 @@
 
  private:
   void ReleaseBackend(const RequestState& request, AttemptOutcome outcome, BackendState& backend);
-  void ObserveAnswer(const RequestState& request, const AttemptCompleted& completed, BackendState& backend);
   void ObserveSuccess(const RequestState& request, const BackendState& backend);
   void ObserveLocality(const RequestState& request, bool success, const BackendState& backend);
   void ObserveLatency(const RequestState& request, const AttemptCompleted& completed, BackendState& backend);
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -16,12 +16,11 @@
 
 // The constants carry the names of the fields of A50's configuration. Departures from A50:
 // - A backend is evaluated at each outcome, not at the end of the interval.
-// - The threshold rises with the percentage that fails at the other backends, so that an overloaded fleet
-// doesn't
-//   eject itself.
-// - Where traffic is too low to bring request_volume to each backend within kInterval, the interval is
-// longer, the
-//   volume lower (see RequestVolume), and ejection times are jittered so that proxies don't return together.
+// - The threshold rises with the failure percentage of the other backends: an overloaded fleet must not eject
+//   itself.
+// - At low traffic (request_volume is not reached at each backend within kInterval) the interval is longer,
+// the
+//   volume lower (see RequestVolume), and ejection times are jittered, so that proxies don't return together.
 //
 // Owns BackendHealth of all backends and their sums, so that an outcome costs no scan of the fleet.
 class OutlierDetector {
--- a/src/decision/overload_monitor.cpp
+++ b/src/decision/overload_monitor.cpp
@@ -29,7 +29,7 @@
 
 OverloadState OverloadMonitor::CurrentSigns() const {
   const bool rejecting = RejectedFraction() > kRejectedFraction;
-  const bool no_answers = mean_.rejected > 1 && mean_.succeeded < 0.05 * mean_.rejected;
+  const bool no_answers = decayed_.unserved > 1 && decayed_.succeeded < 0.05 * decayed_.unserved;
   if (no_answers || (rejecting && ClientRetryFraction() > kClientRetryFraction)) return OverloadState::kStorm;
   return rejecting ? OverloadState::kSurge : OverloadState::kCalm;
 }
@@ -50,11 +50,11 @@
 std::optional<OverloadState> OverloadMonitor::Update(TimePoint now, Duration elapsed,
                                                      const OverloadCounts& counts) {
   const double remaining = std::exp(-elapsed / kMemory);
-  const auto average = [remaining](double& mean, double count) { mean = remaining * mean + count; };
-  average(mean_.received, counts.received);
-  average(mean_.client_retries, counts.client_retries);
-  average(mean_.rejected, counts.rejected);
-  average(mean_.succeeded, counts.succeeded);
+  const auto decay_and_add = [remaining](double& sum, double count) { sum = remaining * sum + count; };
+  decay_and_add(decayed_.received, counts.received);
+  decay_and_add(decayed_.client_retries, counts.client_retries);
+  decay_and_add(decayed_.unserved, counts.unserved);
+  decay_and_add(decayed_.succeeded, counts.succeeded);
 
   const OverloadState signs = CurrentSigns();
   if (signs != signs_) {
--- a/src/decision/overload_monitor.h
+++ b/src/decision/overload_monitor.h
@@ -22,12 +22,13 @@
 // Requests since the last call.
 struct OverloadCounts {
   double received = 0,
-         client_retries = 0;  // client_retries: those of the received that were recognised as such
-  double rejected = 0, succeeded = 0;
+         client_retries = 0;           // client_retries: those of the received that were recognised as such
+  double unserved = 0, succeeded = 0;  // unserved: rejected or failed by a decision
 };
 
 // A state is entered when its signs have lasted for kEnterAfter and left only after they have been absent for
-// kLeaveAfter, so that it doesn't flap. Owns averages of the counts over kMemory.
+// kLeaveAfter, so that it doesn't flap. Owns the counts,
+// decayed exponentially over kMemory.
 class OverloadMonitor {
  public:
   static constexpr double kRejectedFraction = 0.05;    // of the received, above which it is a surge
@@ -38,18 +39,20 @@
   // Adds the counts of the last `elapsed`; returns the new state if it changed.
   std::optional<OverloadState> Update(TimePoint now, Duration elapsed, const OverloadCounts& counts);
   OverloadState state() const { return state_; }
-  // A log line on the last change and the averages it rests on.
+  // A log line on the last change and the decayed counts it rests on.
   std::string Describe() const;
-  double RejectedFraction() const { return mean_.received > 0 ? mean_.rejected / mean_.received : 0; }
+  double RejectedFraction() const {
+    return decayed_.received > 0 ? decayed_.unserved / decayed_.received : 0;
+  }
   double ClientRetryFraction() const {
-    return mean_.received > 0 ? mean_.client_retries / mean_.received : 0;
+    return decayed_.received > 0 ? decayed_.client_retries / decayed_.received : 0;
   }
 
  private:
   OverloadState CurrentSigns() const;
   OverloadState NextState(TimePoint now, OverloadState signs) const;
 
-  OverloadCounts mean_;
+  OverloadCounts decayed_;
   OverloadState state_ = OverloadState::kCalm, previous_ = OverloadState::kCalm;
   OverloadState signs_ = OverloadState::kCalm;
   TimePoint signs_since_{}, entered_at_{};
--- a/src/decision/rate_sampler.h
+++ b/src/decision/rate_sampler.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The periodic step: samples rates, ages averages and refits the rules that depend on them.
+// The periodic step: samples rates, decays averages, updates the rules that depend on them, and marks overdue
+// attempts, which may begin a zone outage.
 #ifndef COPPERPOINT_DECISION_RATE_SAMPLER_H_
 #define COPPERPOINT_DECISION_RATE_SAMPLER_H_
 
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -13,8 +13,7 @@
 namespace {
 
 constexpr double kMaxWorkMs = 1e6;  // a larger estimate counts as this
-// Of the latency objective that a request waits for capacity while others are served: then capacity comes
-// free soon or not in time, and a client that waited for long would return too late.
+// Part of the latency objective that a request may wait in the queue while the concurrency limit is reached.
 constexpr double kMaxWaitFraction = 0.08;
 
 std::optional<double> WorkEstimateMs(const RequestReceived& received) {
@@ -103,8 +102,9 @@
   arrival.fingerprint = request.fingerprint;
   arrival.has_work_estimate = request.has_work_estimate;
   arrival.over_quota = request.priority_weight < state_.ClassOf(request).priority_weight;
-  const bool alone = !(state_.outlier_detector.low_traffic() || HasManyProxies(state_.settings));
-  return state_.load_shedder.ShouldShed(arrival, alone, state_.random);
+  const bool concurrency_limit_suffices =
+      !(state_.outlier_detector.low_traffic() || HasManyProxies(state_.settings));
+  return state_.load_shedder.ShouldShed(arrival, concurrency_limit_suffices, state_.random);
 }
 
 void RequestAdmission::SetMaxWait(RequestState& request, Duration remaining_objective) const {
@@ -114,9 +114,9 @@
   request.max_wait_until = std::min(request.deadline - state_.settings.tick * 2,
                                     state_.now + std::max(useful_wait, objective / 4));
   const Duration wait_in_congestion = std::clamp(useful_wait, Duration(0), objective * kMaxWaitFraction);
-  request.reject_at = dispatcher_.HasCapacity()
-                          ? request.max_wait_until
-                          : std::min(request.max_wait_until, state_.now + wait_in_congestion);
+  request.wait_until = dispatcher_.HasCapacity()
+                           ? request.max_wait_until
+                           : std::min(request.max_wait_until, state_.now + wait_in_congestion);
 }
 
 }  // namespace copperpoint
--- a/src/decision/request_admission.h
+++ b/src/decision/request_admission.h
@@ -23,7 +23,8 @@
   // The latency objective less what has passed of it before the request arrived.
   Duration RemainingObjective(const RequestReceived& received, const LogicalRequest& logical);
   void TakeQuota(RequestState& request);
-  // What the answer will be worth, less or nothing if it can't be in time.
+  // Lowers the priority weight if the answer will be late, to 0 if it can't come before the deadline: then
+  // the request is rejected as kDeadlineUnreachable.
   void WeighByServiceTime(RequestState& request, Duration remaining_objective);
   bool ShouldShed(const RequestState& request);
   void SetMaxWait(RequestState& request, Duration remaining_objective) const;
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -41,16 +41,17 @@
     }
   }
 
-  // Has the request looked at again at `at`. Deadlines of requests that have ended since are still returned.
-  void AddDeadline(TimePoint at, RequestId id) { deadlines_.insert({at, id}); }
-  // Removes and returns a request whose deadline has come, the earliest first.
+  // Has the wait of the request checked at `at` (not the client's deadline). Requests that have ended since
+  // are still returned.
+  void AddWakeUp(TimePoint at, RequestId id) { wake_ups_.insert({at, id}); }
+  // Removes and returns a request whose wake-up is due, the earliest first.
   std::optional<RequestId> TakeDue(TimePoint now) {
-    if (deadlines_.empty() || deadlines_.begin()->at > now) return std::nullopt;
-    const RequestId id = deadlines_.begin()->id;
-    deadlines_.erase(deadlines_.begin());
+    if (wake_ups_.empty() || wake_ups_.begin()->at > now) return std::nullopt;
+    const RequestId id = wake_ups_.begin()->id;
+    wake_ups_.erase(wake_ups_.begin());
     return id;
   }
-  TimePoint next_deadline() const { return deadlines_.empty() ? kNever : deadlines_.begin()->at; }
+  TimePoint next_wake_up() const { return wake_ups_.empty() ? kNever : wake_ups_.begin()->at; }
 
  private:
   struct Entry {
@@ -63,10 +64,10 @@
       return a.received_at != b.received_at ? a.received_at < b.received_at : a.id < b.id;
     }
   };
-  struct Deadline {
+  struct WakeUp {
     TimePoint at{};
     RequestId id = 0;
-    friend bool operator<(const Deadline& a, const Deadline& b) {
+    friend bool operator<(const WakeUp& a, const WakeUp& b) {
       return a.at != b.at ? a.at < b.at : a.id < b.id;
     }
   };
@@ -75,7 +76,7 @@
   }
 
   std::set<Entry> queue_;
-  std::set<Deadline> deadlines_;
+  std::set<WakeUp> wake_ups_;
 };
 
 }  // namespace copperpoint
--- a/src/decision/request_state.h
+++ b/src/decision/request_state.h
@@ -30,8 +30,9 @@
   double queue_priority = 0;   // while queued
   std::uint64_t key = 0;       // for affinity; 0: none
   TimePoint received_at{}, deadline{};
-  TimePoint reject_at{};       // while queued: rejected then
-  TimePoint max_wait_until{};  // and then at the latest, where no request is answered
+  // While queued: rejected at wait_until, or then allowed to wait until max_wait_until if no request was
+  // answered since its arrival.
+  TimePoint wait_until{}, max_wait_until{};
   std::uint64_t fingerprint = 0;
   bool has_work_estimate = false;
   LogicalRequest logical_request;
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -9,19 +9,20 @@
                                                    TimePoint now) const {
   Permission permission;
   if (request.finished || request.response_started) return permission;
-  permission.dispatch = now < request.deadline && static_cast<int>(request.attempts.size()) < max_attempts_ &&
-                        !request.has_outstanding_attempt();
-  permission.reject = true;
+  permission.may_dispatch = now < request.deadline &&
+                            static_cast<int>(request.attempts.size()) < max_attempts_ &&
+                            !request.has_outstanding_attempt();
+  permission.may_reject = true;
   const auto first_run = std::find_if(request.attempts.begin(), request.attempts.end(),
                                       [](const AttemptState& attempt) { return attempt.may_have_run; });
   if (first_run == request.attempts.end() || settings.idempotency == Idempotency::kIdempotent)
     return permission;
-  permission.reject = settings.idempotency == Idempotency::kIdempotencyKey &&
-                      settings.deduplication_scope == DeduplicationScope::kAll;
+  permission.may_reject = settings.idempotency == Idempotency::kIdempotencyKey &&
+                          settings.deduplication_scope == DeduplicationScope::kAll;
   if (settings.idempotency == Idempotency::kNonIdempotent ||
       now - first_run->started_at > settings.deduplication_window * kWindowMargin)
-    permission.dispatch = false;
-  if (permission.dispatch) permission.deduplication_anchor = first_run->backend;
+    permission.may_dispatch = false;
+  if (permission.may_dispatch) permission.deduplication_anchor = first_run->backend;
   return permission;
 }
 
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -21,8 +21,8 @@
   explicit RetryPolicy(int max_attempts) : max_attempts_(max_attempts) {}
 
   struct Permission {
-    bool dispatch = false;  // another attempt (the first included) may start
-    bool reject = false;    // the request may end as rejected; otherwise it can only fail
+    bool may_dispatch = false;  // another attempt (the first included) may start
+    bool may_reject = false;    // the request may end as rejected; otherwise it can only fail
     // If set, the attempt may only go to backends that recognise duplicates of what this one executed.
     std::optional<BackendIndex> deduplication_anchor;
   };
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -4,11 +4,15 @@
 namespace copperpoint {
 namespace {
 
-constexpr double kBudgetFraction = 0.6;      // of the overload factor; the rest is for chance and late lists
-constexpr double kMaxSubsetMultiple = 0.75;  // of capacity, where only some proxies send to a backend
-constexpr double kMinServingFraction = 0.5;  // of the backends of late that served what is served now
-constexpr double kMinWarmCores = 0.25;       // standard cores that a warm backend has at least
-constexpr double kWindowSlack = 1.1;         // over the overload window, for delays
+// To make slow start gentler lower both. kBudgetFraction: part of the overload factor that is used; the rest
+// covers random variation and proxies with stale endpoint lists. kMaxSubsetMultiple: upper bound of their
+// product where only some proxies send to a backend.
+constexpr double kBudgetFraction = 0.6;
+constexpr double kMaxSubsetMultiple = 0.75;
+// The rate per backend is computed for at least this fraction of the recent mean number in service.
+constexpr double kMinServingFraction = 0.5;
+constexpr double kMinWarmCores = 0.25;  // standard cores that a warm backend has at least
+constexpr double kWindowSlack = 1.1;    // over the overload window, for delays
 
 }  // namespace
 
@@ -34,6 +38,7 @@
       budget.capacity_fraction * warm_rate_ *
       std::min(1.0, kinds_.RelativeRate(backend.endpoint.kind, kMinOutcomes * budget.mean_work_ms));
   if (sent_ms + work_ms <= rate * overload_window_.count()) return true;
+  // Where the budget is below one request, it may go once enough time has passed to pay for it.
   const double min_rate = overload_factor_ * min_capacity_ * kMinWarmCores * per_slot / proxy_count_;
   const double paying_rate = std::max(rate, min_rate);
   return paying_rate > 0 &&
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -28,7 +28,8 @@
  public:
   explicit SlowStart(const Settings& settings);
 
-  // The fraction of its capacity that a backend has at the least.
+  // The slow start ramp: linear from min_capacity at the start of the backend's process to 1 after
+  // slow_start_window.
   double CapacityFraction(const Endpoint& endpoint, TimePoint now) const {
     if (endpoint.up_since.time_since_epoch().count() <= 0) return 1;
     const double age_ms = (now - endpoint.up_since).count();
@@ -54,7 +55,8 @@
   // Work in ms that was sent within the window, for a successor of this process.
   double SentWorkMs(SlowStartState& state, TimePoint now) const { return state.sent.Within(now, Window()); }
 
-  // An attempt ended with an outcome that tells of its backend; a warm backend of this kind served work.
+  // An attempt ended with an outcome that reflects its backend's health; a warm backend of this kind served
+  // work.
   void OnOutcome() { outcomes_ = std::min(kMinOutcomes, outcomes_ + 1); }
   void OnServedWarm(int kind, double work_ms) { kinds_.OnServed(kind, work_ms); }
   // A warm backend of this kind was in service for `elapsed_ms`.
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,6 +11,8 @@
 #include <utility>
 #include <vector>
 
+#include "log/event_names.h"
+
 namespace copperpoint::log {
 const std::vector<std::pair<std::string, Level>>& LevelNames() {
   static const std::vector<std::pair<std::string, Level>> names = {{"debug", Level::kDebug},
@@ -154,8 +156,8 @@
   const auto now = now_();
   if (!Allowed(level, now)) return;
   if (const std::int64_t left_out = std::exchange(left_out_, 0); left_out > 0)
-    output_->Put(
-        FormatLine(settings_.format, now, Level::kWarn, "log_lines_left_out", {{"count", left_out}}));
+    output_->Put(FormatLine(settings_.format, now, Level::kWarn, log::events::kLogLinesDropped,
+                            {{log::fields::kCount, left_out}}));
   output_->Put(FormatLine(settings_.format, now, level, event, fields));
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -5,7 +5,7 @@
 //
 // A line whose level is off costs one comparison; its fields are views and are not formatted. A storm is
 // bounded: beyond `lines_per_s` (a bucket of one second's worth), lines of a level below error are left out
-// and counted, and the next line that goes out is preceded by `log_lines_left_out count=N`.
+// and counted, and the next line that goes out is preceded by `log_lines_dropped count=N`.
 #ifndef COPPERPOINT_LOG_LOG_H_
 #define COPPERPOINT_LOG_LOG_H_
 
--- a/src/proxy/admin/admin_server.cpp
+++ b/src/proxy/admin/admin_server.cpp
@@ -83,8 +83,8 @@
   return found;
 }
 
-Answer Word(AdminHandler::AdminResult verdict, const std::string& done) {
-  switch (verdict) {
+Answer AnswerFor(AdminHandler::AdminResult result, const std::string& done) {
+  switch (result) {
     case AdminHandler::AdminResult::kDone:
       return {http::status::ok, done};
     case AdminHandler::AdminResult::kUnknownBackend:
@@ -95,7 +95,7 @@
     case AdminHandler::AdminResult::kStopping:
       return {http::status::conflict, "this process is stopping"};
   }
-  return {http::status::internal_server_error, "unknown verdict"};
+  return {http::status::internal_server_error, "unknown result"};
 }
 
 Answer Carry(const http::request_header<>& head, AdminHandler& calls) {
@@ -116,13 +116,13 @@
     return {http::status::ok, fleet};
   }
   if (reads) return {calls.Ready() ? http::status::ok : http::status::service_unavailable, calls.StateName()};
-  if (path == "/drain") return Word(calls.Drain(), "draining");
-  if (path == "/undrain") return Word(calls.Undrain(), "serving again");
+  if (path == "/drain") return AnswerFor(calls.Drain(), "draining");
+  if (path == "/undrain") return AnswerFor(calls.Undrain(), "serving again");
   Answer complaint;
   const auto member = MemberOf(query, &complaint);
   if (!member) return complaint;
-  return path == "/backends/disable" ? Word(calls.Disable(*member), "disabled")
-                                     : Word(calls.Enable(*member), "enabled");
+  return path == "/backends/disable" ? AnswerFor(calls.Disable(*member), "disabled")
+                                     : AnswerFor(calls.Enable(*member), "enabled");
 }
 
 }  // namespace
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module's clock on this machine's steady one.
+// Maps the Balancer's TimePoint to this machine's steady clock.
 #ifndef COPPERPOINT_PROXY_CLOCK_H_
 #define COPPERPOINT_PROXY_CLOCK_H_
 
@@ -16,7 +16,7 @@
 
 // Both origins are taken once, at the start: a step of the wall clock later on must not make a backend look
 // restarted.
-class ModuleClock {
+class BalancerClock {
  public:
   TimePoint At(Steady::time_point at) const { return kStart + Duration(at - steady_origin_); }
   TimePoint Now() const { return At(Steady::now()); }
--- a/src/proxy/config/config.h
+++ b/src/proxy/config/config.h
@@ -29,15 +29,16 @@
 struct Config {
   std::string name;
   boost::asio::ip::tcp::endpoint listen, discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // where staff call, if anywhere
-  std::string state_directory;  // private to this proxy's processes; empty: nothing is kept
+  std::optional<boost::asio::ip::tcp::endpoint>
+      admin_address;            // address of the admin interface, if it has one
+  std::string state_directory;  // private to this proxy's processes; empty: nothing is stored
   std::uint64_t seed = 0;
   int sockets = 1024;       // descriptors that the process may hold
   double memory_mb = 2048;  // memory that it may use
   Settings settings;
   std::vector<std::string> classes, tenants, zones, kinds;  // their names, by index
   Duration connect_timeout{250};
-  Duration backend_idle_timeout{15000};  // backends close what stands idle for this long
+  Duration backend_idle_timeout{15000};  // backends close a connection that is idle for this long
   Timeouts timeouts;
   ResourceShares shares;
   UpgradeTimeouts upgrade;
--- a/src/proxy/config/operating.cpp
+++ b/src/proxy/config/operating.cpp
@@ -20,7 +20,7 @@
 
 Unknown keys, wrong types and values out of range are refused, all of them at once, and the program does not start.
 On SIGHUP the file is read again: `log` and `patience` take effect at once, `shares`, `upgrade` and `fleet` from the next
-start on. A file that is refused then leaves the old values in force, and the log has an event `configuration_refused` for
+start on. A file that is refused then leaves the old values in force, and the log has an event `configuration_rejected` for
 each fault.
 )";
 
@@ -76,7 +76,7 @@
            .unit = "bytes/s",
            .least = 1,
            .most = 1e9});
-  v.Millis("refusal_ms", overload_retry_after,
+  v.Millis("refusal_ms", process_limit_retry_after,
            {.text = "`Retry-After` of a refusal for want of this process's own means", .most = kHour});
 }
 
--- a/src/proxy/control/disabled_backends.cpp
+++ b/src/proxy/control/disabled_backends.cpp
@@ -7,6 +7,8 @@
 #include <utility>
 #include <vector>
 
+#include "log/event_names.h"
+
 namespace copperpoint::proxy {
 namespace {
 
@@ -49,7 +51,7 @@
   changes.revision = revision_;
   for (const std::string& id : changed) {
     const bool disabled = ids_.contains(id);
-    log_.Info(disabled ? "backend_disabled" : "backend_enabled",
+    log_.Info(disabled ? log::events::kBackendDisabled : log::events::kBackendEnabled,
               {{"backend", id}, {"by", "operator"}, {"from_file", from_file}});
     const auto found = listed_.find(id);
     if (found == listed_.end()) continue;
@@ -95,7 +97,7 @@
   if (file_version_ == DisabledFile::kAbsent) return {};
   auto ids = file_.Load();
   if (!ids) {
-    log_.Error("disabled_file_ignored",
+    log_.Error(log::events::kDisabledFileIgnored,
                {{"file", file_.path()}, {"reason", "unreadable, or no list of ids"}});
     return {};
   }
--- a/src/proxy/core/action_executor.cpp
+++ b/src/proxy/core/action_executor.cpp
@@ -6,19 +6,11 @@
 #include <variant>
 
 #include "decision/log_names.h"
+#include "decision/retry_policy.h"
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
-namespace {
-
-// Whether the backend may have executed the request.
-bool MayHaveExecuted(AttemptOutcome outcome) {
-  return outcome != AttemptOutcome::kConnectFailure && outcome != AttemptOutcome::kBackendRejected &&
-         outcome != AttemptOutcome::kNotSent;
-}
-
-}  // namespace
-
 ActionExecutor::ActionExecutor(Options options, RequestTable& requests, BackendPool& backends,
                                DiscoveryClient& discovery, EventSink& events)
     : options_(options), requests_(requests), backends_(backends), discovery_(discovery), events_(events) {}
@@ -51,13 +43,13 @@
 void ActionExecutor::Start(const StartAttempt& action, OpenRequest& request, int number,
                            Steady::time_point now) {
   request.attempt_in_flight = true;
-  log::Global().Debug("attempt_sent", {{"request", action.request},
-                                       {"attempt", number},
-                                       {"server", action.backend},
-                                       {"work_ms", request.estimated_work_ms}});
+  log::Global().Debug(log::events::kAttemptStarted, {{log::fields::kRequest, action.request},
+                                                     {"attempt", number},
+                                                     {log::fields::kBackend, action.backend},
+                                                     {log::fields::kWorkMs, request.estimated_work_ms}});
   Duration timeout = request.deadline - now;
   if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
-  const Attempt attempt{action.request, number, action.backend, now};
+  const AttemptRecord attempt{action.request, number, action.backend, now};
   request.attempt = backends_.SendRequest(
       action.backend, request.message, timeout,
       [this, attempt](AttemptResult result) { OnAttemptCompleted(attempt, std::move(result)); },
@@ -75,18 +67,19 @@
   events_.Dispatch(completed);
 }
 
-void ActionExecutor::OnAttemptCompleted(const Attempt& attempt, AttemptResult result) {
+void ActionExecutor::OnAttemptCompleted(const AttemptRecord& attempt, AttemptResult result) {
   AttemptCompleted completed;
   completed.request = attempt.request;
   completed.attempt = attempt.number;
   completed.backend = attempt.backend;
   completed.outcome = result.outcome;
   completed.duration = Steady::now() - result.request_written_at.value_or(attempt.started_at);
-  log::Global().Debug("attempt_ended", {{"request", attempt.request},
-                                        {"attempt", attempt.number},
-                                        {"server", attempt.backend},
-                                        {"outcome", WordFor(completed.outcome)},
-                                        {"took_ms", completed.duration.count()}});
+  log::Global().Debug(log::events::kAttemptCompleted,
+                      {{log::fields::kRequest, attempt.request},
+                       {"attempt", attempt.number},
+                       {log::fields::kBackend, attempt.backend},
+                       {log::fields::kOutcome, LogName(completed.outcome)},
+                       {log::fields::kDurationMs, completed.duration.count()}});
   if (OpenRequest* request = requests_.Find(attempt.request)) request->attempt_in_flight = false;
   CompleteRequest(attempt, std::move(result));
   const OpenRequest* request = requests_.Find(attempt.request);
@@ -96,37 +89,37 @@
 }
 
 // Gives the final answer where the result leaves no choice; otherwise the Balancer decides on a retry.
-void ActionExecutor::CompleteRequest(const Attempt& attempt, AttemptResult result) {
+void ActionExecutor::CompleteRequest(const AttemptRecord& attempt, AttemptResult result) {
   const OpenRequest* request = requests_.Find(attempt.request);
-  const auto reject = [&](Responder& to) { to.SendUnavailable(options_.local_limit_retry_after); };
+  const auto reject = [&](Responder& to) { to.SendUnavailable(options_.process_limit_retry_after); };
   const auto fail = [](Responder& to) { to.SendBadGateway(); };
   if (result.outcome == AttemptOutcome::kSuccess) {
     requests_.Complete(attempt.request, RequestOutcome::kServed, RejectReason::kNone, [&](Responder& to) {
       to.SendResponse(std::move(result.response), std::move(result.body_stream), result.body_length);
     });
   } else if (result.outcome == AttemptOutcome::kUnknown) {
-    requests_.Complete(attempt.request, RequestOutcome::kRejected, RejectReason::kNone,
+    requests_.Complete(attempt.request, RequestOutcome::kClientError, RejectReason::kNone,
                        [&](Responder& to) { to.SendClientError(result.response.result()); });
   } else if (result.local_failure) {
     // Over a limit of this process: no backend is at fault, and another attempt would fare no better.
     if (attempt.number > 0) {
       requests_.Complete(attempt.request, RequestOutcome::kFailed, RejectReason::kProcessLimit, fail);
     } else {
-      requests_.Complete(attempt.request, RequestOutcome::kRefused, RejectReason::kProcessLimit, reject);
+      requests_.Complete(attempt.request, RequestOutcome::kRejected, RejectReason::kProcessLimit, reject);
     }
   } else if (request && request->upload && request->upload->consumed) {
     // Part of the body has been forwarded and is no longer here: there can be no other attempt.
-    if (MayHaveExecuted(result.outcome)) {
+    if (RetryPolicy::MayHaveRun(result.outcome)) {
       requests_.Complete(attempt.request, RequestOutcome::kFailed, RejectReason::kRequestBodyConsumed, fail);
     } else {
-      requests_.Complete(attempt.request, RequestOutcome::kRefused, RejectReason::kRequestBodyConsumed,
+      requests_.Complete(attempt.request, RequestOutcome::kRejected, RejectReason::kRequestBodyConsumed,
                          reject);
     }
   }
 }
 
 void ActionExecutor::Run(const RejectRequest& action) {
-  requests_.Complete(action.request, RequestOutcome::kRefused, action.reason,
+  requests_.Complete(action.request, RequestOutcome::kRejected, action.reason,
                      [&](Responder& to) { to.SendUnavailable(action.retry_after); });
   requests_.RemoveIfDone(action.request);
 }
@@ -145,6 +138,8 @@
   backends_.CloseIdleConnections(action.backend);
 }
 
-void ActionExecutor::Run(const Log& action) { log::Global().Info("decision", {{"text", action.text}}); }
+void ActionExecutor::Run(const Log& action) {
+  log::Global().Info(log::events::kDecision, {{log::fields::kText, action.text}});
+}
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/core/action_executor.h
+++ b/src/proxy/core/action_executor.h
@@ -14,13 +14,14 @@
 
 namespace copperpoint::proxy {
 
-// Decides nothing and owns no state: requests are the RequestTable's, connections those of BackendPool. Sees
-// to it that each StartAttempt is followed by one AttemptCompleted.
+// Decides only what the Balancer can't know: the final answer where this process's own limits or a consumed
+// request body rule out another attempt. Owns no state: requests are the RequestTable's, connections those of
+// BackendPool. Sees to it that each StartAttempt is followed by one AttemptCompleted.
 class ActionExecutor : public ActionHandler {
  public:
   struct Options {
-    int max_attempts = 1;                 // of one request, the first included
-    Duration local_limit_retry_after{0};  // advice to a client that this process's own limits reject
+    int max_attempts = 1;                   // of one request, the first included
+    Duration process_limit_retry_after{0};  // advice to a client that this process's own limits reject
   };
 
   ActionExecutor(Options options, RequestTable& requests, BackendPool& backends, DiscoveryClient& discovery,
@@ -31,7 +32,7 @@
 
  private:
   // An attempt in flight, for its result.
-  struct Attempt {
+  struct AttemptRecord {
     RequestId request = 0;
     int number = 0;  // counted from 0 over the request's attempts
     BackendId backend = 0;
@@ -49,8 +50,8 @@
   bool MayStart(const OpenRequest* request, Steady::time_point now) const;
   void Start(const StartAttempt& action, OpenRequest& request, int number, Steady::time_point now);
   void ReportNotSent(const StartAttempt& action, int number);
-  void OnAttemptCompleted(const Attempt& attempt, AttemptResult result);
-  void CompleteRequest(const Attempt& attempt, AttemptResult result);
+  void OnAttemptCompleted(const AttemptRecord& attempt, AttemptResult result);
+  void CompleteRequest(const AttemptRecord& attempt, AttemptResult result);
 
   Options options_;
   RequestTable& requests_;
--- a/src/proxy/core/endpoint_table.cpp
+++ b/src/proxy/core/endpoint_table.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "decision/log_names.h"
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -18,23 +19,24 @@
 constexpr std::uint64_t kUnknownZoneMask = 0x3fffffff;
 
 void LogList(const EndpointList& list, EndpointUpdateKind kind) {
-  log::Global().Debug("list_taken", {{"kind", WordFor(kind)},
-                                     {"revision", static_cast<std::int64_t>(list.revision)},
-                                     {"members", static_cast<std::int64_t>(list.endpoints.size())}});
+  log::Global().Debug(log::events::kEndpointListReceived,
+                      {{log::fields::kKind, LogName(kind)},
+                       {"revision", static_cast<std::int64_t>(list.revision)},
+                       {log::fields::kEndpoints, static_cast<std::int64_t>(list.endpoints.size())}});
 }
 
-void LogMember(const DiscoveredEndpoint& member, BackendId backend) {
-  log::Global().Debug("server_listed", {{"server", backend},
-                                        {"id", member.id},
-                                        {"zone", member.zone},
-                                        {"kind", member.kind},
-                                        {"state", WordFor(member.state)},
-                                        {"up_since_ms", member.up_since_unix_ms}});
+void LogEndpoint(const DiscoveredEndpoint& endpoint, BackendId backend) {
+  log::Global().Debug(log::events::kEndpointListed, {{log::fields::kBackend, backend},
+                                                     {log::fields::kId, endpoint.id},
+                                                     {"zone", endpoint.zone},
+                                                     {log::fields::kKind, endpoint.kind},
+                                                     {log::fields::kState, LogName(endpoint.state)},
+                                                     {log::fields::kUpSinceMs, endpoint.up_since_unix_ms}});
 }
 
 }  // namespace
 
-EndpointTable::EndpointTable(Options options, const ModuleClock& clock, BackendPool& backends,
+EndpointTable::EndpointTable(Options options, const BalancerClock& clock, BackendPool& backends,
                              EventSink& events)
     : options_(std::move(options)), clock_(clock), backends_(backends), events_(events) {}
 
@@ -44,11 +46,11 @@
   EndpointUpdate update;
   update.kind = kind;
   LogList(list, kind);
-  for (const DiscoveredEndpoint& member : list.endpoints) {
-    const BackendId backend = backend_ids_.IdOf(member.id);
-    LogMember(member, backend);
-    update.endpoints.push_back(ToEndpoint(member));
-    ApplyAddress(member, backend);
+  for (const DiscoveredEndpoint& endpoint : list.endpoints) {
+    const BackendId backend = backend_ids_.IdOf(endpoint.id);
+    LogEndpoint(endpoint, backend);
+    update.endpoints.push_back(ToEndpoint(endpoint));
+    ApplyAddress(endpoint, backend);
   }
   RecordRemovals(list, kind);
   events_.Dispatch(std::move(update));
@@ -57,25 +59,25 @@
 
 void EndpointTable::RetireUnlisted(const EndpointList& list) {
   std::unordered_set<BackendId> listed;
-  for (const DiscoveredEndpoint& member : list.endpoints) listed.insert(backend_ids_.IdOf(member.id));
+  for (const DiscoveredEndpoint& endpoint : list.endpoints) listed.insert(backend_ids_.IdOf(endpoint.id));
   backends_.DrainAllExcept(listed);
 }
 
-Endpoint EndpointTable::ToEndpoint(const DiscoveredEndpoint& member) const {
+Endpoint EndpointTable::ToEndpoint(const DiscoveredEndpoint& discovered) const {
   Endpoint endpoint;
-  endpoint.backend = backend_ids_.IdOf(member.id);
-  endpoint.zone = ZoneIndex(member.zone);
-  endpoint.kind = MachineKindIndex(member.kind);
-  endpoint.cell = member.cell;
-  endpoint.state = member.state;
-  endpoint.weight = member.weight;
-  endpoint.up_since = clock_.FromUnix(member.up_since_unix_ms);
+  endpoint.backend = backend_ids_.IdOf(discovered.id);
+  endpoint.zone = ZoneIndex(discovered.zone);
+  endpoint.kind = MachineKindIndex(discovered.kind);
+  endpoint.cell = discovered.cell;
+  endpoint.state = discovered.state;
+  endpoint.weight = discovered.weight;
+  endpoint.up_since = clock_.FromUnix(discovered.up_since_unix_ms);
   return endpoint;
 }
 
-void EndpointTable::ApplyAddress(const DiscoveredEndpoint& member, BackendId backend) {
-  if (member.state == EndpointState::kReady) {
-    backends_.SetEndpoint(backend, member.address, member.up_since_unix_ms);
+void EndpointTable::ApplyAddress(const DiscoveredEndpoint& endpoint, BackendId backend) {
+  if (endpoint.state == EndpointState::kReady) {
+    backends_.SetEndpoint(backend, endpoint.address, endpoint.up_since_unix_ms);
   } else {
     backends_.DrainBackend(backend);
   }
@@ -84,12 +86,12 @@
 void EndpointTable::RecordRemovals(const EndpointList& list, EndpointUpdateKind kind) {
   const auto now = Steady::now();
   std::unordered_set<std::string_view> present;
-  for (const DiscoveredEndpoint& member : list.endpoints) {
-    if (member.state == EndpointState::kRemoved) {
-      removed_since_.try_emplace(member.id, now);
+  for (const DiscoveredEndpoint& endpoint : list.endpoints) {
+    if (endpoint.state == EndpointState::kRemoved) {
+      removed_since_.try_emplace(endpoint.id, now);
     } else {
-      present.insert(member.id);
-      removed_since_.erase(member.id);
+      present.insert(endpoint.id);
+      removed_since_.erase(endpoint.id);
     }
   }
   if (kind == EndpointUpdateKind::kIncremental) return;
--- a/src/proxy/core/endpoint_table.h
+++ b/src/proxy/core/endpoint_table.h
@@ -27,7 +27,7 @@
     std::chrono::milliseconds removed_retention{900'000};
   };
 
-  EndpointTable(Options options, const ModuleClock& clock, BackendPool& backends, EventSink& events);
+  EndpointTable(Options options, const BalancerClock& clock, BackendPool& backends, EventSink& events);
 
   // Sets the addresses of the backends on the list, retires those that it removes, and dispatches the update.
   void Apply(const EndpointList& list, EndpointUpdateKind kind);
@@ -47,7 +47,7 @@
   int MachineKindIndex(const std::string& name) const;
 
   Options options_;
-  const ModuleClock& clock_;
+  const BalancerClock& clock_;
   BackendPool& backends_;
   EventSink& events_;
   BackendIds backend_ids_;
--- a/src/proxy/core/event_dispatcher.cpp
+++ b/src/proxy/core/event_dispatcher.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 #include <variant>
 
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -25,7 +26,7 @@
 
 }  // namespace
 
-EventDispatcher::EventDispatcher(boost::asio::io_context& io, const ModuleClock& clock, Decide decide)
+EventDispatcher::EventDispatcher(boost::asio::io_context& io, const BalancerClock& clock, Decide decide)
     : clock_(clock),
       decide_(std::move(decide)),
       timers_(io, clock, [this](std::uint64_t token) { Dispatch(TimerFired{token}); }) {}
@@ -70,7 +71,7 @@
       handler_->Execute(action);
     }
   } catch (const std::exception& error) {
-    log::Global().Error("action_failed", {{"error", error.what()}});
+    log::Global().Error(log::events::kActionFailed, {{"error", error.what()}});
     handler_->OnExecuteFailed(action);
   }
 }
--- a/src/proxy/core/event_dispatcher.h
+++ b/src/proxy/core/event_dispatcher.h
@@ -39,7 +39,7 @@
 
   // SetTimer is carried out here, every other action by `handler`, which has to be set before the first
   // event.
-  EventDispatcher(boost::asio::io_context& io, const ModuleClock& clock, Decide decide);
+  EventDispatcher(boost::asio::io_context& io, const BalancerClock& clock, Decide decide);
   void set_handler(ActionHandler* handler) { handler_ = handler; }
 
   void Dispatch(Event event) override;
@@ -49,7 +49,7 @@
   void HandleQueued();
   void Execute(const Action& action);
 
-  const ModuleClock& clock_;
+  const BalancerClock& clock_;
   Decide decide_;
   ActionHandler* handler_ = nullptr;
   TimerQueue timers_;
--- a/src/proxy/core/membership_publisher.h
+++ b/src/proxy/core/membership_publisher.h
@@ -19,8 +19,8 @@
 // nothing.
 class MembershipPublisher : public RequestObserver {
  public:
-  // `on_position` as for FleetHost, which says what is thrown.
-  void Join(boost::asio::io_context& io, const Config& config, std::function<void(double)> on_position);
+  // `on_ring_offset` as for FleetHost, which says what is thrown.
+  void Join(boost::asio::io_context& io, const Config& config, std::function<void(double)> on_ring_offset);
   void Publish(Lifecycle::State state);
   // The process shuts down: the others are notified, and the address is free for a successor.
   void Leave();
--- a/src/proxy/core/request_receiver.cpp
+++ b/src/proxy/core/request_receiver.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "decision/client_retry_detector.h"
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -12,16 +13,17 @@
 
 void LogReceived(const RequestReceived& event, const OpenRequest& request) {
   if (!log::Global().Enabled(log::Level::kDebug)) return;
-  log::Global().Debug("request_taken", {{"request", event.request},
-                                        {"id", std::string((*request.message)["Req-Id"])},
-                                        {"wish", log::Hex(FingerprintOf(event))},
-                                        {"class", event.request_class},
-                                        {"work_ms", event.estimated_work_ms}});
+  log::Global().Debug(log::events::kRequestReceived,
+                      {{log::fields::kRequest, event.request},
+                       {log::fields::kId, std::string((*request.message)["Req-Id"])},
+                       {log::fields::kFingerprint, log::Hex(FingerprintOf(event))},
+                       {"class", event.request_class},
+                       {log::fields::kWorkMs, event.estimated_work_ms}});
 }
 
 }  // namespace
 
-RequestReceiver::RequestReceiver(const ModuleClock& clock, RequestTable& requests, BackendPool& backends,
+RequestReceiver::RequestReceiver(const BalancerClock& clock, RequestTable& requests, BackendPool& backends,
                                  EventSink& events)
     : clock_(clock), requests_(requests), backends_(backends), events_(events) {}
 
--- a/src/proxy/core/request_receiver.h
+++ b/src/proxy/core/request_receiver.h
@@ -18,7 +18,8 @@
 // Owns no state: open requests are the RequestTable's.
 class RequestReceiver {
  public:
-  RequestReceiver(const ModuleClock& clock, RequestTable& requests, BackendPool& backends, EventSink& events);
+  RequestReceiver(const BalancerClock& clock, RequestTable& requests, BackendPool& backends,
+                  EventSink& events);
 
   // The responder gets the one final answer, which may come from within this call.
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder);
@@ -27,7 +28,7 @@
   void OnClientDisconnected(RequestId request);
 
  private:
-  const ModuleClock& clock_;
+  const BalancerClock& clock_;
   RequestTable& requests_;
   BackendPool& backends_;
   EventSink& events_;
--- a/src/proxy/core/request_table.cpp
+++ b/src/proxy/core/request_table.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "decision/log_names.h"
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -17,7 +18,7 @@
   try {
     respond(responder);
   } catch (const std::exception& error) {
-    log::Global().Error("answer_failed", {{"error", error.what()}});
+    log::Global().Error(log::events::kResponseFailed, {{"error", error.what()}});
     try {
       responder.SendBadGateway();      // has no effect if the response has begun
     } catch (const std::exception&) {  // NOLINT(bugprone-empty-catch): there is no answer left to give
@@ -54,7 +55,7 @@
 }
 
 bool RequestTable::Abandon(RequestId id) {
-  return TakeResponder(id, RequestOutcome::kClientGone, RejectReason::kNone) != nullptr;
+  return TakeResponder(id, RequestOutcome::kClientDisconnected, RejectReason::kNone) != nullptr;
 }
 
 // Null if the request is not open or has its answer.
@@ -64,14 +65,15 @@
   if (!request || request->answered()) return nullptr;
   const auto now = Steady::now();
   const Duration elapsed = now - request->received_at;
-  log::Global().Debug("request_ended",
-                      {{"request", id},
-                       {"class", request->request_class},
-                       {"how", NameOf(outcome)},
-                       {"why", WordFor(reason)},
-                       {"attempts", request->attempts},
-                       {"after_ms", elapsed.count()},
-                       {"allowed_ms", Duration(request->deadline - request->received_at).count()}});
+  log::Global().Debug(
+      log::events::kRequestCompleted,
+      {{log::fields::kRequest, id},
+       {"class", request->request_class},
+       {log::fields::kResult, NameOf(outcome)},
+       {log::fields::kReason, LogName(reason)},
+       {"attempts", request->attempts},
+       {log::fields::kDurationMs, elapsed.count()},
+       {log::fields::kDeadlineMs, Duration(request->deadline - request->received_at).count()}});
   observer_.OnRequestCompleted({request->request_class, request->tenant, outcome, now <= request->deadline,
                                 request->attempts, elapsed});
   request->upload.reset();
--- a/src/proxy/core/timer_queue.cpp
+++ b/src/proxy/core/timer_queue.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-TimerQueue::TimerQueue(boost::asio::io_context& io, const ModuleClock& clock, OnDue on_due)
+TimerQueue::TimerQueue(boost::asio::io_context& io, const BalancerClock& clock, OnDue on_due)
     : clock_(clock), on_due_(std::move(on_due)), armed_for_(kUnarmed), timer_(io) {}
 
 void TimerQueue::Add(TimePoint at, std::uint64_t token) { tokens_.emplace(at, token); }
--- a/src/proxy/core/timer_queue.h
+++ b/src/proxy/core/timer_queue.h
@@ -21,7 +21,7 @@
   using OnDue = std::function<void(std::uint64_t token)>;
 
   // `on_due` is called from the event loop, once for each token that was added, in the order of their times.
-  TimerQueue(boost::asio::io_context& io, const ModuleClock& clock, OnDue on_due);
+  TimerQueue(boost::asio::io_context& io, const BalancerClock& clock, OnDue on_due);
 
   // Takes effect with the next Arm.
   void Add(TimePoint at, std::uint64_t token);
@@ -31,7 +31,7 @@
  private:
   void ReportDue();
 
-  const ModuleClock& clock_;
+  const BalancerClock& clock_;
   OnDue on_due_;
   std::multimap<TimePoint, std::uint64_t> tokens_;
   TimePoint armed_for_;
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -13,7 +14,7 @@
 constexpr std::chrono::milliseconds kMaxBackoff{1000};
 
 void LogMalformed(const std::string& reason) {
-  log::Global().Warn("discovery_garbled", {{"reason", reason}});
+  log::Global().Warn(log::events::kDiscoveryMalformed, {{"reason", reason}});
 }
 
 // One step of Knuth's MMIX linear congruential generator.
@@ -86,7 +87,7 @@
 
 std::shared_ptr<EndpointStream> DiscoveryClient::NewStream(const boost::asio::ip::tcp::endpoint& address,
                                                            EndpointStream::Request request) {
-  log::Global().Debug("discovery_called");
+  log::Global().Debug(log::events::kDiscoveryPolled);
   const EndpointStream::Timeouts timeouts{options_.connect_timeout, options_.first_message_timeout,
                                           options_.idle_timeout};
   EndpointStream::Observer& observer = *this;
@@ -115,7 +116,7 @@
     AdoptReplacement();
   }
   backoff_ = std::chrono::milliseconds(0);
-  if (std::exchange(outage_logged_, false)) log::Global().Info("discovery_back");
+  if (std::exchange(outage_logged_, false)) log::Global().Info(log::events::kDiscoveryRecovered);
   // An incremental update older than the list that it would change must not undo it.
   if (!update->complete && update->revision < options_.revision) return true;
   options_.revision = update->revision;
@@ -127,10 +128,11 @@
 
 void DiscoveryClient::OnStreamEnded(EndpointStream& stream, const StreamFailure& failure) {
   const std::string reason = failure.Describe();
-  log::Global().Debug("discovery_failed", {{"reason", reason}});
+  log::Global().Debug(log::events::kDiscoveryFailed, {{"reason", reason}});
   // While migrating nothing is lost with the old watch: only the replacement is retried.
   if (migrating() && &stream == watch_.get()) return watch_.reset();
-  if (!std::exchange(outage_logged_, true)) log::Global().Warn("discovery_away", {{"reason", reason}});
+  if (!std::exchange(outage_logged_, true))
+    log::Global().Warn(log::events::kDiscoveryUnavailable, {{"reason", reason}});
   if (migrating()) {
     replacement_.reset();
     return Enter(State::kMigrationBackoff);
--- a/src/proxy/discovery/endpoints.h
+++ b/src/proxy/discovery/endpoints.h
@@ -51,7 +51,7 @@
   static std::uint32_t HashOf(std::string_view id);
   explicit BackendIds(Hash hash = HashOf) : hash_(hash) {}
 
-  // Numbers every id of a list, then `Of` finds them.
+  // Assigns a BackendId to each id of the list; IdOf looks it up.
   void Assign(const std::vector<DiscoveredEndpoint>& endpoints);
   BackendId IdOf(const std::string& id) const { return numbers_.at(id); }
   void Release(const std::string& id);
--- a/src/proxy/handover/handover_coordinator.cpp
+++ b/src/proxy/handover/handover_coordinator.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "log/event_names.h"
 #include "log/log.h"
 
 namespace copperpoint::proxy {
@@ -22,7 +23,8 @@
   predecessor_ = HandoverClient::Connect(io_, options_.socket_path, *this);
   if (!predecessor_) return false;
   phase_ = Phase::kWaitingForEndpoints;
-  log::Global().Info("upgrade_waits_for_list", {{"at_most_ms", options_.timeouts.endpoint_list.count()}});
+  log::Global().Info(log::events::kUpgradeWaitsForEndpoints,
+                     {{"at_most_ms", options_.timeouts.endpoint_list.count()}});
   RequestListenerAfter(options_.timeouts.endpoint_list);
   return true;
 }
@@ -50,16 +52,17 @@
 
 void HandoverCoordinator::OnListenerReceived(OwnedDescriptor listener, const std::string& encoded_state) {
   if (context_.lifecycle.shutting_down()) return;
-  log::Global().Info("upgrade_listener_taken");
+  log::Global().Info(log::events::kUpgradeListenerReceived);
   StartAccepting(listener.Release());
   RestoreState(encoded_state);
 }
 
 void HandoverCoordinator::OnHandoverFailed(HandoverError error) {
   if (context_.lifecycle.shutting_down()) return;
-  log::Global().Warn("upgrade_listens_beside", {{"waited_ms", options_.timeouts.listener.count()},
-                                                {"reason", NameOf(error)},
-                                                {"socket", options_.socket_path}});
+  log::Global().Warn(log::events::kUpgradeListensAlongside,
+                     {{"waited_ms", options_.timeouts.listener.count()},
+                      {"reason", NameOf(error)},
+                      {"socket", options_.socket_path}});
   StartAccepting(OwnedDescriptor::kNone);
 }
 
@@ -72,7 +75,8 @@
   const DecodedHandoverState state = DecodeHandoverState(
       encoded_state, [this](const std::string& id) { return context_.endpoints.Find(id).has_value(); });
   if (state.descriptors) LimitBeside(*state.descriptors);
-  if (!state.error.empty()) log::Global().Warn("upgrade_learnt_unreadable", {{"reason", state.error}});
+  if (!state.error.empty())
+    log::Global().Warn(log::events::kUpgradeStateUnreadable, {{"reason", state.error}});
   StateRestored restored;
   for (const BackendHandoverState& backend : state.backends) {
     restored.backends.push_back({*context_.endpoints.Find(backend.id), backend.ejection_multiplier,
@@ -86,7 +90,7 @@
 }
 
 void HandoverCoordinator::OnPredecessorExited() {
-  log::Global().Info("upgrade_before_gone");
+  log::Global().Info(log::events::kUpgradePredecessorExited);
   LimitBeside(0);
 }
 
@@ -107,14 +111,14 @@
 std::optional<HandoverServer::Grant> HandoverCoordinator::OnListenerRequested() {
   const auto listener = context_.listener.ReleaseListener();
   if (!listener) return std::nullopt;
-  log::Global().Info("upgrade_listener_given");
+  log::Global().Info(log::events::kUpgradeListenerHandedOver);
   // No more connections than now; one at least, so that open requests can still be retried.
   context_.backends.SetConnectionLimit(std::max<std::size_t>(context_.backends.connection_count(), 1));
   return HandoverServer::Grant{*listener, HandoverState{DescriptorsInUse(), ExportBackends()}};
 }
 
 void HandoverCoordinator::OnSuccessorExited() {
-  log::Global().Warn("upgrade_next_gone");
+  log::Global().Warn(log::events::kUpgradeSuccessorExited);
   context_.listener.ReclaimListener();
   context_.backends.SetConnectionLimit(context_.budget.ForSingleProcess().backends);
 }
--- a/src/proxy/handover/handover_coordinator.h
+++ b/src/proxy/handover/handover_coordinator.h
@@ -45,8 +45,8 @@
 
 // Owns the connections to the predecessor and to the successor, and the phase of this process between them:
 //
-//   kWaitingForEndpoints -- discovery's list, or a timeout --> kRequested    this process asks for the
-//   listener kRequested ------------ it is received, or not ----------> kServing      a successor may connect
+//   kWaitingForEndpoints -- endpoint list or timeout --> kRequested   (asks for the listener)
+//   kRequested -- received or failed ------------------> kServing     (a successor may connect)
 //
 // A process without a predecessor begins in kServing. The predecessor serves for as long as this process
 // waits for discovery's list, since the list that it was started with may be out of date.
--- a/src/proxy/lifecycle/lifecycle.cpp
+++ b/src/proxy/lifecycle/lifecycle.cpp
@@ -3,6 +3,8 @@
 
 #include <string_view>
 
+#include "log/event_names.h"
+
 namespace copperpoint::proxy {
 
 const char* NameOf(Lifecycle::State state) {
@@ -42,7 +44,7 @@
   const std::string_view before = NameOf(state_);
   state_ = Next(state_, event);
   const std::string_view after = NameOf(state_);
-  if (after != before) log_.Info("state_changed", {{"from", before}, {"to", after}});
+  if (after != before) log_.Info(log::events::kStateChanged, {{"from", before}, {"to", after}});
   return true;
 }
 
--- a/src/proxy/lifecycle/lifecycle.h
+++ b/src/proxy/lifecycle/lifecycle.h
@@ -25,7 +25,9 @@
 // longer, since callers that have not noticed yet keep sending; every request in flight and every request
 // that arrives on an open connection is forwarded and answered as usual, with its own deadline, and its
 // connection closes after the response. The process exits when no client connection is left. No request is
-// cancelled because of the signal.
+// cancelled because of the signal. A request that is still being read when the grace period ends has
+// kShutdownReadGrace (client_listener.cpp) longer; then its connection closes without a response. There is no
+// overall time limit.
 class Lifecycle {
  public:
   enum class State { kStarting, kReady, kDrainingNotStarted, kDraining, kShuttingDown };
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -83,14 +83,14 @@
 }  // namespace
 
 FleetHost::FleetHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
-                     std::uint64_t seed, std::function<void(double)> on_position) try
+                     std::uint64_t seed, std::function<void(double)> on_ring_offset) try
     : io_(io),
       listen_(Listen(settings)),
       cluster_(settings.cluster),
       seeds_(SeedsOf(settings)),
       view_(membership::Options(), SealOf(settings), RecordOf(settings, self), seed, FleetNow()),
       subsets_(settings.subsets),
-      on_position_(std::move(on_position)),
+      on_ring_offset_(std::move(on_ring_offset)),
       keeper_(SupervisorLink::FromEnvironment(io,
                                               [this](const std::string& version, const std::string& why) {
                                                 agent_.OnFailed(version, why);
@@ -233,7 +233,7 @@
     if (const std::optional<double> turn = positions_.Look(view_, FleetNow())) {
       log::Global().Info("fleet_position", {{"turn", *turn}});
       turn_ = turn;
-      on_position_(*turn);
+      on_ring_offset_(*turn);
     }
   }
   Arm();
--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/host.h
@@ -25,7 +25,7 @@
 
 namespace copperpoint::proxy {
 
-// What a proxy says of itself.
+// What a proxy publishes of itself.
 struct FleetSelf {
   std::string name, zone, program, settings;
 };
@@ -36,22 +36,22 @@
   static constexpr int kDescriptors = 18;
 
   // Throws ConfigError on a key or a list of seeds that cannot be used, or fields too long to tell. Where the
-  // address is still another process's, as in an upgrade, it waits for it. `on_position` is called with the
-  // place on the ring of servers that this proxy takes among those of its zone; where there are no seeds,
+  // address is still another process's, as in an upgrade, it waits for it. `on_ring_offset` is called with
+  // the offset on the ring of backends that this proxy has among those of its zone; where there are no seeds,
   // from the constructor on.
   FleetHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
-            std::uint64_t seed, std::function<void(double turn)> on_position);
+            std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
 
   void SetState(membership::State state);
-  void Leave();  // says goodbye, and gives its address free
+  void Leave();  // notifies the members that it leaves, and closes its sockets
   std::string Json() const;
   // A request's end, for the cohorts of a change.
   RequestCounts& counts() { return counts_; }
-  // This process serves; its keeper is told once.
+  // This process serves; notifies the supervisor once.
   void Ready();
 
-  // What an operator says of changes: the path behind /rollout, and whether it was a POST. Empty: no such
-  // call.
+  // Rollout calls of the admin interface: the path behind /rollout, and whether it was a POST. Nothing: no
+  // such call.
   std::optional<AdminHandler::FleetCallResult> Rollout(const std::string& what, bool post,
                                                        const std::string& body);
 
@@ -72,7 +72,7 @@
   const bool subsets_;
   subsetting::Positions positions_;
   std::optional<double> turn_;  // the last position
-  std::function<void(double)> on_position_;
+  std::function<void(double)> on_ring_offset_;
   RequestCounts counts_;
   std::unique_ptr<SupervisorLink> keeper_;
   rollout::Agent agent_;
--- a/src/proxy/membership/request_counts.cpp
+++ b/src/proxy/membership/request_counts.cpp
@@ -33,13 +33,13 @@
 
 // What a backend rejects is its answer, and served.
 bool IsServed(RequestOutcome outcome) {
-  return outcome == RequestOutcome::kServed || outcome == RequestOutcome::kRejected;
+  return outcome == RequestOutcome::kServed || outcome == RequestOutcome::kClientError;
 }
 
 void Count(rollout::wire::Stratum& stratum, RequestOutcome outcome, bool in_time, int attempts) {
   stratum.set_asked(stratum.asked() + 1);
   stratum.set_missed(stratum.missed() + !(IsServed(outcome) && in_time));
-  stratum.set_refused(stratum.refused() + (outcome == RequestOutcome::kRefused));
+  stratum.set_refused(stratum.refused() + (outcome == RequestOutcome::kRejected));
   stratum.set_failed(stratum.failed() + (outcome == RequestOutcome::kFailed));
   stratum.set_attempts(stratum.attempts() + static_cast<std::uint64_t>(std::max(0, attempts)));
 }
@@ -50,21 +50,21 @@
   switch (outcome) {
     case RequestOutcome::kServed:
       return "served";
+    case RequestOutcome::kClientError:
+      return "client_error";
     case RequestOutcome::kRejected:
       return "rejected";
-    case RequestOutcome::kRefused:
-      return "refused";
     case RequestOutcome::kFailed:
       return "failed";
-    case RequestOutcome::kClientGone:
-      return "client_gone";
+    case RequestOutcome::kClientDisconnected:
+      return "client_disconnected";
   }
   return "unknown";
 }
 
-void RequestCounts::Record(int request_class, std::uint32_t account, RequestOutcome outcome, bool in_time,
-                           int attempts, double after_ms) {
-  if (outcome == RequestOutcome::kClientGone) return;
+void RequestCounts::Record(int request_class, std::uint32_t tenant, RequestOutcome outcome, bool in_time,
+                           int attempts, double duration_ms) {
+  if (outcome == RequestOutcome::kClientDisconnected) return;
   ++asked_;
   const auto cls = static_cast<std::uint32_t>(std::max(0, request_class));
   const auto of = [&](std::uint32_t number) -> rollout::wire::Stratum* {
@@ -80,12 +80,12 @@
     Count(*stratum, outcome, in_time, attempts);
     if (IsServed(outcome)) {
       while (stratum->times_size() < static_cast<int>(rollout::kTimeBuckets)) stratum->add_times(0);
-      const int bucket = static_cast<int>(rollout::TimeBucket(after_ms));
+      const int bucket = static_cast<int>(rollout::TimeBucket(duration_ms));
       stratum->set_times(bucket, stratum->times(bucket) + 1);
     }
   }
-  if (account == 0) return;
-  if (rollout::wire::Stratum* stratum = of(account)) Count(*stratum, outcome, in_time, attempts);
+  if (tenant == 0) return;
+  if (rollout::wire::Stratum* stratum = of(tenant)) Count(*stratum, outcome, in_time, attempts);
 }
 
 rollout::wire::Report RequestCounts::Report() const {
--- a/src/proxy/membership/request_counts.h
+++ b/src/proxy/membership/request_counts.h
@@ -13,21 +13,21 @@
 namespace copperpoint::proxy {
 
 // How a request ended.
-enum class RequestOutcome { kServed, kRejected, kRefused, kFailed, kClientGone };
+enum class RequestOutcome { kServed, kClientError, kRejected, kFailed, kClientDisconnected };
 const char* NameOf(RequestOutcome outcome);  // as the log has it
 
 class RequestCounts {
  public:
-  // `account`: 0 where there is none; `in_time`: the answer was of use. A client that has gone is no answer
-  // of ours, and does not count.
-  void Record(int request_class, std::uint32_t account, RequestOutcome outcome, bool in_time, int attempts,
-              double after_ms);
-  // So much of it as goes into a letter: classes before accounts, those asked most before others.
+  // `tenant`: 0 where there is none; `in_time`: answered before the deadline. A request whose client has
+  // disconnected does not count.
+  void Record(int request_class, std::uint32_t tenant, RequestOutcome outcome, bool in_time, int attempts,
+              double duration_ms);
+  // As much as fits into one message: classes before tenants, those with most requests first.
   rollout::wire::Report Report() const;
   std::uint64_t asked() const { return asked_; }
 
  private:
-  std::map<std::pair<std::uint32_t, std::uint32_t>, rollout::wire::Stratum> strata_;  // account, class
+  std::map<std::pair<std::uint32_t, std::uint32_t>, rollout::wire::Stratum> strata_;  // tenant, class
   std::uint64_t asked_ = 0;
 };
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -12,8 +12,8 @@
 namespace copperpoint::proxy {
 namespace {
 
-// New connections are accepted for this long after the shutdown has begun: those who route to this proxy may
-// take up to 400 ms to notice.
+// New connections are accepted for this long after the shutdown has begun: load balancers in front are taken
+// to notice within 400 ms that /ready fails; the rest is margin.
 constexpr Duration kShutdownAcceptGrace{600};
 constexpr std::chrono::milliseconds kProcessSyncInterval{100};
 constexpr std::string_view kRolloutPath = "/rollout";
@@ -70,8 +70,8 @@
           [this] {
             dispatcher_.Dispatch(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
           }),
-      executor_({config_.settings.max_attempts, config_.shares.overload_retry_after}, requests_, backends_,
-                discovery_, dispatcher_),
+      executor_({config_.settings.max_attempts, config_.shares.process_limit_retry_after}, requests_,
+                backends_, discovery_, dispatcher_),
       receiver_(clock_, requests_, backends_, dispatcher_),
       handover_(io, {StateFile(config_, "handover.sock"), config_.listen, config_.upgrade},
                 {*this, lifecycle_, budget_, endpoints_, backends_, dispatcher_},
@@ -148,20 +148,20 @@
 
 AdminHandler::AdminResult Proxy::Disable(const std::string& backend) {
   EndpointList changes;
-  const auto verdict = disabled_.Disable(backend, &changes);
-  return ApplyOverride(verdict, changes);
+  const auto result = disabled_.Disable(backend, &changes);
+  return ApplyDisabledChange(result, changes);
 }
 
 AdminHandler::AdminResult Proxy::Enable(const std::string& backend) {
   EndpointList changes;
-  const auto verdict = disabled_.Enable(backend, &changes);
-  return ApplyOverride(verdict, changes);
+  const auto result = disabled_.Enable(backend, &changes);
+  return ApplyDisabledChange(result, changes);
 }
 
-AdminHandler::AdminResult Proxy::ApplyOverride(DisabledBackends::ChangeResult verdict,
-                                               const EndpointList& changes) {
-  if (verdict == DisabledBackends::ChangeResult::kUnknownBackend) return AdminResult::kUnknownBackend;
-  if (verdict == DisabledBackends::ChangeResult::kNotStored) return AdminResult::kNotStored;
+AdminHandler::AdminResult Proxy::ApplyDisabledChange(DisabledBackends::ChangeResult result,
+                                                     const EndpointList& changes) {
+  if (result == DisabledBackends::ChangeResult::kUnknownBackend) return AdminResult::kUnknownBackend;
+  if (result == DisabledBackends::ChangeResult::kNotStored) return AdminResult::kNotStored;
   if (!changes.endpoints.empty()) endpoints_.Apply(changes, EndpointUpdateKind::kIncremental);
   return AdminResult::kDone;
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -88,7 +88,7 @@
   void SetClientLimit(std::size_t connections) override { clients_->SetConnectionLimit(connections); }
 
   void OnEndpointList(const EndpointList& list, EndpointUpdateKind kind);
-  AdminResult ApplyOverride(DisabledBackends::ChangeResult verdict, const EndpointList& changes);
+  AdminResult ApplyDisabledChange(DisabledBackends::ChangeResult result, const EndpointList& changes);
   // Sets the client connections and the membership to the draining state that the lifecycle has now.
   void ApplyDraining();
   // Exchanges with other processes of this proxy, repeatedly: the disabled backends by their file, the
@@ -97,7 +97,7 @@
 
   boost::asio::io_context& io_;
   Config config_;  // the time limits of clients are read here, so that Reload reaches them
-  ModuleClock clock_;
+  BalancerClock clock_;
   Balancer balancer_;
   Lifecycle lifecycle_;
   bool has_endpoints_ = false;  // a list has named a backend
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "config/read.h"
+#include "log/event_names.h"
 #include "proxy/config/operating.h"
 #include "proxy/proxy.h"
 
@@ -21,13 +22,14 @@
       io.run();
       return;
     } catch (const std::exception& error) {
-      log::Global().Error("handler_failed", {{"error", error.what()}});
+      log::Global().Error(log::events::kHandlerFailed, {{"error", error.what()}});
     }
   }
 }
 
 void LogRejectedConfig(const std::string& fault) {
-  log::Global().Error("configuration_refused", {{"fault", fault}, {"in_force", "the one before"}});
+  log::Global().Error(log::events::kConfigurationRejected,
+                      {{"fault", fault}, {"in_force", "the one before"}});
 }
 
 void Reload(const ServeOptions& options, const Environment& env, Proxy& proxy) {
@@ -35,7 +37,7 @@
     log::Settings log;
     proxy.Reload(Configure(options, ReloadConfig(env), &log));
     log::Global().Set(log);
-    log::Global().Info("configuration_reloaded");
+    log::Global().Info(log::events::kConfigurationReloaded);
   } catch (const config::BadFile& error) {
     for (const config::Fault& fault : error.faults())
       LogRejectedConfig(config::Describe(options.operators_file, fault));
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -5,6 +5,7 @@
 #include <iterator>
 #include <utility>
 
+#include "log/event_names.h"
 #include "log/log.h"
 #include "proxy/clock.h"
 #include "proxy/upstream/backend_connection.h"
@@ -102,7 +103,7 @@
     connection->FailSoon(AttemptOutcome::kNotSent, /*local_failure=*/true);
   } else {
     ++connections_opened_;
-    log::Global().Debug("connection_opened", {{"server", id}});
+    log::Global().Debug(log::events::kConnectionOpened, {{log::fields::kBackend, id}});
     connection->Connect(backend.address, limits_.connect_timeout);
   }
   return {connection, connection->attempt_id()};
--- a/src/simulation/world/news.cpp
+++ b/src/simulation/world/news.cpp
@@ -4,6 +4,9 @@
 #include <algorithm>
 #include <set>
 
+#include "decision/log_names.h"
+#include "log/event_names.h"
+
 namespace copperpoint::simulation {
 
 News::News(State& state, std::uint64_t seed, std::function<void(std::uint32_t, Event)> feed)
@@ -92,19 +95,21 @@
     Tell(p, backend);
     update.endpoints.push_back(Entry(backend));
   }
-  LogList(p, "delta", update.endpoints);
+  LogList(p, LogName(EndpointUpdateKind::kIncremental), update.endpoints);
   feed_(p, std::move(update));
 }
 
 void News::LogList(std::uint32_t p, const char* kind, const std::vector<Endpoint>& entries) {
   if (!s_.logs) return;
-  s_.LogOf(p, "list_taken", {{"kind", kind}, {"members", static_cast<std::int64_t>(entries.size())}});
+  s_.LogOf(
+      p, log::events::kEndpointListReceived,
+      {{log::fields::kKind, kind}, {log::fields::kEndpoints, static_cast<std::int64_t>(entries.size())}});
   for (const Endpoint& entry : entries) {
     const Micros up_since = known_[entry.backend].up_since;
-    s_.LogOf(p, "server_listed",
-             {{"server", entry.backend},
+    s_.LogOf(p, log::events::kEndpointListed,
+             {{log::fields::kBackend, entry.backend},
               {"zone", entry.zone},
-              {"up_since_ms", up_since > 0 ? ProxyLogs::kOriginMs + ToMs(up_since) : 0}});
+              {log::fields::kUpSinceMs, up_since > 0 ? ProxyLogs::kOriginMs + ToMs(up_since) : 0}});
   }
 }
 
@@ -116,13 +121,13 @@
     if (known_[b].up_since > 0) Tell(p, b);
     if (known_[b].state != EndpointState::kRemoved) list.push_back(Entry(b));
   }
-  LogList(p, "cached", list);
+  LogList(p, LogName(EndpointUpdateKind::kCached), list);
   return list;
 }
 
 void News::Call(std::uint32_t p) {
   ++s_.metrics.discovery_calls;
-  s_.LogOf(p, "discovery_called", {});
+  s_.LogOf(p, log::events::kDiscoveryPolled, {});
   ProxyHost& proxy = s_.proxies[p];
   Wait(p);
   const Registry& r = s_.scenario.discovery;
@@ -148,7 +153,7 @@
 void News::OnCallFailed(std::uint32_t p, std::uint64_t life) {
   ProxyHost& proxy = s_.proxies[p];
   if (!proxy.alive || proxy.life != life) return;
-  s_.LogOf(p, "discovery_failed", {{"reason", "no answer"}});
+  s_.LogOf(p, log::events::kDiscoveryFailed, {{"reason", "no answer"}});
   feed_(p, EndpointUpdate{EndpointUpdateKind::kFailed, {}});
 }
 
--- a/src/simulation/world/service.cpp
+++ b/src/simulation/world/service.cpp
@@ -7,6 +7,7 @@
 
 #include "decision/client_retry_detector.h"
 #include "decision/log_names.h"
+#include "log/event_names.h"
 
 namespace copperpoint::simulation {
 namespace {
@@ -114,7 +115,7 @@
 }
 
 void Service::Do(std::uint32_t proxy, const Log& action) {
-  s_.LogOf(proxy, "decision", {{"text", action.text}});
+  s_.LogOf(proxy, log::events::kDecision, {{log::fields::kText, action.text}});
 }
 
 void Service::Do(std::uint32_t proxy, const SetTimer& action) {
@@ -149,12 +150,12 @@
   submit.client_retry = s_.scenario.clients.marks_retry && t.tries_left < s_.MostRepeats();
   Recognise(t, submit);
   if (s_.logs) {
-    s_.LogOf(t.proxy, "request_taken",
-             {{"request", submit.request},
-              {"id", log::Hex(submit.request)},
-              {"wish", log::Hex(FingerprintOf(submit))},
+    s_.LogOf(t.proxy, log::events::kRequestReceived,
+             {{log::fields::kRequest, submit.request},
+              {log::fields::kId, log::Hex(submit.request)},
+              {log::fields::kFingerprint, log::Hex(FingerprintOf(submit))},
               {"class", submit.request_class},
-              {"work_ms", submit.estimated_work_ms}});
+              {log::fields::kWorkMs, submit.estimated_work_ms}});
   }
   Feed(t.proxy, submit);
 }
@@ -188,15 +189,15 @@
 
 void Service::Conclude(std::uint32_t slot, Final final, const char* why, Duration retry_after) {
   Try& t = s_.At(slot);
-  const char* how = final == Final::kServed ? "served" : final == Final::kRefused ? "refused" : "failed";
-  s_.LogOf(t.proxy, "request_ended",
-           {{"request", State::IdOf(slot, t)},
+  const char* how = final == Final::kServed ? "served" : final == Final::kRefused ? "rejected" : "failed";
+  s_.LogOf(t.proxy, log::events::kRequestCompleted,
+           {{log::fields::kRequest, State::IdOf(slot, t)},
             {"class", t.wish.cls},
-            {"how", how},
-            {"why", why},
+            {log::fields::kResult, how},
+            {log::fields::kReason, why},
             {"attempts", static_cast<std::int64_t>(t.attempts.size())},
-            {"after_ms", ToMs(s_.now() - t.arrived)},
-            {"allowed_ms", ToMs(t.due - t.arrived)}});
+            {log::fields::kDurationMs, ToMs(s_.now() - t.arrived)},
+            {log::fields::kDeadlineMs, ToMs(t.due - t.arrived)}});
   s_.observer.Answered(s_.now(), State::IdOf(slot, t), t.proxy, t.final);
   t.final = true;
   if (RecognitionIsMeasured()) {
@@ -214,7 +215,7 @@
   if (!t || t->final) return;
   ++s_.metrics.refused;
   s_.observer.Refused(s_.now(), action.request, proxy, Judged(*t));
-  Conclude(slot, Final::kRefused, WordFor(action.reason), action.retry_after);
+  Conclude(slot, Final::kRefused, LogName(action.reason), action.retry_after);
 }
 
 void Service::Do(std::uint32_t proxy, const FailRequest& action) {
@@ -222,7 +223,7 @@
   Try* t = Held(proxy, action.request, &slot);
   if (!t || t->final) return;
   ++s_.metrics.failed;
-  Conclude(slot, Final::kFailed, WordFor(action.reason), Duration(0));
+  Conclude(slot, Final::kFailed, LogName(action.reason), Duration(0));
 }
 
 bool Service::OnDue(std::uint32_t slot) {
@@ -269,11 +270,11 @@
   s_.metrics.cross_zone += s_.backends[action.backend].zone() != s_.proxies[proxy].zone;
   t->attempts.push_back({action.backend, s_.backends[action.backend].life(), s_.now()});
   s_.Tell(slot, "attempt {} goes to backend {}", n, action.backend);
-  s_.LogOf(proxy, "attempt_sent",
-           {{"request", action.request},
+  s_.LogOf(proxy, log::events::kAttemptStarted,
+           {{log::fields::kRequest, action.request},
             {"attempt", n},
-            {"server", action.backend},
-            {"work_ms", t->wish.hint_ms}});
+            {log::fields::kBackend, action.backend},
+            {log::fields::kWorkMs, t->wish.hint_ms}});
   Send(slot, n);
   const Micros until = s_.now() + FromMs(std::max(0.0, action.timeout.count()));
   if (action.timeout.count() != 0 && until < t->due) {
@@ -317,7 +318,7 @@
     return;
   }
   ++s_.metrics.connections;
-  s_.LogOf(t.proxy, "connection_opened", {{"server", a.backend}});
+  s_.LogOf(t.proxy, log::events::kConnectionOpened, {{log::fields::kBackend, a.backend}});
   if (c.life != b.life()) c = {0, 0, b.life(), s_.now()};
   ++c.open;
   a.connected = true;
@@ -471,12 +472,12 @@
   a.out = false;
   a.may_have_run = !ProvesItNeverRan(outcome);
   s_.Tell(slot, "attempt {} ends: {}", n, NameOf(outcome));
-  s_.LogOf(t.proxy, "attempt_ended",
-           {{"request", State::IdOf(slot, t)},
+  s_.LogOf(t.proxy, log::events::kAttemptCompleted,
+           {{log::fields::kRequest, State::IdOf(slot, t)},
             {"attempt", n},
-            {"server", a.backend},
-            {"outcome", WordFor(outcome)},
-            {"took_ms", ToMs(s_.now() - a.sent)}});
+            {log::fields::kBackend, a.backend},
+            {log::fields::kOutcome, LogName(outcome)},
+            {log::fields::kDurationMs, ToMs(s_.now() - a.sent)}});
   Release(t.proxy, a,
           outcome == AttemptOutcome::kSuccess || outcome == AttemptOutcome::kServerError ||
               outcome == AttemptOutcome::kBackendRejected);
--- a/tests/decision/admission_rules_test.cpp
+++ b/tests/decision/admission_rules_test.cpp
@@ -204,10 +204,10 @@
 
 TEST(RequestQueue, ReturnsDeadlinesThatHaveComeEarliestFirst) {
   RequestQueue queue;
-  EXPECT_EQ(queue.next_deadline(), kNever);
-  queue.AddDeadline(At(20), 2);
-  queue.AddDeadline(At(10), 1);
-  EXPECT_EQ(queue.next_deadline(), At(10));
+  EXPECT_EQ(queue.next_wake_up(), kNever);
+  queue.AddWakeUp(At(20), 2);
+  queue.AddWakeUp(At(10), 1);
+  EXPECT_EQ(queue.next_wake_up(), At(10));
   EXPECT_EQ(queue.TakeDue(At(9)), std::nullopt);
   EXPECT_EQ(queue.TakeDue(At(20)), RequestId{1});
   EXPECT_EQ(queue.TakeDue(At(20)), RequestId{2});
--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -30,42 +30,42 @@
 };
 
 TEST_F(RetryPolicyTest, PermitsTheFirstAttemptUntilTheDeadline) {
-  EXPECT_TRUE(At100().dispatch);
-  EXPECT_FALSE(policy_.PermissionFor(request_, settings_, At(1000)).dispatch);
+  EXPECT_TRUE(At100().may_dispatch);
+  EXPECT_FALSE(policy_.PermissionFor(request_, settings_, At(1000)).may_dispatch);
 }
 
 TEST_F(RetryPolicyTest, NeverRepeatsANonIdempotentRequestThatMayHaveRun) {
   Ended(AttemptOutcome::kTimeout);
-  EXPECT_FALSE(At100().dispatch);
-  EXPECT_FALSE(At100().reject) << "a rejection would promise that it had no effect";
+  EXPECT_FALSE(At100().may_dispatch);
+  EXPECT_FALSE(At100().may_reject) << "a rejection would promise that it had no effect";
 }
 
 TEST_F(RetryPolicyTest, RetriesWhatCertainlyDidNotRun) {
   Ended(AttemptOutcome::kConnectFailure);
   Ended(AttemptOutcome::kBackendRejected);
-  EXPECT_TRUE(At100().dispatch);
-  EXPECT_TRUE(At100().reject);
+  EXPECT_TRUE(At100().may_dispatch);
+  EXPECT_TRUE(At100().may_reject);
   EXPECT_FALSE(At100().deduplication_anchor.has_value());
 }
 
 TEST_F(RetryPolicyTest, EndsAtTheMaximumOfAttempts) {
   for (int i = 0; i < 2; ++i) Ended(AttemptOutcome::kConnectFailure);
-  EXPECT_TRUE(At100().dispatch);
+  EXPECT_TRUE(At100().may_dispatch);
   EXPECT_TRUE(policy_.IsLastAttempt(request_));
   Ended(AttemptOutcome::kConnectFailure);
-  EXPECT_FALSE(At100().dispatch);
+  EXPECT_FALSE(At100().may_dispatch);
 }
 
 TEST_F(RetryPolicyTest, PermitsNothingWhileAnAttemptIsOutstandingOrAfterTheResponseStarted) {
   settings_.idempotency = Idempotency::kIdempotent;
   Ended(AttemptOutcome::kServerError);
-  EXPECT_TRUE(At100().dispatch);
+  EXPECT_TRUE(At100().may_dispatch);
   request_.attempts[0].outstanding = true;
-  EXPECT_FALSE(At100().dispatch);
+  EXPECT_FALSE(At100().may_dispatch);
   request_.attempts[0].outstanding = false;
   request_.response_started = true;
-  EXPECT_FALSE(At100().dispatch);
-  EXPECT_FALSE(At100().reject);
+  EXPECT_FALSE(At100().may_dispatch);
+  EXPECT_FALSE(At100().may_reject);
 }
 
 TEST_F(RetryPolicyTest, RepeatsAKeyedRequestOnlyWhereAndWhileTheDuplicateIsRecognised) {
@@ -73,13 +73,13 @@
   settings_.deduplication_scope = DeduplicationScope::kZone;
   settings_.deduplication_window = Duration(200);
   Ended(AttemptOutcome::kServerError);
-  EXPECT_TRUE(At100().dispatch);
+  EXPECT_TRUE(At100().may_dispatch);
   EXPECT_EQ(At100().deduplication_anchor, BackendIndex{7});
-  EXPECT_FALSE(At100().reject);
-  EXPECT_TRUE(policy_.PermissionFor(request_, settings_, At(180)).dispatch);
-  EXPECT_FALSE(policy_.PermissionFor(request_, settings_, At(181)).dispatch) << "0.9 of the window";
+  EXPECT_FALSE(At100().may_reject);
+  EXPECT_TRUE(policy_.PermissionFor(request_, settings_, At(180)).may_dispatch);
+  EXPECT_FALSE(policy_.PermissionFor(request_, settings_, At(181)).may_dispatch) << "0.9 of the window";
   settings_.deduplication_scope = DeduplicationScope::kAll;
-  EXPECT_TRUE(At100().reject) << "the client's retry is recognised wherever it goes";
+  EXPECT_TRUE(At100().may_reject) << "the client's retry is recognised wherever it goes";
 }
 
 TEST(DeduplicationScope, CellIsPartOfItsZone) {
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -77,7 +77,7 @@
   EXPECT_EQ(lines_.size(), 10u);
   logger.Error("worse");  // an error always goes out
   ASSERT_EQ(lines_.size(), 12u);
-  EXPECT_NE(lines_[10].find("log_lines_left_out count=990"), std::string::npos) << lines_[10];
+  EXPECT_NE(lines_[10].find("log_lines_dropped count=990"), std::string::npos) << lines_[10];
   EXPECT_NE(lines_[11].find("error worse"), std::string::npos);
   now_ += milliseconds(500);
   for (int i = 0; i < 1000; ++i) logger.Info("storm", {{"i", i}});
--- a/tests/proxy/event_dispatcher_test.cpp
+++ b/tests/proxy/event_dispatcher_test.cpp
@@ -56,7 +56,7 @@
   }
 
   boost::asio::io_context io_;
-  proxy::ModuleClock clock_;
+  proxy::BalancerClock clock_;
   FakeHandler handler_;
   bool deciding_ = false;
   std::vector<std::string> handled_;
--- a/tests/proxy/module_clock_test.cpp
+++ b/tests/proxy/module_clock_test.cpp
@@ -10,8 +10,8 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(ModuleClock, PreservesOrderAndDistanceOfWallClockTimes) {
-  const proxy::ModuleClock clock;
+TEST(BalancerClock, PreservesOrderAndDistanceOfWallClockTimes) {
+  const proxy::BalancerClock clock;
   EXPECT_EQ(clock.FromUnix(0), TimePoint{});
   const double unix_now = Duration(std::chrono::system_clock::now().time_since_epoch()).count();
   EXPECT_GT(clock.FromUnix(unix_now - 3000), TimePoint{});
--- a/tests/proxy/reload_test.cpp
+++ b/tests/proxy/reload_test.cpp
@@ -63,7 +63,7 @@
   for (const char* fault :
        {":2:11: patience.kept_ms: 0 is out of range", ":3:1: patience.kept: unknown key"}) {
     const std::string line = child.StderrLine();
-    EXPECT_NE(line.find("configuration_refused"), std::string::npos) << line;
+    EXPECT_NE(line.find("configuration_rejected"), std::string::npos) << line;
     EXPECT_NE(line.find(fault), std::string::npos) << line;
   }
   EXPECT_EQ(Client(address).Ask(Look()).body(), "here");
@@ -91,7 +91,7 @@
   Replace(file, "{\"listen\":");
   child.Signal(SIGHUP);
   EXPECT_NE(child.StderrLine().find("state_changed from=starting to=ready"), std::string::npos);
-  EXPECT_NE(child.StderrLine().find("configuration_refused"), std::string::npos);
+  EXPECT_NE(child.StderrLine().find("configuration_rejected"), std::string::npos);
   discovery.Push(ListJson(42, true, Members(MemberJson("s-2", after.address()))));
   ASSERT_TRUE(before.WaitForClosed(1));
   EXPECT_EQ(client.Ask(Look()).body(), "after");
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -64,8 +64,8 @@
   next.Signal(SIGTERM);
   EXPECT_EQ(next.Wait(), 0);
   const std::string said = next.Stderr();
-  EXPECT_NE(said.find("upgrade_listener_taken"), std::string::npos) << said;
-  EXPECT_NE(said.find("upgrade_before_gone"), std::string::npos) << said;
+  EXPECT_NE(said.find("upgrade_listener_received"), std::string::npos) << said;
+  EXPECT_NE(said.find("upgrade_predecessor_exited"), std::string::npos) << said;
 }
 
 TEST(Upgrade, OldProcessServesOnWhenTheNextOneDies) {
