--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -15,18 +15,18 @@
 
 namespace copperpoint::log {
 const std::vector<std::pair<std::string, Level>>& LevelNames() {
-  static const std::vector<std::pair<std::string, Level>> names = {{"debug", Level::kDebug},
-                                                                   {"info", Level::kInfo},
-                                                                   {"warn", Level::kWarn},
-                                                                   {"error", Level::kError},
-                                                                   {"off", Level::kOff}};
-  return names;
+  static const std::vector<std::pair<std::string, Level>> kNames = {{"debug", Level::kDebug},
+                                                                    {"info", Level::kInfo},
+                                                                    {"warn", Level::kWarn},
+                                                                    {"error", Level::kError},
+                                                                    {"off", Level::kOff}};
+  return kNames;
 }
 
 const std::vector<std::pair<std::string, Format>>& FormatNames() {
-  static const std::vector<std::pair<std::string, Format>> names = {{"text", Format::kText},
-                                                                    {"json", Format::kJson}};
-  return names;
+  static const std::vector<std::pair<std::string, Format>> kNames = {{"text", Format::kText},
+                                                                     {"json", Format::kJson}};
+  return kNames;
 }
 
 namespace {
--- a/src/proxy/control/disabled_file.cpp
+++ b/src/proxy/control/disabled_file.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxFileBytes = 256 * 1024;
+constexpr std::size_t kMaxFileBytes = std::size_t{256} * 1024;
 constexpr mode_t kOwnerOnly = 0600;
 constexpr int kLockAttempts = 50;
 constexpr useconds_t kLockRetryMicroseconds = 2000;
