--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,34 +1,32 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The sub-commands of `copperpoint`, a file each. A command's callback sets the exit code; what it throws is
-// told by main in one line a fault.
+// The commands of `copperpoint`. Each has a source file of its own, which parses its options, runs it and
+// sets the exit code; what a command throws is printed by main(), a line for each error.
 #ifndef COPPERPOINT_CLI_COMMANDS_H_
 #define COPPERPOINT_CLI_COMMANDS_H_
 
 #include <CLI/App.hpp>
-#include <string>
 
 namespace copperpoint::cli {
 
 enum ExitCode {
-  kDone = 0,
-  kFault = 1,  // the run found a fault or a broken rule, or could not go on
-  kUsage = 2,  // wrong usage or configuration
-  kVoid = 3,   // the rig itself was late: the run says nothing
+  kSuccess = 0,
+  kFailure = 1,  // the run found a failure or a violated rule, or could not continue
+  kUsage = 2,    // wrong usage or configuration
+  kInvalid = 3,  // the fault test itself ran late: its result means nothing
 };
 
-// A result's file. Throws std::runtime_error if it cannot be written.
-void Write(const std::string& file, const std::string& text);
-
-void AddServe(CLI::App& app);
-void AddConfig(CLI::App& app);
-void AddLab(CLI::App& app, int* exit_code);
-void AddFleet(CLI::App& app, int* exit_code);
-void AddDemo(CLI::App& app, int* exit_code);
-void AddRig(CLI::App& app, int* exit_code);
-void AddKeep(CLI::App& app, int* exit_code);
-void AddRollout(CLI::App& app, int* exit_code);
-void AddVersion(CLI::App& app);
+// Each adds one command to `app`. `exit_code` is set when the command has run, and must outlive the parsing;
+// a command without it exits with kSuccess.
+void AddServeCommand(CLI::App& app);
+void AddConfigCommand(CLI::App& app);
+void AddSimulateCommand(CLI::App& app, int* exit_code);
+void AddFleetCommand(CLI::App& app, int* exit_code);
+void AddDemoCommand(CLI::App& app, int* exit_code);
+void AddFaultTestCommand(CLI::App& app, int* exit_code);
+void AddSuperviseCommand(CLI::App& app, int* exit_code);
+void AddRolloutCommand(CLI::App& app, int* exit_code);
+void AddVersionCommand(CLI::App& app);
 
 }  // namespace copperpoint::cli
 
--- a/src/cli/fleet_view.h
+++ b/src/cli/fleet_view.h
@@ -1,14 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint fleet show` and `fleet check`: the view that proxies have of their fleet.
+// The membership as one proxy sees it, read from its admin interface.
 #ifndef COPPERPOINT_CLI_FLEET_VIEW_H_
 #define COPPERPOINT_CLI_FLEET_VIEW_H_
 
-#include <CLI/App.hpp>
+#include <nlohmann/json.hpp>
+#include <string>
 
 namespace copperpoint::cli {
 
-void AddFleetView(CLI::App& fleet, int* exit_code);
+// The answer of the proxy whose admin interface is at `address` to GET /fleet. Throws std::invalid_argument
+// if `address` is not ADDRESS:PORT, std::runtime_error, one line, if there is no such answer.
+nlohmann::json GetFleetView(const std::string& address);
 
 }  // namespace copperpoint::cli
 
--- /dev/null
+++ b/src/cli/rollout_options.h
@@ -0,0 +1,21 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// What the subcommands of `copperpoint rollout` share.
+#ifndef COPPERPOINT_CLI_ROLLOUT_OPTIONS_H_
+#define COPPERPOINT_CLI_ROLLOUT_OPTIONS_H_
+
+#include <CLI/App.hpp>
+#include <string>
+
+namespace copperpoint::cli {
+
+// A subcommand of `rollout` whose help ends with `example`, which begins with the subcommand's name.
+CLI::App* AddRolloutSubcommand(CLI::App& rollout, const char* name, const char* description,
+                               const std::string& example);
+
+// Adds ADDRESS. `address` must outlive the parsing.
+void AddAdminAddress(CLI::App* subcommand, std::string* address);
+
+}  // namespace copperpoint::cli
+
+#endif  // COPPERPOINT_CLI_ROLLOUT_OPTIONS_H_
--- /dev/null
+++ b/src/cli/rollout_plan_command.cpp
@@ -0,0 +1,151 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// `copperpoint rollout plan`: which members would change when, how long it takes and how small a regression
+// each stage detects.
+#include <fmt/format.h>
+
+#include <CLI/Config.hpp>
+#include <CLI/Formatter.hpp>
+#include <algorithm>
+#include <cmath>
+#include <iostream>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <stdexcept>
+#include <string>
+#include <vector>
+
+#include "cli/admin_client.h"
+#include "cli/commands.h"
+#include "cli/rollout_options.h"
+#include "cli/subcommands.h"
+#include "config/read.h"
+#include "rollout/plan.h"
+
+namespace copperpoint::cli {
+namespace {
+
+using Json = nlohmann::ordered_json;
+
+constexpr int kMaxListedMembers = 6;   // of one stage
+constexpr double kNeverSeconds = 1e6;  // a watch that long is printed as "never"
+constexpr double kUnknownRate = -1;
+constexpr double kPercent = 100;
+
+struct PlanOptions {
+  std::string plan_file;
+  std::string address;  // of a proxy of the fleet; without it, `members` and `zones`
+  int members = 0;
+  int zones = 3;
+  double rate_per_s = kUnknownRate;  // over all members
+  double missed_share = 0.01;        // of requests that are not served in time today
+};
+
+// As many members as asked for, dealt out to the zones in turn.
+std::vector<rollout::Named> HypotheticalMembers(int members, int zones) {
+  std::vector<rollout::Named> named;
+  for (int i = 0; i < members; ++i) {
+    const char zone = static_cast<char>('a' + i % zones);
+    named.push_back({fmt::format("p{}", i + 1), std::string(1, zone)});
+  }
+  return named;
+}
+
+std::vector<rollout::Named> LiveMembers(const std::string& address) {
+  std::vector<rollout::Named> named;
+  for (const Json& member : GetAdminJson(address, "/fleet")["members"]) {
+    const std::string status = member.value("status", "");
+    if (status == "alive" || status == "suspect")
+      named.push_back({member.value("name", ""), member.value("zone", "")});
+  }
+  return named;
+}
+
+std::vector<rollout::Named> MembersOf(const PlanOptions& options) {
+  auto members = options.address.empty() ? HypotheticalMembers(options.members, options.zones)
+                                         : LiveMembers(options.address);
+  if (members.empty()) throw std::invalid_argument("whose change? --at ADDRESS, or --members N");
+  return members;
+}
+
+double RateOf(const PlanOptions& options, std::size_t members) {
+  if (options.rate_per_s >= 0) return options.rate_per_s;
+  if (options.address.empty())
+    throw std::invalid_argument("how much traffic? --rate, requests a second over all, or --at ADDRESS");
+  return GetAdminJson(options.address, "/rollout").value("rate_per_s", 0.0) * static_cast<double>(members);
+}
+
+// The members that change in a stage: those of rank `first` to `end`, the first few by name.
+std::string MemberList(const rollout::Order& order, int first, int end) {
+  std::string list;
+  for (int i = first; i < std::min(end, first + kMaxListedMembers); ++i)
+    list += (list.empty() ? "" : " ") + order.members[static_cast<std::size_t>(i)].name;
+  return end > first + kMaxListedMembers ? list + " ..." : list;
+}
+
+void PrintStage(std::size_t number, const rollout::Sight& sight, const std::string& members) {
+  const bool compares = sight.others > 0;
+  const std::string seen = compares ? fmt::format("{:.4f}", sight.seen_worth) : "-";
+  const std::string needed = sight.needed_s < kNeverSeconds ? fmt::format("{:.0f}", sight.needed_s) : "never";
+  std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", number, sight.changed,
+                           sight.others, sight.requests, sight.longest_s, seen, compares ? needed : "-",
+                           members);
+}
+
+// Prints an error if the stage can't detect the regression that the plan guards against; true if it can.
+bool CheckStage(const std::string& file, std::size_t number, const rollout::Plan& plan,
+                const rollout::Sight& sight) {
+  if (sight.others == 0 || sight.seen_worth <= plan.guard.worth) return true;
+  std::cerr << fmt::format(
+      "copperpoint: {}: stage {}: guard.worth = {} cannot be seen here, only {:.4f}; watch_s = {:.0f} "
+      "would do\n",
+      file, number, plan.guard.worth, sight.seen_worth, std::ceil(sight.needed_s));
+  return false;
+}
+
+int ShowPlan(const PlanOptions& options) {
+  const rollout::Plan plan = rollout::ReadPlan(config::Contents(options.plan_file), options.plan_file);
+  const auto members = MembersOf(options);
+  const double rate_per_s = RateOf(options, members.size());
+  const rollout::Order order = rollout::MakeOrder(plan, members, /*change=*/1);
+  std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests a second, {:.2f}% missed today\n",
+                           plan.name, plan.from, plan.to, members.size(), rate_per_s,
+                           kPercent * options.missed_share);
+  std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10} {:>11} {:>12} {:>14}  {}\n", "stage", "changed",
+                           "others", "requests", "at_most_s", "sees_loss", "needs_watch_s", "who is new");
+  std::size_t number = 0;
+  int changed = 0;
+  double longest_s = 0;
+  bool detects = true;
+  for (const rollout::Sight& sight : rollout::Foresee(plan, order, rate_per_s, options.missed_share)) {
+    PrintStage(++number, sight, MemberList(order, changed, sight.changed));
+    changed = sight.changed;
+    longest_s += sight.longest_s;
+    detects &= CheckStage(options.plan_file, number, plan, sight);
+  }
+  std::cout << fmt::format(
+      "at most {:.0f} s, without waiting for requests; the others are compared with until the last stage\n",
+      longest_s);
+  return detects ? kSuccess : kUsage;
+}
+
+}  // namespace
+
+void AddRolloutPlanCommand(CLI::App& rollout, int* exit_code) {
+  auto options = std::make_shared<PlanOptions>();
+  CLI::App* plan = AddRolloutSubcommand(
+      rollout, "plan", "Print which members would change when, and how small a regression each stage detects",
+      "plan lab/rollout/nine.toml --members 9 --rate 300");
+  plan->add_option("FILE", options->plan_file, "The plan (docs/rollout.md)")
+      ->required()
+      ->check(CLI::ExistingFile);
+  plan->add_option("--at", options->address, "The admin address of a proxy of the fleet");
+  plan->add_option("--members", options->members, "Without a fleet: number of members")
+      ->check(CLI::Range(1, 32767));
+  plan->add_option("--zones", options->zones, "Without a fleet: number of zones")->check(CLI::Range(1, 26));
+  plan->add_option("--rate", options->rate_per_s, "Requests a second over all members");
+  plan->add_option("--missed", options->missed_share, "Share of requests that is not served in time today");
+  plan->callback([options, exit_code] { *exit_code = ShowPlan(*options); });
+}
+
+}  // namespace copperpoint::cli
--- a/src/cli/rollout_report.cpp
+++ b/src/cli/rollout_report.cpp
@@ -3,9 +3,19 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
+
 namespace copperpoint::cli {
 namespace {
 
+using Json = nlohmann::ordered_json;
+
+// Of the plot, in its own units.
+constexpr double kPlotLeft = 10;
+constexpr double kPlotWidth = 880;
+constexpr double kPlotBottom = 200;
+constexpr double kPlotHeight = 180;
+
 std::string Escaped(const std::string& text) {
   std::string out;
   for (const char c : text) {
@@ -22,12 +32,8 @@
   return out;
 }
 
-}  // namespace
-
-std::string RolloutReport(const nlohmann::ordered_json& status, const nlohmann::ordered_json& steps) {
-  const auto change = status.value("change", nlohmann::ordered_json::object());
-  const std::string name = change.is_object() ? change.value("name", "no change") : "no change";
-  std::string page = fmt::format(
+std::string Head(const std::string& name) {
+  return fmt::format(
       "<!doctype html>\n<html lang=\"en\"><head><meta "
       "charset=\"utf-8\"><title>{0}</title><style>body{{font:15px/1.5 "
       "Helvetica,Arial,sans-serif;max-width:1000px;margin:2em auto;padding:0 "
@@ -35,36 +41,58 @@
       "collapse}}td,th{{padding:.2em .8em;text-align:left;border-bottom:1px solid "
       "#ddd}}</style></head><body><h1>{0}</h1>\n",
       Escaped(name));
-  if (change.is_object())
-    page += fmt::format("<p>{} to {}, {}; {} of {} members may have run it. Begun at {}.</p>\n",
-                        Escaped(change.value("from", "")), Escaped(change.value("to", "")),
-                        Escaped(change.value("course", "")), change.value("may_have_changed", 0),
-                        change.value("members", 0), Escaped(change.value("by", "")));
-  double last = 1, most = 1;
+}
+
+std::string Summary(const Json& change) {
+  return fmt::format("<p>{} to {}, {}; {} of {} members may have run it. Begun at {}.</p>\n",
+                     Escaped(change.value("from", "")), Escaped(change.value("to", "")),
+                     Escaped(change.value("course", "")), change.value("may_have_changed", 0),
+                     change.value("members", 0), Escaped(change.value("by", "")));
+}
+
+// How many members could have changed, over time.
+std::string Plot(const Json& steps) {
+  double last_s = 1;
+  double max_members = 1;
   for (const auto& step : steps) {
-    last = std::max(last, step.value("at_s", 0.0));
-    most = std::max(most, step.value("prefix", 0.0));
+    last_s = std::max(last_s, step.value("at_s", 0.0));
+    max_members = std::max(max_members, step.value("prefix", 0.0));
   }
-  // How many members could have changed, over time.
-  page +=
+  const auto y_of = [&](double members) { return kPlotBottom - kPlotHeight * members / max_members; };
+  std::string svg =
       "<svg viewBox=\"0 0 900 220\" width=\"900\"><polyline fill=\"none\" stroke=\"#06c\" stroke-width=\"2\" "
       "points=\"";
-  double before = 0;
+  double previous = 0;
   for (const auto& step : steps) {
-    const double x = 880 * step.value("at_s", 0.0) / last + 10,
-                 y = 200 - 180 * step.value("prefix", 0.0) / most;
-    page += fmt::format("{:.1f},{:.1f} {:.1f},{:.1f} ", x, 200 - 180 * before / most, x, y);
-    before = step.value("prefix", 0.0);
+    const double members = step.value("prefix", 0.0);
+    const double x = kPlotWidth * step.value("at_s", 0.0) / last_s + kPlotLeft;
+    svg += fmt::format("{:.1f},{:.1f} {:.1f},{:.1f} ", x, y_of(previous), x, y_of(members));
+    previous = members;
   }
-  page += fmt::format(
-      "\"/><text x=\"10\" y=\"215\" font-size=\"12\">0 s to {:.0f} s; up to {:.0f} members</text></svg>\n",
-      last, most);
-  page += "<table><tr><th>after</th><th>what</th><th>members</th><th>why</th><th>by</th></tr>\n";
-  for (const auto& step : steps)
-    page += fmt::format("<tr><td>{:.1f} s</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>\n",
-                        step.value("at_s", 0.0), Escaped(step.value("what", "")), step.value("prefix", 0),
-                        Escaped(step.value("why", "")), Escaped(step.value("by", "")));
-  return page + "</table></body></html>\n";
+  return svg + fmt::format(
+                   "\"/><text x=\"10\" y=\"215\" font-size=\"12\">0 s to {:.0f} s; up to {:.0f} "
+                   "members</text></svg>\n",
+                   last_s, max_members);
+}
+
+std::string Table(const Json& steps) {
+  std::string table = "<table><tr><th>after</th><th>what</th><th>members</th><th>why</th><th>by</th></tr>\n";
+  for (const auto& step : steps) {
+    table += fmt::format("<tr><td>{:.1f} s</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>\n",
+                         step.value("at_s", 0.0), Escaped(step.value("what", "")), step.value("prefix", 0),
+                         Escaped(step.value("why", "")), Escaped(step.value("by", "")));
+  }
+  return table + "</table>";
+}
+
+}  // namespace
+
+std::string RolloutReport(const nlohmann::ordered_json& status, const nlohmann::ordered_json& steps) {
+  const Json change = status.value("change", Json::object());
+  const bool has_change = change.is_object();
+  std::string page = Head(has_change ? change.value("name", "no change") : "no change");
+  if (has_change) page += Summary(change);
+  return page + Plot(steps) + Table(steps) + "</body></html>\n";
 }
 
 }  // namespace copperpoint::cli
--- a/src/fault_testing/plan.cpp
+++ b/src/fault_testing/plan.cpp
@@ -155,7 +155,7 @@
 }
 
 void Plan::Describe(config::Visitor& v) {
-  v.Word("about", about, {}, {.text = "one line for `rig list`"});
+  v.Word("about", about, {}, {.text = "one line for `fault-test list`"});
   v.Whole32("members", members, {.text = "proxies", .least = 1, .most = 10000});
   v.Whole32("zones", zones, {.text = "dealt out in turn", .least = 1, .most = 26});
   v.Whole32("seeds", seeds, {.text = "members that all others ask first", .least = 1, .most = 100});
--- a/src/fault_testing/processes/directory.cpp
+++ b/src/fault_testing/processes/directory.cpp
@@ -118,12 +118,12 @@
 
 Directory::Directory(asio::io_context& io, const Plan& plan, const asio::ip::address& address,
                      std::vector<std::vector<Tcp::endpoint>> addresses, const Troubles& troubles,
-                     simulation::Observer& observer, std::function<simulation::Micros()> now)
+                     simulation::RuleChecker& rules, std::function<simulation::Micros()> now)
     : io_(io),
       plan_(plan),
       addresses_(std::move(addresses)),
       troubles_(troubles),
-      observer_(observer),
+      rules_(rules),
       now_(std::move(now)),
       entries_(static_cast<std::size_t>(plan.service.backends)) {
   for (int proxy = 0; proxy < plan.members; ++proxy) {
@@ -196,8 +196,8 @@
   for (const int backend : backends) {
     const Entry& entry = entries_[static_cast<std::size_t>(backend)];
     At(proxy).known[static_cast<std::size_t>(backend)].up_since_unix_ms = entry.up_since_unix_ms;
-    observer_.Told(static_cast<std::uint32_t>(proxy), static_cast<std::uint32_t>(backend),
-                   entry.phase == Phase::kInService, now_());
+    rules_.OnEndpointUpdate(static_cast<std::uint32_t>(proxy), static_cast<std::uint32_t>(backend),
+                            entry.phase == Phase::kInService, now_());
   }
 }
 
@@ -207,12 +207,12 @@
 }
 
 void Directory::Started(int proxy) {
-  observer_.ProxyStarted(static_cast<std::uint32_t>(proxy));
+  rules_.OnProxyStarted(static_cast<std::uint32_t>(proxy));
   At(proxy).known.assign(entries_.size(), Known());
 }
 
 void Directory::Continued(int proxy) {
-  observer_.ProxyStarted(static_cast<std::uint32_t>(proxy));
+  rules_.OnProxyStarted(static_cast<std::uint32_t>(proxy));
   std::vector<int> all;
   for (std::size_t i = 0; i < entries_.size(); ++i) all.push_back(static_cast<int>(i));
   Told(proxy, all);
--- a/src/fault_testing/processes/directory.h
+++ b/src/fault_testing/processes/directory.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What discovery knows of the stand-in backends, and a stand-in discovery for each proxy that tells it so.
-// What a proxy has been told, and when, goes to the observer of the rules of service.
+// What a proxy has been told, and when, goes to the rules of the rules of service.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
 
@@ -16,8 +16,8 @@
 
 #include "fault_testing/plan.h"
 #include "fault_testing/processes/troubles.h"
-#include "simulation/core/queue.h"
-#include "simulation/world/observer.h"
+#include "simulation/core/event_queue.h"
+#include "simulation/world/rule_checker.h"
 
 namespace copperpoint::fault_testing {
 
@@ -29,7 +29,7 @@
   // `addresses`: of each backend, as each proxy reaches it.
   Directory(boost::asio::io_context& io, const Plan& plan, const boost::asio::ip::address& address,
             std::vector<std::vector<Tcp::endpoint>> addresses, const Troubles& troubles,
-            simulation::Observer& observer, std::function<simulation::Micros()> now);
+            simulation::RuleChecker& rules, std::function<simulation::Micros()> now);
   ~Directory();
 
   Tcp::endpoint address(int proxy) const;
@@ -69,7 +69,7 @@
   const Plan& plan_;
   const std::vector<std::vector<Tcp::endpoint>> addresses_;
   const Troubles& troubles_;
-  simulation::Observer& observer_;
+  simulation::RuleChecker& rules_;
   std::function<simulation::Micros()> now_;
   std::vector<Entry> entries_;
   std::uint64_t revision_ = 1;
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -71,7 +71,7 @@
         conditions_(plan),
         troubles_(plan, options.seed),
         judge_(plan, options.seed, static_cast<double>(membership::Options().silence.count()) / 1e6),
-        observer_(kDrainGraceMs),
+        rules_(kDrainGraceMs),
         look_(io_),
         signals_(io_, SIGINT, SIGTERM),
         members_(static_cast<std::size_t>(plan.members)) {}
@@ -142,7 +142,7 @@
   Conditions conditions_;
   Troubles troubles_;
   Judge judge_;
-  simulation::Observer observer_;
+  simulation::RuleChecker rules_;
   asio::steady_timer look_;
   asio::signal_set signals_;
   std::vector<Member> members_;
--- a/src/fault_testing/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -73,7 +73,7 @@
   directory_->Started(number);
   member.child = std::make_unique<Child>(
       io_, member.other && !plan_.keep && !options_.other.empty() ? options_.other : options_.program,
-      plan_.keep ? std::vector<std::string>{"keep", base + "/keep.toml"}
+      plan_.keep ? std::vector<std::string>{"supervise", base + "/keep.toml"}
                  : std::vector<std::string>{"serve", "--config", base + "/operator.toml"},
       std::map<std::string, std::string>{{"ROUTER_CONFIG", base + "/config.json"},
                                          {"TMPDIR", base + "/tmp"},
--- a/src/fault_testing/processes/play.cpp
+++ b/src/fault_testing/processes/play.cpp
@@ -28,10 +28,10 @@
   if (options_.sharing)
     relay_ = std::make_unique<Relay>(io_, links_, inside, outside, [this] { return Now(); });
   const auto now = [this] { return simulation::FromMs(Now() * 1000); };
-  backends_ = std::make_unique<StandInBackends>(io_, plan_, options_.seed, Address(100, 0), troubles_,
-                                                observer_, now);
+  backends_ =
+      std::make_unique<StandInBackends>(io_, plan_, options_.seed, Address(100, 0), troubles_, rules_, now);
   directory_ = std::make_unique<Directory>(io_, plan_, Address(101, 0), backends_->addresses(), troubles_,
-                                           observer_, now);
+                                           rules_, now);
   backends_->Watch([this](int proxy, int backend) { return directory_->ToldOfStart(proxy, backend); },
                    [this](int backend) {
                      SetBackend(backend, Directory::Phase::kTerminated, /*up=*/false);
@@ -53,7 +53,7 @@
            Clock::now() - member.ready > 3 * kMostLate;
   };
   clients_ = std::make_unique<Clients>(
-      io_, plan_.service, options_.seed, observer_, choose, owed,
+      io_, plan_.service, options_.seed, rules_, choose, owed,
       [this](std::uint64_t id) { return backends_->MayHaveRun(id); }, now);
   std::ofstream(folder_.path + "/key") << "a key that only this rig has\n";
   ::chmod((folder_.path + "/key").c_str(), 0600);
@@ -135,10 +135,10 @@
       judge_.Bytes((member.out - member.out_before) / span, (member.in - member.in_before) / span);
   }
   judge_.Served(clients_->served(), clients_->asked());
-  for (const simulation::Broken& broken : observer_.broken())
-    judge_.Broke(fmt::format("rule {} at {:.2f} s, request {:x}, {}: {}", static_cast<int>(broken.rule),
-                             static_cast<double>(broken.at) / 1e6, broken.request,
-                             MemberName(static_cast<int>(broken.proxy)), broken.what));
+  for (const simulation::RuleViolation& violation : rules_.violations())
+    judge_.Broke(fmt::format("rule {} at {:.2f} s, request {:x}, {}: {}", static_cast<int>(violation.rule),
+                             static_cast<double>(violation.at) / 1e6, violation.request,
+                             MemberName(static_cast<int>(violation.proxy)), violation.description));
   Judge::Verdict verdict = judge_.Close(end, /*with_service=*/true);
   ProcessOutcome result;
   result.outcome = {verdict.holds, std::move(verdict.json), std::move(verdict.story)};
--- a/src/fault_testing/processes/service.cpp
+++ b/src/fault_testing/processes/service.cpp
@@ -34,14 +34,14 @@
   acceptor.listen();
 }
 
-simulation::Machine MachineOf(const Service& service) {
-  simulation::Machine machine;
-  machine.cores = service.slots;
-  machine.slow_start_min_capacity = service.slow_start_min_capacity;
-  machine.warm_up_s = service.warm_up_s;
-  machine.overload_factor = service.overload_factor;
-  machine.fall_ms = service.fall_ms;
-  return machine;
+simulation::BackendType BackendTypeOf(const Service& service) {
+  simulation::BackendType type;
+  type.cores = service.slots;
+  type.slow_start_min_capacity = service.slow_start_min_capacity;
+  type.slow_start_window_s = service.warm_up_s;
+  type.overload_factor = service.overload_factor;
+  type.overload_window_ms = service.fall_ms;
+  return type;
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
         backend_(backend),
         socket_(std::move(socket)),
         work_(owner.io_),
-        life_(Here().model.life()),
+        life_(Here().model.incarnation()),
         open_(Here().connections) {
     ++(*open_)[static_cast<std::size_t>(proxy_)];
   }
@@ -84,15 +84,16 @@
     unsafe_ = request_.method() != http::verb::get;
     id_ = std::strtoull(std::string(request_["Req-Id"]).c_str(), nullptr, 16);
     int* unproven = unsafe_ ? &owner_.unproven_[id_] : nullptr;
-    owner_.observer_.Dispatched(owner_.now_(), id_, static_cast<std::uint32_t>(proxy_),
-                                static_cast<std::uint32_t>(backend_), {unsafe_, unproven && *unproven > 0},
-                                /*already_final=*/false);
+    owner_.rules_.OnAttemptStarted(owner_.now_(), id_, static_cast<std::uint32_t>(proxy_),
+                                   static_cast<std::uint32_t>(backend_),
+                                   {.idempotent = !unsafe_, .may_have_run = unproven && *unproven > 0},
+                                   /*has_response=*/false);
     if (unproven) ++*unproven;
     const double work = owner_.service_.work_ms;
     double told_share = 0;
-    if (Here().model.Press(owner_.now_(), work, owner_.told_ && owner_.told_(proxy_, backend_),
-                           &told_share)) {
-      owner_.observer_.FellOver(owner_.now_(), static_cast<std::uint32_t>(backend_), told_share);
+    if (Here().model.RecordSlowStartWork(owner_.now_(), work, owner_.told_ && owner_.told_(proxy_, backend_),
+                                         &told_share)) {
+      owner_.rules_.OnOverload(owner_.now_(), static_cast<std::uint32_t>(backend_), told_share);
       ++owner_.falls_;
       return owner_.fell_(backend_);
     }
@@ -126,11 +127,11 @@
       return Answer();
     }
     ++Here().busy;
-    const double ms =
-        owner_.service_.work_ms * owner_.troubles_.Slowness(backend_) / Here().model.Warmth(owner_.now_());
+    const double ms = owner_.service_.work_ms * owner_.troubles_.Slowness(backend_) /
+                      Here().model.CapacityFraction(owner_.now_());
     work_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(ms * 1000)));
     work_.async_wait([self = shared_from_this()](const Error& cancelled) {
-      if (cancelled || self->life_ != self->Here().model.life()) return;
+      if (cancelled || self->life_ != self->Here().model.incarnation()) return;
       --self->Here().busy;
       self->Answer();
     });
@@ -164,16 +165,16 @@
 
 StandInBackends::StandInBackends(asio::io_context& io, const Plan& plan, std::uint64_t seed,
                                  const asio::ip::address& address, const Troubles& troubles,
-                                 simulation::Observer& observer, std::function<simulation::Micros()> now)
+                                 simulation::RuleChecker& rules, std::function<simulation::Micros()> now)
     : io_(io),
       service_(plan.service),
       troubles_(troubles),
       random_(seed, "backends"),
-      observer_(observer),
+      rules_(rules),
       now_(std::move(now)),
-      machine_(MachineOf(plan.service)),
+      backend_type_(BackendTypeOf(plan.service)),
       addresses_(static_cast<std::size_t>(plan.members)) {
-  for (int backend = 0; backend < plan.service.backends; ++backend) backends_.emplace_back(machine_);
+  for (int backend = 0; backend < plan.service.backends; ++backend) backends_.emplace_back(backend_type_);
   for (Backend& backend : backends_)
     backend.connections = std::make_shared<std::vector<int>>(static_cast<std::size_t>(plan.members));
   for (int proxy = 0; proxy < plan.members; ++proxy) {
@@ -208,7 +209,7 @@
 void StandInBackends::Down(int number) {
   Backend& backend = backends_[static_cast<std::size_t>(number)];
   if (backend.model.health() != simulation::Backend::Health::kUp) return;
-  backend.model.Die(simulation::Backend::Health::kDown);
+  backend.model.Stop(simulation::Backend::Health::kDown);
   backend.busy = 0;
   for (std::size_t proxy = 0; proxy < addresses_.size(); ++proxy) {
     Error ignored;
@@ -249,7 +250,7 @@
 
 void StandInBackends::Ran(std::uint64_t request, bool unsafe, int backend) {
   ++backends_[static_cast<std::size_t>(backend)].runs;
-  if (unsafe) observer_.Ran(now_(), request, static_cast<std::uint32_t>(backend), ++runs_[request]);
+  if (unsafe) rules_.OnExecution(now_(), request, static_cast<std::uint32_t>(backend), ++runs_[request]);
 }
 
 // ---- clients --------------------------------------------------------------------------------------------
@@ -279,30 +280,31 @@
 
  private:
   void Read() {
-    http::async_read(
-        stream_, buffer_, response_, [self = shared_from_this()](const Error& failed, std::size_t) {
-          Clients& owner = self->owner_;
-          if (failed) {
-            // A process that was ended or stood still meanwhile owes nothing. That it ended by itself is
-            // known here a little later than its connections are.
-            self->late_.expires_after(kEndIsKnown);
-            self->late_.async_wait([self](const Error& cancelled) {
-              Clients& asked = self->owner_;
-              if (!cancelled && !asked.stopped_ && asked.owed_(self->target_))
-                asked.observer_.Unanswered(asked.now_(), self->id_,
-                                           static_cast<std::uint32_t>(self->target_.member));
-            });
-            return;
-          }
-          const unsigned status = self->response_.result_int();
-          const bool refused = status == 429 || status == 503;
-          if (refused)
-            owner.observer_.Refused(owner.now_(), self->id_, static_cast<std::uint32_t>(self->target_.member),
-                                    {self->unsafe_, owner.may_have_run_(self->id_)});
-          if (!self->counts_) return;
-          owner.served_ += status == 200;
-          owner.refused_ += refused;
-        });
+    http::async_read(stream_, buffer_, response_,
+                     [self = shared_from_this()](const Error& failed, std::size_t) {
+                       Clients& owner = self->owner_;
+                       if (failed) {
+                         // A process that was ended or stood still meanwhile owes nothing. That it ended by
+                         // itself is known here a little later than its connections are.
+                         self->late_.expires_after(kEndIsKnown);
+                         self->late_.async_wait([self](const Error& cancelled) {
+                           Clients& asked = self->owner_;
+                           if (!cancelled && !asked.stopped_ && asked.owed_(self->target_))
+                             asked.rules_.OnResponseOverdue(asked.now_(), self->id_,
+                                                            static_cast<std::uint32_t>(self->target_.member));
+                         });
+                         return;
+                       }
+                       const unsigned status = self->response_.result_int();
+                       const bool refused = status == 429 || status == 503;
+                       if (refused)
+                         owner.rules_.OnRejected(
+                             owner.now_(), self->id_, static_cast<std::uint32_t>(self->target_.member),
+                             {.idempotent = !self->unsafe_, .may_have_run = owner.may_have_run_(self->id_)});
+                       if (!self->counts_) return;
+                       owner.served_ += status == 200;
+                       owner.refused_ += refused;
+                     });
   }
 
   Clients& owner_;
@@ -318,12 +320,12 @@
 };
 
 Clients::Clients(asio::io_context& io, const Service& service, std::uint64_t seed,
-                 simulation::Observer& observer, Choose choose, Owed owed, MayHaveRun may_have_run,
+                 simulation::RuleChecker& rules, Choose choose, Owed owed, MayHaveRun may_have_run,
                  std::function<simulation::Micros()> now)
     : io_(io),
       service_(service),
       random_(seed, "clients"),
-      observer_(observer),
+      rules_(rules),
       choose_(std::move(choose)),
       owed_(std::move(owed)),
       may_have_run_(std::move(may_have_run)),
--- a/src/fault_testing/processes/service.h
+++ b/src/fault_testing/processes/service.h
@@ -22,7 +22,7 @@
 #include "fault_testing/processes/troubles.h"
 #include "simulation/core/random.h"
 #include "simulation/world/backend.h"
-#include "simulation/world/observer.h"
+#include "simulation/world/rule_checker.h"
 
 namespace copperpoint::fault_testing {
 
@@ -35,7 +35,7 @@
  public:
   StandInBackends(boost::asio::io_context& io, const Plan& plan, std::uint64_t seed,
                   const boost::asio::ip::address& address, const Troubles& troubles,
-                  simulation::Observer& observer, std::function<simulation::Micros()> now);
+                  simulation::RuleChecker& rules, std::function<simulation::Micros()> now);
   const std::vector<std::vector<Tcp::endpoint>>& addresses() const { return addresses_; }  // by proxy
   // `told`: whether a proxy knows of a backend's present start; `fell`: one was pushed over, and is down.
   void Watch(std::function<bool(int proxy, int backend)> told, std::function<void(int backend)> fell);
@@ -51,7 +51,7 @@
  private:
   class Connection;
   struct Backend {
-    explicit Backend(const simulation::Machine& machine) : model(machine, 0, 0, 1) {}
+    explicit Backend(const simulation::BackendType& type) : model(type, 0, 0, 1) {}
     simulation::Backend model;  // for cold starts; the queue is the stand-in's own
     int busy = 0;
     std::uint64_t runs = 0;
@@ -69,11 +69,11 @@
   const Service& service_;
   const Troubles& troubles_;
   simulation::Random random_;
-  simulation::Observer& observer_;
+  simulation::RuleChecker& rules_;
   std::function<simulation::Micros()> now_;
   std::function<bool(int, int)> told_;
   std::function<void(int)> fell_;
-  simulation::Machine machine_;
+  simulation::BackendType backend_type_;
   std::vector<Backend> backends_;
   std::vector<std::vector<Tcp::endpoint>> addresses_;
   std::vector<std::unique_ptr<Tcp::acceptor>> acceptors_;
@@ -97,7 +97,7 @@
   using MayHaveRun = std::function<bool(std::uint64_t request)>;
 
   Clients(boost::asio::io_context& io, const Service& service, std::uint64_t seed,
-          simulation::Observer& observer, Choose choose, Owed owed, MayHaveRun may_have_run,
+          simulation::RuleChecker& rules, Choose choose, Owed owed, MayHaveRun may_have_run,
           std::function<simulation::Micros()> now);
   void Start(double count_from_s);
   void Stop();
@@ -114,7 +114,7 @@
   boost::asio::io_context& io_;
   const Service& service_;
   simulation::Random random_;
-  simulation::Observer& observer_;
+  simulation::RuleChecker& rules_;
   Choose choose_;
   Owed owed_;
   MayHaveRun may_have_run_;
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -16,7 +16,7 @@
 #include <utility>
 
 #include "rollout/agent.h"
-#include "simulation/core/queue.h"
+#include "simulation/core/event_queue.h"
 #include "simulation/core/random.h"
 
 namespace copperpoint::fault_testing {
--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -11,7 +11,7 @@
 #include "fault_testing/judge.h"
 #include "fault_testing/links.h"
 #include "membership/view.h"
-#include "simulation/core/queue.h"
+#include "simulation/core/event_queue.h"
 #include "simulation/core/random.h"
 #include "subsetting/position.h"
 
@@ -19,9 +19,9 @@
 namespace {
 
 using membership::Time;
+using simulation::EventPriority;
 using simulation::FromMs;
 using simulation::Micros;
-using simulation::Rank;
 
 constexpr char kCluster[] = "rig", kKey[] = "a key that only the rig has";
 constexpr double kExchangeRtts = 1.5;      // before the first frame is there
@@ -83,7 +83,7 @@
   void End(int member, bool with_a_word);
   void Settle();
   void Replace(int member);
-  void Run(const simulation::Due& due);
+  void Run(const simulation::ScheduledEvent& due);
   void Deliver(Kind kind, std::uint64_t message);
   void After(int member);
   void Datagram(int from, const std::string& to, std::string bytes);
@@ -109,7 +109,7 @@
   Links links_;
   Conditions conditions_;
   std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // in force
-  simulation::Queue queue_;
+  simulation::EventQueue queue_;
   Judge judge_;
   membership::Records records_;
   std::vector<Node> nodes_;
@@ -145,7 +145,7 @@
   if (node.view) return;
   for (const auto& [fault, whom] : slow_starts_) {
     if (at_once || !whom[static_cast<std::size_t>(member)]) continue;
-    return queue_.Push(queue_.now() + FromMs(fault->amount * 1000), Rank::kNews, kStart,
+    return queue_.Push(queue_.now() + FromMs(fault->amount * 1000), EventPriority::kControl, kStart,
                        static_cast<std::uint32_t>(member), 1);
   }
   ++node.life;
@@ -243,7 +243,7 @@
   const Time next = std::min(node.view->next(), node.positions.next());
   if (next < Time(simulation::kNeverMicros / 4) && next.count() - node.ahead < node.wake) {
     node.wake = std::max<Micros>(next.count() - node.ahead, queue_.now() + 1);
-    queue_.Push(node.wake, Rank::kTimeout, kWake, static_cast<std::uint32_t>(member), node.life);
+    queue_.Push(node.wake, EventPriority::kTimeout, kWake, static_cast<std::uint32_t>(member), node.life);
   }
 }
 
@@ -274,7 +274,7 @@
   const Links::Passage passage = links_.Pass(Seconds(queue_.now()), from, target, /*stream=*/false, &bytes);
   if (!passage.passes) return;
   for (int i = 0; i < passage.copies; ++i)
-    queue_.Push(queue_.now() + Delay() + FromMs(passage.more_ms), Rank::kClient, kDatagram, 0,
+    queue_.Push(queue_.now() + Delay() + FromMs(passage.more_ms), EventPriority::kClient, kDatagram, 0,
                 Keep({from, target, 0, bytes}));
 }
 
@@ -285,7 +285,7 @@
   const Links::Passage back = links_.Pass(Seconds(queue_.now()), target, from, /*stream=*/true, &bytes);
   if (!there.passes || !back.passes) return;
   const auto delay = static_cast<Micros>(2 * kExchangeRtts * static_cast<double>(Delay()));
-  queue_.Push(queue_.now() + delay + FromMs(there.more_ms + back.more_ms), Rank::kClient, kAsked, 0,
+  queue_.Push(queue_.now() + delay + FromMs(there.more_ms + back.more_ms), EventPriority::kClient, kAsked, 0,
               Keep({from, target, At(from).life, std::move(bytes)}));
 }
 
@@ -307,7 +307,7 @@
     const int asker = message.from;
     const std::uint64_t life = message.life;
     if (!answer.empty())
-      queue_.Push(queue_.now() + Delay(), Rank::kClient, kAnswered, 0,
+      queue_.Push(queue_.now() + Delay(), EventPriority::kClient, kAnswered, 0,
                   Keep({member, asker, life, std::move(answer)}));
   } else if (message.life == node.life) {
     node.view->OnReply(now, message.bytes);
@@ -319,7 +319,8 @@
 
 void VirtualFleet::Replace(int member) {
   End(member, /*with_a_word=*/true);
-  queue_.Push(queue_.now() + kReplaceTakes, Rank::kNews, kStart, static_cast<std::uint32_t>(member), 0);
+  queue_.Push(queue_.now() + kReplaceTakes, EventPriority::kControl, kStart,
+              static_cast<std::uint32_t>(member), 0);
 }
 
 void VirtualFleet::BeginFault(std::size_t index) {
@@ -328,7 +329,7 @@
   if (!fault.when.empty()) {
     judge_.Begun(Seconds(queue_.now()), fault);
     if (fault.for_s > 0 && fault.kind != FaultKind::kStop && fault.kind != FaultKind::kStarve)
-      queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), Rank::kNews, kEnd, 0, index);
+      queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), EventPriority::kControl, kEnd, 0, index);
   }
   if (fault.kind == FaultKind::kSlowStart) {
     std::vector<bool> whom(nodes_.size());
@@ -354,9 +355,9 @@
         Start(member);
         break;
       case FaultKind::kStop:
-        queue_.Push(queue_.now(), Rank::kNews, kStop, static_cast<std::uint32_t>(member), 0);
+        queue_.Push(queue_.now(), EventPriority::kControl, kStop, static_cast<std::uint32_t>(member), 0);
         if (fault.for_s > 0)
-          queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), Rank::kNews, kContinue,
+          queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), EventPriority::kControl, kContinue,
                       static_cast<std::uint32_t>(member), 0);
         break;
       case FaultKind::kJump:
@@ -366,13 +367,15 @@
         break;
       case FaultKind::kChange:
       case FaultKind::kAbort:
-        break;  // rollout try plays them in virtual time
+        break;  // rollout simulate plays them in virtual time
       default:  // starve
         Fault from_now = fault;
         from_now.at_s = Seconds(queue_.now());
         for (const auto& [from, to] : StopsOf(plan_, from_now, random_)) {
-          queue_.Push(FromMs(from * 1000), Rank::kNews, kStop, static_cast<std::uint32_t>(member), 0);
-          queue_.Push(FromMs(to * 1000), Rank::kNews, kContinue, static_cast<std::uint32_t>(member), 0);
+          queue_.Push(FromMs(from * 1000), EventPriority::kControl, kStop, static_cast<std::uint32_t>(member),
+                      0);
+          queue_.Push(FromMs(to * 1000), EventPriority::kControl, kContinue,
+                      static_cast<std::uint32_t>(member), 0);
         }
     }
   }
@@ -392,7 +395,8 @@
 
 void VirtualFleet::Meet(std::string_view event, std::string_view member) {
   for (const std::size_t index : conditions_.Met(event, member))
-    queue_.Push(queue_.now() + FromMs(plan_.faults[index].at_s * 1000), Rank::kNews, kBegin, 0, index);
+    queue_.Push(queue_.now() + FromMs(plan_.faults[index].at_s * 1000), EventPriority::kControl, kBegin, 0,
+                index);
 }
 
 void VirtualFleet::Snapshot(bool close) {
@@ -410,12 +414,12 @@
   }
 }
 
-void VirtualFleet::Run(const simulation::Due& due) {
-  const auto member = static_cast<int>(due.a);
+void VirtualFleet::Run(const simulation::ScheduledEvent& due) {
+  const auto member = static_cast<int>(due.target);
   switch (due.kind) {
     case kWake: {
       Node& node = At(member);
-      if (!node.view || node.life != due.b || node.wake != due.at) return;
+      if (!node.view || node.life != due.argument || node.wake != due.at) return;
       if (node.stopped) return;  // it looks at its timers when it goes on
       node.wake = simulation::kNeverMicros;
       if (node.view->next() <= Clock(node)) node.view->OnTick(Clock(node));
@@ -424,13 +428,13 @@
     case kDatagram:
     case kAsked:
     case kAnswered:
-      return Deliver(static_cast<Kind>(due.kind), due.b);
+      return Deliver(static_cast<Kind>(due.kind), due.argument);
     case kBegin:
-      return BeginFault(due.b);
+      return BeginFault(due.argument);
     case kEnd:
-      return EndFault(due.b);
+      return EndFault(due.argument);
     case kStart:
-      return Start(member, /*at_once=*/due.b != 0);
+      return Start(member, /*at_once=*/due.argument != 0);
     case kStop:
       if (At(member).view && !std::exchange(At(member).stopped, true))
         judge_.Stopped(Seconds(due.at), member);
@@ -496,9 +500,9 @@
     if (fault.kind == FaultKind::kStart)
       for (const int member : befalls_[i]) late[static_cast<std::size_t>(member)] = true;
     if (!fault.when.empty()) continue;
-    queue_.Push(FromMs(fault.at_s * 1000), Rank::kNews, kBegin, 0, i);
+    queue_.Push(FromMs(fault.at_s * 1000), EventPriority::kControl, kBegin, 0, i);
     if (fault.for_s > 0 && fault.kind != FaultKind::kStop && fault.kind != FaultKind::kStarve)
-      queue_.Push(FromMs((fault.at_s + fault.for_s) * 1000), Rank::kNews, kEnd, 0, i);
+      queue_.Push(FromMs((fault.at_s + fault.for_s) * 1000), EventPriority::kControl, kEnd, 0, i);
   }
   for (int i = 0; i < plan_.members; ++i) {
     if (late[static_cast<std::size_t>(i)]) continue;
@@ -506,7 +510,7 @@
       settling_ = true;
       Start(i);
     } else {
-      queue_.Push(FromMs(random_.Between(0, plan_.start_spread_s) * 1000), Rank::kNews, kStart,
+      queue_.Push(FromMs(random_.Between(0, plan_.start_spread_s) * 1000), EventPriority::kControl, kStart,
                   static_cast<std::uint32_t>(i), 0);
     }
   }
@@ -516,11 +520,11 @@
     if (property.kind == PropertyKind::kBytesAtMost && property.after_s >= 0) rest_from_ = property.after_s;
     divides_ |= property.kind == PropertyKind::kHoldersEven;
   }
-  queue_.Push(FromMs(rest_from_ * 1000), Rank::kNews, kSnapshot, 0, 0);
+  queue_.Push(FromMs(rest_from_ * 1000), EventPriority::kControl, kSnapshot, 0, 0);
 
   const Micros end = FromMs(plan_.length_s * 1000);
   while (!queue_.empty()) {
-    const simulation::Due due = queue_.Take();
+    const simulation::ScheduledEvent due = queue_.PopNext();
     if (due.at > end) break;
     Run(due);
   }
@@ -545,7 +549,7 @@
   outcome.json["healed"] = healed_;
   outcome.json["news_shed"] = shed;
   if (divides_) outcome.json["changed_over"] = changed_over_;
-  outcome.json["events"] = queue_.taken();
+  outcome.json["events"] = queue_.processed();
   if (options_.timeline) {
     outcome.json["views"] = std::move(timeline_);
     outcome.json["spread"] = judge_.Spread();
--- a/src/simulation/core/random.h
+++ b/src/simulation/core/random.h
@@ -49,9 +49,9 @@
 };
 
 // Picks an index by weight, in constant time.
-class Weighted {
+class WeightedChoice {
  public:
-  explicit Weighted(const std::vector<double>& weights) : pick_(weights.begin(), weights.end()) {}
+  explicit WeightedChoice(const std::vector<double>& weights) : pick_(weights.begin(), weights.end()) {}
   std::uint32_t operator()(Random& random) { return pick_(random.engine()); }
 
  private:
--- a/src/simulation/report/metrics.cpp
+++ b/src/simulation/report/metrics.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The keys of the JSON are those of saved results.
 #include "simulation/report/metrics.h"
 
 #include <algorithm>
@@ -7,105 +9,136 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kLeastMs = 0.01, kMostMs = 1e6;
-constexpr unsigned kBins = 1851;  // each 1% wider than the one below
-
-// Byte-equal reports: no digits beyond what the figures mean.
-double Rounded(double x) { return std::round(x * 1e6) / 1e6; }
-
-}  // namespace
-
-Latency::Latency()
-    : histogram_(boost::histogram::make_histogram_with(boost::histogram::dense_storage<std::uint64_t>(),
-                                                       Axis(kBins, kLeastMs, kMostMs))) {}
-
-std::int64_t Latency::count() const {
-  std::uint64_t sum = 0;
-  for (const std::uint64_t n : histogram_) sum += n;  // with what lies beyond either end
-  return static_cast<std::int64_t>(sum);
+constexpr double kMsPerSecond = 1000;
+constexpr double kJsonPrecision = 1e6;
+constexpr double kMedian = 0.5;
+constexpr double kP99 = 0.99;
+constexpr double kP999 = 0.999;
+
+// No digits beyond what the figures mean, so that reports are equal to the byte.
+double Rounded(double x) { return std::round(x * kJsonPrecision) / kJsonPrecision; }
+
+nlohmann::ordered_json RecoveryJson(const Recovery& recovery, double length_s) {
+  return {{"from_s", Rounded(recovery.from_s)},
+          {"to_s", Rounded(recovery.to_s)},
+          {"before", Rounded(recovery.before)},
+          {"during", Rounded(recovery.during)},
+          {"after", Rounded(recovery.after)},
+          // If it never recovered within the run: the rest of the run.
+          {"back_s", Rounded(recovery.recovered_after_s.value_or(length_s - recovery.to_s))},
+          {"back", recovery.recovered_after_s.has_value()}};
 }
 
-double Latency::Quantile(double q) const {
-  const double target = q * static_cast<double>(count());
-  if (target <= 0) return 0;
-  double seen = 0;
-  const Axis& axis = histogram_.axis();
-  for (int i = -1; i <= axis.size(); ++i) {  // the first and the last hold what lies beyond the range
-    seen += static_cast<double>(histogram_.at(i));
-    if (seen < target) continue;
-    const double low = i < 0 ? kLeastMs : axis.value(i);
-    const double high = i >= axis.size() ? kMostMs : axis.value(i + 1);
-    return std::sqrt(low * high);
-  }
-  return kMostMs;
-}
+}  // namespace
 
 Metrics::Metrics(const Scenario& scenario)
-    : scenario_(scenario), classes_(scenario.classes.size()), accounts_(scenario.accounts.size()) {
+    : scenario_(scenario), classes_(scenario.classes.size()), tenants_(scenario.tenants.size()) {
   windows_.resize(static_cast<std::size_t>(std::ceil(scenario.length_s / scenario.window_s)));
 }
 
-Metrics::Window& Metrics::At(Micros at) {
-  const auto index = static_cast<std::size_t>(ToMs(at) / 1000 / scenario_.window_s);
+Metrics::Window& Metrics::WindowAt(Micros at) {
+  const auto index = static_cast<std::size_t>(ToMs(at) / kMsPerSecond / scenario_.window_s);
   return windows_[std::min(index, windows_.size() - 1)];
 }
 
-void Metrics::Asked(Micros at, int cls, int account, double worth) {
-  ++first_tries;
-  whole_.asked += worth;
-  classes_[static_cast<std::size_t>(cls)].asked += worth;
-  accounts_[static_cast<std::size_t>(account)].asked += worth;
-  At(at).worth.asked += worth;
+void Metrics::OnArrival(Micros at, int request_class, int tenant, double value) {
+  ++first_requests;
+  overall_.requested += value;
+  classes_[static_cast<std::size_t>(request_class)].requested += value;
+  tenants_[static_cast<std::size_t>(tenant)].requested += value;
+  WindowAt(at).value.requested += value;
 }
 
-void Metrics::Served(Micros first_at, int cls, int account, double worth, double took_ms, bool timely,
-                     bool repeat) {
+void Metrics::OnServed(const ServedResponse& response) {
   ++served;
-  latency_.Add(took_ms);
-  Window& window = At(first_at);
-  window.latency.Add(took_ms);
-  if (!timely) {
+  latency_.Add(response.latency_ms);
+  Window& window = WindowAt(response.arrived_at);
+  window.latency.Add(response.latency_ms);
+  if (!response.in_time) {
     ++late;
-    late_repeats += repeat;
+    late_retries += response.is_retry;
     return;
   }
   ++in_time;
-  whole_.got += worth;
-  classes_[static_cast<std::size_t>(cls)].got += worth;
-  accounts_[static_cast<std::size_t>(account)].got += worth;
-  window.worth.got += worth;
+  overall_.served += response.value;
+  classes_[static_cast<std::size_t>(response.request_class)].served += response.value;
+  tenants_[static_cast<std::size_t>(response.tenant)].served += response.value;
+  window.value.served += response.value;
 }
 
-double Metrics::Worst(const std::vector<Worth>& parts) {
+double Metrics::WorstOf(const std::vector<ServedValue>& parts) {
   double worst = 1;
-  for (const Worth& part : parts) worst = std::min(worst, part.Share());
+  for (const ServedValue& part : parts) worst = std::min(worst, part.Fraction());
   return worst;
 }
 
 double Metrics::ObjectiveScore() const {
-  const Goals& g = scenario_.goal;
-  const double all = g.whole + g.worst_class + g.worst_account;
-  if (all <= 0) return Goodput();
-  return (g.whole * Goodput() + g.worst_class * WorstClass() + g.worst_account * WorstAccount()) / all;
+  const ObjectiveWeights& weights = scenario_.objective;
+  const double sum = weights.overall + weights.worst_class + weights.worst_tenant;
+  if (sum <= 0) return Goodput();
+  return (weights.overall * Goodput() + weights.worst_class * WorstClass() +
+          weights.worst_tenant * WorstTenant()) /
+         sum;
 }
 
 double Metrics::AttemptsPerRequest() const {
-  return first_tries > 0 ? static_cast<double>(attempts) / static_cast<double>(first_tries) : 0;
+  return first_requests > 0 ? static_cast<double>(attempts) / static_cast<double>(first_requests) : 0;
 }
 
-std::vector<Stretch> Metrics::TimeLine() const {
-  std::vector<Stretch> line;
+std::vector<GoodputWindow> Metrics::TimeLine() const {
+  std::vector<GoodputWindow> line;
   for (std::size_t i = 0; i < windows_.size(); ++i) {
-    const Worth& worth = windows_[i].worth;
-    line.push_back({static_cast<double>(i) * scenario_.window_s, worth.asked, worth.got});
+    const ServedValue& value = windows_[i].value;
+    line.push_back({static_cast<double>(i) * scenario_.window_s, value.requested, value.served});
   }
   return line;
 }
 
-void Metrics::ConnectionsLie(double mean, double mean_square) {
-  ++connections_samples_;
-  connections_mean_ += mean;
-  connections_cv_ += std::sqrt(std::max(0.0, mean_square / (mean * mean) - 1));
+void Metrics::OnConnectionSample(double mean, double mean_square) {
+  ++connection_samples_;
+  connections_mean_sum_ += mean;
+  connections_cv_sum_ += std::sqrt(std::max(0.0, mean_square / (mean * mean) - 1));
+}
+
+nlohmann::ordered_json Metrics::CountersJson() const {
+  const int samples = std::max(1, connection_samples_);
+  return {{"first_tries", first_requests},
+          {"tries", client_requests},
+          {"served", served},
+          {"in_time", in_time},
+          {"late", late},
+          {"late_repeats", late_retries},
+          {"refused", rejected},
+          {"failed", failed},
+          {"attempts", attempts},
+          {"turned_away", backend_rejections},
+          {"errors", server_errors},
+          {"timeouts", attempt_timeouts},
+          {"connect_failed", connect_failures},
+          {"resets", connection_resets},
+          {"connections", connections},
+          {"connections_cv", Rounded(connections_cv_sum_ / samples)},
+          {"connections_mean", Rounded(connections_mean_sum_ / samples)},
+          {"cross_zone", cross_zone_attempts},
+          {"probes", probes},
+          {"unreachable", unreachable_proxies},
+          {"discovery_calls", discovery_polls},
+          {"repeats_here", client_retries_at_same_proxy},
+          {"recognised", detected_retries},
+          {"mistaken", false_retries}};
+}
+
+nlohmann::ordered_json Metrics::WindowsJson() const {
+  nlohmann::ordered_json json = nlohmann::ordered_json::array();
+  for (std::size_t i = 0; i < windows_.size(); ++i) {
+    const Window& window = windows_[i];
+    json.push_back({{"at_s", Rounded(static_cast<double>(i) * scenario_.window_s)},
+                    {"asked", Rounded(window.value.requested)},
+                    {"got", Rounded(window.value.served)},
+                    {"p50_ms", Rounded(window.latency.Quantile(kMedian))},
+                    {"p99_ms", Rounded(window.latency.Quantile(kP99))}});
+  }
+  return json;
 }
 
 nlohmann::ordered_json Metrics::Json() const {
@@ -113,63 +146,24 @@
       {"goodput", Rounded(Goodput())},
       {"goal", Rounded(ObjectiveScore())},
       {"mean_ms", Rounded(latency_.Mean())},
-      {"p50_ms", Rounded(latency_.Quantile(0.5))},
-      {"p99_ms", Rounded(latency_.Quantile(0.99))},
-      {"p999_ms", Rounded(latency_.Quantile(0.999))},
+      {"p50_ms", Rounded(latency_.Quantile(kMedian))},
+      {"p99_ms", Rounded(latency_.Quantile(kP99))},
+      {"p999_ms", Rounded(latency_.Quantile(kP999))},
       {"attempts_per_request", Rounded(AttemptsPerRequest())},
-      {"wasted_work", Rounded(Wasted())},
+      {"wasted_work", Rounded(WastedWork())},
       {"worst_class", Rounded(WorstClass())},
-      {"worst_account", Rounded(WorstAccount())},
+      {"worst_account", Rounded(WorstTenant())},
   };
-  json["counts"] = {{"first_tries", first_tries},
-                    {"tries", tries},
-                    {"served", served},
-                    {"in_time", in_time},
-                    {"late", late},
-                    {"late_repeats", late_repeats},
-                    {"refused", refused},
-                    {"failed", failed},
-                    {"attempts", attempts},
-                    {"turned_away", turned_away},
-                    {"errors", errors},
-                    {"timeouts", timeouts},
-                    {"connect_failed", connect_failed},
-                    {"resets", resets},
-                    {"connections", connections},
-                    {"connections_cv", Rounded(connections_cv_ / std::max(1, connections_samples_))},
-                    {"connections_mean", Rounded(connections_mean_ / std::max(1, connections_samples_))},
-                    {"cross_zone", cross_zone},
-                    {"probes", probes},
-                    {"unreachable", unreachable},
-                    {"discovery_calls", discovery_calls},
-                    {"repeats_here", repeats_here},
-                    {"recognised", recognised},
-                    {"mistaken", mistaken}};
+  json["counts"] = CountersJson();
   auto& classes = json["classes"] = nlohmann::ordered_json::object();
   for (std::size_t i = 0; i < classes_.size(); ++i)
-    classes[scenario_.classes[i].name] = Rounded(classes_[i].Share());
-  auto& accounts = json["accounts"] = nlohmann::ordered_json::object();
-  for (std::size_t i = 0; i < accounts_.size(); ++i)
-    accounts[scenario_.accounts[i].name] = Rounded(accounts_[i].Share());
-  if (const auto r = RecoveryOf(scenario_, TimeLine())) {
-    json["recovery"] = {{"from_s", Rounded(r->from_s)},
-                        {"to_s", Rounded(r->to_s)},
-                        {"before", Rounded(r->before)},
-                        {"during", Rounded(r->during)},
-                        {"after", Rounded(r->after)},
-                        // Never within the run: told as its rest.
-                        {"back_s", Rounded(r->back_s.value_or(scenario_.length_s - r->to_s))},
-                        {"back", r->back_s.has_value()}};
-  }
-  auto& windows = json["windows"] = nlohmann::ordered_json::array();
-  for (std::size_t i = 0; i < windows_.size(); ++i) {
-    const Window& w = windows_[i];
-    windows.push_back({{"at_s", Rounded(static_cast<double>(i) * scenario_.window_s)},
-                       {"asked", Rounded(w.worth.asked)},
-                       {"got", Rounded(w.worth.got)},
-                       {"p50_ms", Rounded(w.latency.Quantile(0.5))},
-                       {"p99_ms", Rounded(w.latency.Quantile(0.99))}});
-  }
+    classes[scenario_.classes[i].name] = Rounded(classes_[i].Fraction());
+  auto& tenants = json["accounts"] = nlohmann::ordered_json::object();
+  for (std::size_t i = 0; i < tenants_.size(); ++i)
+    tenants[scenario_.tenants[i].name] = Rounded(tenants_[i].Fraction());
+  if (const auto recovery = MeasureRecovery(scenario_, TimeLine()))
+    json["recovery"] = RecoveryJson(*recovery, scenario_.length_s);
+  json["windows"] = WindowsJson();
   return json;
 }
 
--- a/src/simulation/report/recovery.cpp
+++ b/src/simulation/report/recovery.cpp
@@ -6,38 +6,47 @@
 namespace copperpoint::simulation {
 namespace {
 
-double Share(const std::vector<Stretch>& line, double from_s, double to_s) {
-  constexpr double kRounding = 1e-9;
-  double asked = 0, got = 0;
-  for (const Stretch& s : line) {
-    if (s.at_s < from_s - kRounding || s.at_s >= to_s - kRounding) continue;
-    asked += s.asked;
-    got += s.got;
+constexpr double kRounding = 1e-9;  // of times in seconds
+
+double GoodputBetween(const std::vector<GoodputWindow>& line, double from_s, double to_s) {
+  double requested = 0;
+  double served = 0;
+  for (const GoodputWindow& window : line) {
+    if (window.at_s < from_s - kRounding || window.at_s >= to_s - kRounding) continue;
+    requested += window.requested;
+    served += window.served;
   }
-  return asked > 0 ? got / asked : 1;
+  return requested > 0 ? served / requested : 1;
+}
+
+std::optional<double> RecoveredAfter(const Scenario& scenario, const std::vector<GoodputWindow>& line,
+                                     const Recovery& recovery) {
+  for (const GoodputWindow& window : line) {
+    const double stable_until_s = window.at_s + Recovery::kStableS;
+    if (window.at_s < recovery.to_s || stable_until_s > scenario.length_s) continue;
+    const double goodput = GoodputBetween(line, window.at_s, stable_until_s);
+    if (goodput >= Recovery::kRecoveredFraction * recovery.before) return window.at_s - recovery.to_s;
+  }
+  return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<Recovery> RecoveryOf(const Scenario& scenario, const std::vector<Stretch>& line) {
-  if (scenario.troubles.empty()) return std::nullopt;
-  Recovery r;
-  r.from_s = scenario.troubles.front().at_s;
-  for (const Trouble& t : scenario.troubles) {
-    r.from_s = std::min(r.from_s, t.at_s);
-    r.to_s = std::max(r.to_s, t.at_s + t.for_s);
-  }
-  if (r.from_s <= Recovery::kLearningS || r.to_s + Recovery::kAfterS > scenario.length_s) return std::nullopt;
-  r.before = Share(line, Recovery::kLearningS, r.from_s);
-  r.during = Share(line, r.from_s, r.to_s);
-  r.after = Share(line, r.to_s, r.to_s + Recovery::kAfterS);
-  for (const Stretch& s : line) {
-    if (s.at_s < r.to_s || s.at_s + Recovery::kFirmS > scenario.length_s) continue;
-    if (Share(line, s.at_s, s.at_s + Recovery::kFirmS) < Recovery::kAsGood * r.before) continue;
-    r.back_s = s.at_s - r.to_s;
-    break;
+std::optional<Recovery> MeasureRecovery(const Scenario& scenario, const std::vector<GoodputWindow>& line) {
+  if (scenario.faults.empty()) return std::nullopt;
+  Recovery recovery;
+  recovery.from_s = scenario.faults.front().at_s;
+  for (const Fault& fault : scenario.faults) {
+    recovery.from_s = std::min(recovery.from_s, fault.at_s);
+    recovery.to_s = std::max(recovery.to_s, fault.at_s + fault.for_s);
   }
-  return r;
+  if (recovery.from_s <= Recovery::kLearningS) return std::nullopt;
+  if (recovery.to_s + Recovery::kAfterS > scenario.length_s) return std::nullopt;
+  recovery.before = GoodputBetween(line, Recovery::kLearningS, recovery.from_s);
+  recovery.during = GoodputBetween(line, recovery.from_s, recovery.to_s);
+  recovery.after = GoodputBetween(line, recovery.to_s, recovery.to_s + Recovery::kAfterS);
+  recovery.recovered_after_s = RecoveredAfter(scenario, line, recovery);
+  return recovery;
 }
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/report/recovery.h
+++ b/src/simulation/report/recovery.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How service went through a trouble and came back: goodput before, meanwhile, and right after, and how long
-// after the trouble's end it took to be as good as before.
+// How service went through the faults and recovered: goodput before, during and right after them, and how
+// long after their end it took to be as good as before.
 #ifndef COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
 #define COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
 
@@ -13,23 +13,31 @@
 namespace copperpoint::simulation {
 
 // One window of the time line.
-struct Stretch {
-  double at_s = 0, asked = 0, got = 0;  // its start; worth asked in it, and of that, got in time
+struct GoodputWindow {
+  double at_s = 0;       // its start
+  double requested = 0;  // value of the requests that arrived in it
+  double served = 0;     // of that, served in time
 };
 
 struct Recovery {
-  double from_s = 0, to_s = 0;  // the first trouble's start, the last one's end
-  double before = 1;            // goodput, less the first seconds, in which policies learn
+  double from_s = 0;  // start of the first fault
+  double to_s = 0;    // end of the last
+  double before = 1;  // goodput, without the first seconds, in which policies learn
   double during = 1;
-  double after = 1;  // in the seconds after the end within which it should be over
-  // After the end, until goodput is kAsGood of the one before, and stays so for kFirmS; nothing: never.
-  std::optional<double> back_s;
-
-  static constexpr double kLearningS = 2, kAfterS = 5, kFirmS = 2, kAsGood = 0.95;
+  double after = 1;  // in the kAfterS seconds after the end
+  // After the end, until goodput is kRecoveredFraction of the one before and stays so for kStableS; nothing:
+  // never.
+  std::optional<double> recovered_after_s;
+
+  static constexpr double kLearningS = 2;
+  static constexpr double kAfterS = 5;
+  static constexpr double kStableS = 2;
+  static constexpr double kRecoveredFraction = 0.95;
 };
 
-// Nothing if there is no trouble that ends early enough to tell, or it begins before policies have learnt.
-std::optional<Recovery> RecoveryOf(const Scenario& scenario, const std::vector<Stretch>& line);
+// Nothing if there is no fault that ends early enough before the run, or one starts while policies still
+// learn.
+std::optional<Recovery> MeasureRecovery(const Scenario& scenario, const std::vector<GoodputWindow>& line);
 
 }  // namespace copperpoint::simulation
 
--- /dev/null
+++ b/src/simulation/run/parallel.h
@@ -0,0 +1,18 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Runs independent jobs on several threads.
+#ifndef COPPERPOINT_SIMULATION_RUN_PARALLEL_H_
+#define COPPERPOINT_SIMULATION_RUN_PARALLEL_H_
+
+#include <cstddef>
+#include <functional>
+
+namespace copperpoint::simulation {
+
+// Calls job(0) to job(count - 1), each once. `threads` 0: as many as there are cores. The first exception is
+// thrown again when all threads have ended; jobs that had not started are left out then.
+void RunInParallel(std::size_t count, unsigned threads, const std::function<void(std::size_t)>& job);
+
+}  // namespace copperpoint::simulation
+
+#endif  // COPPERPOINT_SIMULATION_RUN_PARALLEL_H_
--- a/src/simulation/run/run.h
+++ b/src/simulation/run/run.h
@@ -23,26 +23,27 @@
 struct RunOptions {
   std::string policy = "ours";
   std::uint64_t seed = 1;
-  std::uint64_t trace = 0;  // a request whose story is kept; 0: none
-  std::string logs;         // a folder for the log of each proxy, as `serve` writes it; empty: none
+  std::uint64_t traced_request = 0;  // 0: none
+  std::string log_folder;            // for the log of each proxy, as `serve` writes it; empty: none
   log::Format log_format = log::Format::kText;
-  MakePolicyFn make = MakePolicy;  // tests put policies of their own here
+  MakePolicyFn make_policy = MakePolicy;  // tests use policies of their own
 };
 
 struct RunResult {
-  nlohmann::ordered_json json;     // deterministic
-  std::int64_t broken = 0;         // rules broken
-  std::uint64_t first_broken = 0;  // the request of the first; 0: it is about none
-  std::vector<std::string> story;  // of the traced request
+  nlohmann::ordered_json json;                // deterministic
+  std::int64_t violations = 0;                // of the rules of service
+  std::uint64_t first_violating_request = 0;  // 0: the first violation is not about a request
+  std::vector<std::string> trace;             // of the traced request
   std::uint64_t events = 0;
   double wall_s = 0;
   double goodput = 0;
 };
 
+// Throws std::invalid_argument on an unknown policy, config::BadFile on a bad replay file.
 RunResult Run(const Scenario& scenario, const RunOptions& options);
 
-// Run, and where a rule is broken run it once more to tell the story of the request.
-RunResult RunAndTell(const Scenario& scenario, RunOptions options);
+// Run, and if a rule is violated run again to trace the request of the first violation.
+RunResult RunWithTrace(const Scenario& scenario, RunOptions options);
 
 }  // namespace copperpoint::simulation
 
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -7,15 +7,21 @@
 #include "config/show.h"
 
 namespace copperpoint::simulation {
+namespace {
 
-void Load::Describe(config::Visitor& v) {
+constexpr double kMsPerSecond = 1000;
+
+}  // namespace
+
+void WorkloadSettings::Describe(config::Visitor& v) {
   v.Number("rate", rate,
            {.text = "first tries of all clients, unless `of_capacity`", .unit = "1/s", .most = 1e7});
   v.Number("of_capacity", of_capacity,
            {.text = "the rate as a share of what the warm fleet can do; 0: `rate` counts", .most = 100});
-  v.Choice<Shape>("shape", shape,
-                  {{"steady", Shape::kSteady}, {"bursty", Shape::kBursty}, {"daily", Shape::kDaily}},
-                  {.text = "Poisson arrivals: at one rate, in spells around it, or along a sine"});
+  v.Choice<ArrivalShape>(
+      "shape", shape,
+      {{"steady", ArrivalShape::kSteady}, {"bursty", ArrivalShape::kBursty}, {"daily", ArrivalShape::kDaily}},
+      {.text = "Poisson arrivals: at one rate, in spells around it, or along a sine"});
   v.Number("swing", swing, {.text = "of bursty and daily, as a share of the rate", .most = 1});
   v.Number(
       "period_s", period_s,
@@ -30,51 +36,52 @@
 void RequestClass::Describe(config::Visitor& v) {
   v.Word("name", name, {}, {.text = "in reports and replay files"});
   v.Number("share", share, {.text = "of the requests, against the other classes'", .most = 1e6});
-  v.Flag("safe", safe, {.text = "may be repeated"});
+  v.Flag("safe", idempotent, {.text = "may be repeated"});
   v.Number("work_ms", work_ms,
            {.text = "mean work, on a core of speed 1", .unit = "ms", .least = 0.001, .most = 1e6});
   v.Number("work_cv", work_cv, {.text = "deviation over mean of lognormal work", .most = 10});
   v.Word("distribution", distribution, {"lognormal", "exponential", "constant"}, {.text = "of the work"});
   v.Number("attempt_noise", attempt_noise,
            {.text = "deviation of one attempt's work around the request's", .most = 5});
-  v.Number("aim_ms", aim_ms, {.text = "answers within this are worth something", .unit = "ms", .least = 0.1});
+  v.Number("aim_ms", latency_objective_ms,
+           {.text = "answers within this are worth something", .unit = "ms", .least = 0.1});
   v.Number("deadline_ms", deadline_ms,
            {.text = "the client waits no longer, over all tries", .unit = "ms", .least = 1});
-  v.Number("worth", worth, {.text = "of a ms of work answered in time"});
-  v.Check("deadline_ms", deadline_ms >= aim_ms, "is less than aim_ms");
+  v.Number("worth", priority_weight, {.text = "of a ms of work answered in time"});
+  v.Check("deadline_ms", deadline_ms >= latency_objective_ms, "is less than aim_ms");
 }
 
-void Account::Describe(config::Visitor& v) {
+void Tenant::Describe(config::Visitor& v) {
   v.Word("name", name, {}, {.text = "in reports and replay files"});
   v.Number("share", share, {.text = "of the requests, against the other accounts'", .most = 1e6});
   v.Number("quota", quota, {.text = "requests within its share; 0: no bound", .unit = "1/s", .most = 1e9});
 }
 
-void Clients::Describe(config::Visitor& v) {
-  v.Choice<Retry>("retry", retry,
-                  {{"none", Retry::kNone},
-                   {"immediate", Retry::kImmediate},
-                   {"fixed", Retry::kFixed},
-                   {"exponential", Retry::kExponential}},
-                  {.text = "how a client comes back"});
+void ClientSettings::Describe(config::Visitor& v) {
+  v.Choice<ClientRetryMode>("retry", retry,
+                            {{"none", ClientRetryMode::kNone},
+                             {"immediate", ClientRetryMode::kImmediate},
+                             {"fixed", ClientRetryMode::kFixed},
+                             {"exponential", ClientRetryMode::kExponential}},
+                            {.text = "how a client comes back"});
   v.Whole32("retries", retries, {.text = "after the first try", .most = 20});
   v.Number(
       "backoff_ms", backoff_ms,
       {.text = "fixed wait, or the first of an exponential one with full jitter", .unit = "ms", .most = 1e6});
-  v.Number("try_share", try_share,
+  v.Number("try_share", request_timeout_share,
            {.text = "a try is given up after this share of the deadline", .least = 0.01, .most = 1});
-  v.Number("honour", honour, {.text = "share of clients that follow Retry-After", .most = 1});
+  v.Number("honour", retry_after_compliance, {.text = "share of clients that follow Retry-After", .most = 1});
   v.Number(
-      "retry_after_ms", retry_after_ms,
+      "retry_after_ms", max_retry_after_ms,
       {.text = "the longest wait that they follow; 0: proxies don't tell them", .unit = "ms", .most = 1e6});
   v.Number("reconnect_ms", reconnect_ms,
            {.text = "until a refused connection is tried at another proxy", .unit = "ms", .most = 1e6});
-  v.Number("notice_ms", notice_ms,
+  v.Number("notice_ms", failure_detection_ms,
            {.text = "until the front notices that a proxy died", .unit = "ms", .most = 1e6});
   v.Flag("marks_retry", marks_retry, {.text = "repeats say that they are"});
 }
 
-void Machine::Describe(config::Visitor& v) {
+void BackendType::Describe(config::Visitor& v) {
   v.Word("name", name, {}, {.text = "in reports"});
   v.Number("share", share, {.text = "of the backends, against the other kinds'", .most = 1e6});
   v.Whole32("cores", cores, {.text = "", .least = 1, .most = 1024});
@@ -83,16 +90,18 @@
   v.Number("speed", speed, {.text = "of a core", .least = 0.001, .most = 1000});
   v.Number("speed_cv", speed_cv, {.text = "deviation of the speed over the machines", .most = 2});
   v.Whole32("queue", queue, {.text = "requests that wait; beyond, they are turned away", .most = 1e8});
-  v.Number("crowd_at", crowd_at, {.text = "held a slot, from which it slows down; 0: never", .most = 1e6});
-  v.Number("crowding", crowding, {.text = "share of its speed lost with `crowd_at` more held", .most = 0.99});
+  v.Number("crowd_at", congestion_start,
+           {.text = "held a slot, from which it slows down; 0: never", .most = 1e6});
+  v.Number("crowding", congestion_slowdown,
+           {.text = "share of its speed lost with `crowd_at` more held", .most = 0.99});
   v.Number("cold_from", slow_start_min_capacity,
            {.text = "share of the speed right after a start", .least = 0.001, .most = 1});
-  v.Number("warm_up_s", warm_up_s, {.text = "until the whole of it", .unit = "s", .most = 3600});
+  v.Number("warm_up_s", slow_start_window_s, {.text = "until the whole of it", .unit = "s", .most = 3600});
   v.Number("fall_multiple", overload_factor,
            {.text = "a cold one falls over when sent more than this times what it can do; 0: never",
             .most = 1000});
-  v.Number("fall_ms", fall_ms, {.text = "for this long", .unit = "ms", .least = 1, .most = 1e6});
-  v.Number("fall_roots", fall_roots,
+  v.Number("fall_ms", overload_window_ms, {.text = "for this long", .unit = "ms", .least = 1, .most = 1e6});
+  v.Number("fall_roots", overload_deviations,
            {.text = "roots of that, in requests of mean work, that chance may add, and two requests; 0: "
                     "three requests",
             .most = 10});
@@ -101,13 +110,13 @@
          {.text = "of work given up: it runs on, what waits is dropped, or all stops"});
   v.Whole32("connections", connections, {.text = "accepted; 0: any number", .most = 1e7});
   v.Number("handshake_ms", handshake_ms, {.text = "work for a new connection", .unit = "ms", .most = 1e4});
-  v.Number("warm_key_gain", warm_key_gain,
+  v.Number("warm_key_gain", cached_key_gain,
            {.text = "share of the work saved for a key met lately", .most = 0.99});
-  v.Number("warm_key_s", warm_key_s, {.text = "how lately", .unit = "s", .most = 3600});
-  v.Whole("warm_keys", key_affinity, {.text = "that it remembers, a core", .least = 1, .most = 1e7});
+  v.Number("warm_key_s", cached_key_s, {.text = "how lately", .unit = "s", .most = 3600});
+  v.Whole("warm_keys", max_cached_keys, {.text = "that it remembers, a core", .least = 1, .most = 1e7});
 }
 
-void Fleet::Describe(config::Visitor& v) {
+void FleetSettings::Describe(config::Visitor& v) {
   v.Whole32("backends", backends, {.text = "", .most = 100000});
   v.Whole32("proxies", proxies, {.text = "", .least = 1, .most = 10000});
   v.Whole32("zones", zones, {.text = "", .least = 1, .most = 64});
@@ -115,15 +124,16 @@
            {.text = "the first zone's clients ask this share more than the others'", .most = 10});
   v.Whole32("cell_size", cell_size, {.text = "backends of a cell", .least = 1, .most = 100000});
   v.Choice(
-      "positions", positions,
-      std::vector<std::pair<std::string, Positions>>{
-          {"number", Positions::kNumber}, {"chance", Positions::kChance}, {"view", Positions::kView}},
+      "positions", ring_offsets,
+      std::vector<std::pair<std::string, RingOffsetSource>>{{"number", RingOffsetSource::kProxyIndex},
+                                                            {"chance", RingOffsetSource::kRandom},
+                                                            {"view", RingOffsetSource::kMembership}},
       {.text = "by what proxies divide the backends: each one's number, chance, or a view of each other"});
-  v.Number("view_ms", view_ms,
+  v.Number("view_ms", membership_delay_ms,
            {.text = "`view`: until they know that one of them came or went", .unit = "ms", .most = 1e6});
 }
 
-void Wires::Describe(config::Visitor& v) {
+void NetworkSettings::Describe(config::Visitor& v) {
   v.Number("client_ms", client_ms, {.text = "client to proxy, one way", .unit = "ms", .most = 1e5});
   v.Number("same_zone_ms", same_zone_ms, {.text = "proxy to backend, one way", .unit = "ms", .most = 1e5});
   v.Number("cross_zone_ms", cross_zone_ms, {.text = "the same over zones", .unit = "ms", .most = 1e5});
@@ -137,68 +147,39 @@
            {.text = "a connection not used for this long is closed", .unit = "s", .least = 0.01});
 }
 
-void Registry::Describe(config::Visitor& v) {
-  v.Flag("ask", ask, {.text = "changes come only to proxies that subscribed"});
-  v.Number("notice_ms", notice_ms,
+void DiscoverySettings::Describe(config::Visitor& v) {
+  v.Flag("ask", polled, {.text = "changes come only to proxies that subscribed"});
+  v.Number("notice_ms", detection_ms,
            {.text = "until it knows of a start, a drain or an end", .unit = "ms", .most = 1e6});
-  v.Number("silent_notice_ms", silent_notice_ms,
+  v.Number("silent_notice_ms", unresponsive_detection_ms,
            {.text = "until it knows of a machine gone silent", .unit = "ms", .most = 1e6});
-  v.Number("spread_ms", spread_ms, {.text = "over which news reach the proxies", .unit = "ms", .most = 1e6});
+  v.Number("spread_ms", propagation_ms,
+           {.text = "over which news reach the proxies", .unit = "ms", .most = 1e6});
   v.Number("calls_per_s", calls_per_s,
            {.text = "that it can answer, one after the other", .unit = "1/s", .least = 0.01});
   v.Number("call_timeout_ms", call_timeout_ms,
            {.text = "a call that waits longer fails", .unit = "ms", .least = 1});
 }
 
-void Rules::Describe(config::Visitor& v) {
-  v.Number("answer_slack_ms", answer_slack_ms,
+void ServiceRules::Describe(config::Visitor& v) {
+  v.Number("answer_slack_ms", response_slack_ms,
            {.text = "after a try's end, for its final answer", .unit = "ms", .most = 1e4});
   v.Number("drain_grace_ms", drain_grace_ms,
            {.text = "after the news of a drain or an end, for the last send", .unit = "ms", .most = 1e5});
   v.Whole32("max_attempts", max_attempts, {.text = "of one try", .least = 1, .most = 20});
-  v.Number("cross_zone_price", cross_zone_price,
+  v.Number("cross_zone_price", cross_zone_cost,
            {.text = "of a send to another zone, as a share of a request's worth; a goal, not in the goodput",
             .most = 1});
   v.Number("over_share_worth", over_quota_weight,
            {.text = "worth of requests beyond an account's quota", .most = 1});
-  v.Number("must_ask_ms", must_ask_ms,
+  v.Number("must_ask_ms", max_poll_interval_ms,
            {.text = "news count as told this long after the last call", .unit = "ms", .least = 100});
 }
 
-void Goals::Describe(config::Visitor& v) {
-  v.Number("whole", whole, {.text = "weight of the goodput of the whole run", .most = 1});
+void ObjectiveWeights::Describe(config::Visitor& v) {
+  v.Number("whole", overall, {.text = "weight of the goodput of the whole run", .most = 1});
   v.Number("worst_class", worst_class, {.text = "of that of the worst-served class", .most = 1});
-  v.Number("worst_account", worst_account, {.text = "of that of the worst-served account", .most = 1});
-}
-
-void Trouble::Describe(config::Visitor& v) {
-  v.Choice<TroubleKind>("kind", kind,
-                        {{"pauses", TroubleKind::kPauses},
-                         {"stall", TroubleKind::kStall},
-                         {"vanish", TroubleKind::kVanish},
-                         {"fast_errors", TroubleKind::kFastErrors},
-                         {"slow", TroubleKind::kSlow},
-                         {"lost_zone", TroubleKind::kLostZone},
-                         {"cut", TroubleKind::kCut},
-                         {"burst", TroubleKind::kBurst},
-                         {"release", TroubleKind::kRelease},
-                         {"proxy_release", TroubleKind::kProxyRelease},
-                         {"proxy_kill", TroubleKind::kProxyKill},
-                         {"poison", TroubleKind::kPoison},
-                         {"outage", TroubleKind::kOutage},
-                         {"discovery_down", TroubleKind::kDiscoveryDown},
-                         {"overbooked", TroubleKind::kOverbooked},
-                         {"lost_answers", TroubleKind::kLostAnswers},
-                         {"resets", TroubleKind::kResets},
-                         {"impatience", TroubleKind::kImpatience}},
-                        {.text = "see docs/lab.md"});
-  v.Number("at_s", at_s, {.text = "its start", .unit = "s"});
-  v.Number("for_s", for_s, {.text = "its length", .unit = "s"});
-  v.Number("part", part, {.text = "of the backends or proxies, at least one", .most = 1});
-  v.Number("size", size, {.text = "how bad: see docs/lab.md", .most = 1e6});
-  v.Number("every_ms", every_ms, {.text = "mean time between pauses", .unit = "ms", .least = 1});
-  v.Whole32("from_zone", from_zone, {.text = "of a cut; the lost zone", .most = 63});
-  v.Whole32("to_zone", to_zone, {.text = "of a cut", .most = 63});
+  v.Number("worst_account", worst_tenant, {.text = "of that of the worst-served account", .most = 1});
 }
 
 void Scenario::Describe(config::Visitor& v) {
@@ -211,48 +192,57 @@
   v.Number("window_s", window_s, {.text = "of the time line", .unit = "s", .least = 0.01, .most = 3600});
   v.Section("load", "What clients ask for.", load);
   v.Items("class", "A class of requests; one table each.", classes);
-  v.Items("account", "An account that requests belong to.", accounts);
+  v.Items("account", "An account that requests belong to.", tenants);
   v.Section("clients", "How clients behave when they are not served.", clients);
-  v.Items("machine", "A kind of backend.", machines);
+  v.Items("machine", "A kind of backend.", backend_types);
   v.Section("fleet", "How many of each there are, and where.", fleet);
   v.Section("network", "What lies between them.", network);
   v.Section("discovery", "The service that names the backends.", discovery);
   v.Section("rules", "What proxies must keep, and are told.", rules);
-  v.Section("goal", "What service is judged by; proxies are told.", goal);
-  v.Items("trouble", "Something that goes wrong; several may overlap.", troubles);
+  v.Section("goal", "What service is judged by; proxies are told.", objective);
+  v.Items("trouble", "Something that goes wrong; several may overlap.", faults);
   v.Check("class", !classes.empty(), "at least one is wanted");
-  v.Check("account", !accounts.empty(), "at least one is wanted");
-  v.Check("machine", !machines.empty(), "at least one is wanted");
+  v.Check("account", !tenants.empty(), "at least one is wanted");
+  v.Check("machine", !backend_types.empty(), "at least one is wanted");
   const auto any = [](const auto& items) {
     return std::any_of(items.begin(), items.end(), [](const auto& item) { return item.share > 0; });
   };
   v.Check("class", classes.empty() || any(classes), "some share must be over 0");
-  v.Check("account", accounts.empty() || any(accounts), "some share must be over 0");
-  v.Check("machine", machines.empty() || any(machines), "some share must be over 0");
-  for (const Trouble& t : troubles) {
-    v.Check("trouble", t.from_zone < fleet.zones && t.to_zone < fleet.zones,
+  v.Check("account", tenants.empty() || any(tenants), "some share must be over 0");
+  v.Check("machine", backend_types.empty() || any(backend_types), "some share must be over 0");
+  for (const Fault& fault : faults) {
+    v.Check("trouble", fault.from_zone < fleet.zones && fault.to_zone < fleet.zones,
             "from_zone or to_zone is no zone of the fleet");
   }
 }
 
 double Scenario::Capacity() const {
-  double machine_share = 0, power = 0, class_share = 0, work = 0;
-  for (const Machine& m : machines) {
-    machine_share += m.share;
-    power += m.share * m.cores * m.speed;
+  double type_share = 0;
+  double power = 0;
+  for (const BackendType& type : backend_types) {
+    type_share += type.share;
+    power += type.share * type.cores * type.speed;
   }
+  double class_share = 0;
+  double work_ms = 0;
   for (const RequestClass& c : classes) {
     class_share += c.share;
-    work += c.share * c.work_ms;
+    work_ms += c.share * c.work_ms;
   }
-  return fleet.backends * power / machine_share * 1000 * class_share / work;
+  return fleet.backends * power / type_share * kMsPerSecond * class_share / work_ms;
+}
+
+double Scenario::MaxDeadlineMs() const {
+  double longest = 0;
+  for (const RequestClass& c : classes) longest = std::max(longest, c.deadline_ms);
+  return longest;
 }
 
 Scenario ReadScenario(const std::string& file) { return config::Read<Scenario>(file); }
 
 std::string ScenarioReference() {
   Scenario defaults;
-  defaults.troubles.clear();
+  defaults.faults.clear();
   return config::ShowReference([&](config::Visitor& v) { defaults.Describe(v); });
 }
 
--- a/src/simulation/world/backend.cpp
+++ b/src/simulation/world/backend.cpp
@@ -1,174 +1,167 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "simulation/world/backend.h"
 
-#include <algorithm>
 #include <cmath>
 
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kPressSlack = 3;  // mean-sized requests that chance may add to the cold budget
-constexpr double kRootSlack = 2;   // the same beside roots of it
+constexpr double kMsPerSecond = 1000;
+constexpr double kMinRate = 1e-9;          // divisors
+constexpr double kFixedSlack = 3;          // requests that chance may add to the overload budget
+constexpr double kDeviationSlack = 2;      // the same beside the standard deviations of the type
+constexpr double kMeanProgressLeft = 0.5;  // of a running job
+
+std::size_t SlotsOf(const BackendType& type) {
+  return static_cast<std::size_t>(std::max(1.0, std::floor(type.cores * type.slots_per_core)));
+}
 
 }  // namespace
 
-Backend::Backend(const Machine& machine, int zone, int cell, double speed)
-    : machine_(&machine), zone_(zone), cell_(cell), speed_(speed) {
-  const auto slots =
-      static_cast<std::size_t>(std::max(1.0, std::floor(machine.cores * machine.slots_per_core)));
-  slots_.resize(slots);
-  for (std::size_t i = slots; i > 0; --i) free_.push_back(static_cast<std::uint32_t>(i - 1));
-}
-
-double Backend::Warmth(Micros now) const {
-  const Micros slow_start_window = FromMs(machine_->warm_up_s * 1000);
-  if (up_since_ == 0 || slow_start_window <= 0 || now - up_since_ >= slow_start_window) return 1;
-  return machine_->slow_start_min_capacity + (1 - machine_->slow_start_min_capacity) *
-                                                 static_cast<double>(now - up_since_) /
-                                                 static_cast<double>(slow_start_window);
-}
-
-double Backend::Capacity(Micros now) const { return machine_->cores * speed_ * Warmth(now) / grey_; }
-
-bool Backend::Knows(Micros now, std::uint64_t key) const {
-  if (key == 0 || machine_->warm_key_gain <= 0) return false;
-  const auto found = met_.find(key);
-  return found != met_.end() && now - found->second < FromMs(machine_->warm_key_s * 1000);
-}
-
-void Backend::Meet(Micros now, std::uint64_t key) {
-  if (key == 0 || machine_->warm_key_gain <= 0) return;
-  met_[key] = now;
-  met_order_.emplace_back(now, key);
-  const auto most = static_cast<std::size_t>(machine_->key_affinity * machine_->cores);
-  while (!met_order_.empty() &&
-         (met_.size() > most || now - met_order_.front().first >= FromMs(machine_->warm_key_s * 1000))) {
-    const auto [at, old] = met_order_.front();
-    met_order_.pop_front();
-    const auto found = met_.find(old);
-    if (found != met_.end() && found->second == at) met_.erase(found);
-  }
+Backend::Backend(const BackendType& type, int zone, int cell, double speed)
+    : type_(&type),
+      zone_(zone),
+      cell_(cell),
+      speed_(speed),
+      key_cache_(static_cast<std::size_t>(type.max_cached_keys * type.cores),
+                 FromMs(type.cached_key_s * kMsPerSecond)) {
+  ResetSlots(SlotsOf(type));
 }
 
-// Time that a job takes from its start on, in ms. Slots share the cores; what crowds it counts at the start.
-double Backend::Needed(Micros now, const Job& job) const {
-  const double work = job.work_ms * (Knows(now, job.key) ? 1 - machine_->warm_key_gain : 1);
-  const double shared = std::max(1.0, static_cast<double>(busy_ + 1) / machine_->cores);
-  double rate = speed_ * Warmth(now) / grey_ / shared;
-  if (machine_->crowd_at > 0) {
-    const double per_slot = static_cast<double>(held()) / static_cast<double>(slots_.size());
-    const double over = std::max(0.0, per_slot / machine_->crowd_at - 1);
-    rate /= 1 + over * machine_->crowding / (1 - machine_->crowding);
-  }
-  return work / std::max(rate, 1e-9);
+void Backend::ResetSlots(std::size_t count) {
+  slots_.assign(count, Slot());
+  free_slots_.clear();
+  for (std::size_t i = count; i > 0; --i) free_slots_.push_back(static_cast<std::uint32_t>(i - 1));
+  busy_ = 0;
 }
 
-Backend::Started Backend::Begin(Micros now, const Job& job) {
-  const std::uint32_t index = free_.back();
-  free_.pop_back();
+double Backend::CapacityFraction(Micros now) const {
+  const Micros window = FromMs(type_->slow_start_window_s * kMsPerSecond);
+  if (up_since_ == 0 || window <= 0 || now - up_since_ >= window) return 1;
+  const double least = type_->slow_start_min_capacity;
+  return least + (1 - least) * static_cast<double>(now - up_since_) / static_cast<double>(window);
+}
+
+double Backend::Capacity(Micros now) const {
+  return type_->cores * speed_ * CapacityFraction(now) / slowdown_;
+}
+
+// Requests in progress or queued per slot slow the backend down beyond a threshold.
+double Backend::CongestionFactor() const {
+  if (type_->congestion_start <= 0) return 1;
+  const double per_slot = static_cast<double>(requests()) / static_cast<double>(slots_.size());
+  const double excess = std::max(0.0, per_slot / type_->congestion_start - 1);
+  return 1 + excess * type_->congestion_slowdown / (1 - type_->congestion_slowdown);
+}
+
+// Milliseconds that a job takes from its start on. Slots share the cores; congestion counts at the start.
+double Backend::ServiceTime(Micros now, const Job& job) const {
+  const bool cached = CachesKeys() && job.key != 0 && key_cache_.Contains(now, job.key);
+  const double work = job.work_ms * (cached ? 1 - type_->cached_key_gain : 1);
+  const double sharing = std::max(1.0, static_cast<double>(busy_ + 1) / type_->cores);
+  double rate = speed_ * CapacityFraction(now) / slowdown_ / sharing;
+  rate /= CongestionFactor();
+  return work / std::max(rate, kMinRate);
+}
+
+StartedJob Backend::StartJob(Micros now, const Job& job) {
+  const std::uint32_t index = free_slots_.back();
+  free_slots_.pop_back();
   Slot& slot = slots_[index];
-  const double needed = Needed(now, job);
+  const Micros service_time = std::max<Micros>(1, FromMs(ServiceTime(now, job)));
   slot.job = job;
   slot.busy = true;
-  slot.frozen_before = frozen_sum_;
+  slot.paused_before = total_paused_;
   ++busy_;
-  Meet(now, job.key);
-  return {index | slot.serial << 16, std::max(now, frozen_until_) + std::max<Micros>(1, FromMs(needed))};
+  if (CachesKeys() && job.key != 0) key_cache_.Use(now, job.key);
+  return {index | slot.serial << kSerialShift, std::max(now, paused_until_) + service_time};
 }
 
-Backend::Verdict Backend::Arrive(Micros now, const Job& job, Started* started) {
-  if (!free_.empty() && waiting_.empty()) {
-    *started = Begin(now, job);
-    return Verdict::kStarted;
+ArrivalResult Backend::Arrive(Micros now, const Job& job, StartedJob* started) {
+  if (!free_slots_.empty() && queue_.empty()) {
+    *started = StartJob(now, job);
+    return ArrivalResult::kStarted;
   }
-  if (static_cast<int>(waiting_.size()) >= machine_->queue) return Verdict::kFull;
-  waiting_.push_back(job);
-  waiting_ms_ += job.work_ms;
-  return Verdict::kWaits;
+  if (static_cast<int>(queue_.size()) >= type_->queue) return ArrivalResult::kRejected;
+  queue_.push_back(job);
+  queued_ms_ += job.work_ms;
+  return ArrivalResult::kQueued;
 }
 
-std::optional<Job> Backend::End(Micros now, std::uint32_t index_and_serial, Micros* again) {
-  const std::uint32_t index = index_and_serial & 0xffff;
+std::optional<Job> Backend::Finish(Micros now, std::uint32_t slot_and_serial, Micros* postponed_to) {
+  const std::uint32_t index = slot_and_serial & kIndexMask;
   Slot& slot = slots_[index];
-  *again = 0;
-  if (!slot.busy || slot.serial != index_and_serial >> 16) return std::nullopt;
-  if (const Micros frozen = frozen_sum_ - slot.frozen_before; frozen > 0) {
-    slot.frozen_before = frozen_sum_;
-    *again = now + frozen;
+  *postponed_to = 0;
+  if (!slot.busy || slot.serial != slot_and_serial >> kSerialShift) return std::nullopt;
+  if (const Micros paused = total_paused_ - slot.paused_before; paused > 0) {
+    slot.paused_before = total_paused_;
+    *postponed_to = now + paused;
     return std::nullopt;
   }
-  Free(index);
+  FreeSlot(index);
   return slot.job;
 }
 
-std::optional<Backend::Started> Backend::StartNext(Micros now) {
-  if (free_.empty() || health_ != Health::kUp) return std::nullopt;
-  while (!waiting_.empty()) {
-    const Job job = waiting_.front();
-    waiting_.pop_front();
-    waiting_ms_ = waiting_.empty() ? 0 : waiting_ms_ - job.work_ms;
-    return Begin(now, job);
-  }
-  return std::nullopt;
+std::optional<StartedJob> Backend::StartNext(Micros now) {
+  if (free_slots_.empty() || health_ != Health::kUp || queue_.empty()) return std::nullopt;
+  const Job job = queue_.front();
+  queue_.pop_front();
+  queued_ms_ = queue_.empty() ? 0 : queued_ms_ - job.work_ms;
+  return StartJob(now, job);
 }
 
-bool Backend::Cancel(std::uint32_t try_slot, std::uint8_t attempt) {
-  if (machine_->cancelled == "runs_on") return false;
-  const auto same = [&](const Job& j) { return j.try_slot == try_slot && j.attempt == attempt; };
-  const auto found = std::find_if(waiting_.begin(), waiting_.end(), same);
-  if (found != waiting_.end()) {
-    waiting_ms_ -= found->work_ms;
-    waiting_.erase(found);
+bool Backend::Cancel(std::uint32_t request_slot, std::uint8_t attempt) {
+  if (type_->cancelled == "runs_on") return false;
+  const auto matches = [&](const Job& job) {
+    return job.request_slot == request_slot && job.attempt == attempt;
+  };
+  const auto queued = std::find_if(queue_.begin(), queue_.end(), matches);
+  if (queued != queue_.end()) {
+    queued_ms_ -= queued->work_ms;
+    queue_.erase(queued);
     return true;
   }
-  if (machine_->cancelled != "stops") return false;
+  if (type_->cancelled != "stops") return false;
   for (std::uint32_t i = 0; i < slots_.size(); ++i) {
-    if (!slots_[i].busy || !same(slots_[i].job)) continue;
-    Free(i);
+    if (!slots_[i].busy || !matches(slots_[i].job)) continue;
+    FreeSlot(i);
     return true;
   }
   return false;
 }
 
-void Backend::Free(std::uint32_t index) {
+void Backend::FreeSlot(std::uint32_t index) {
   slots_[index].busy = false;
-  slots_[index].serial = (slots_[index].serial + 1) & 0xffff;
-  free_.push_back(index);
+  slots_[index].serial = (slots_[index].serial + 1) & kIndexMask;
+  free_slots_.push_back(index);
   --busy_;
 }
 
-// What is in work is put off by as long, and what begins meanwhile begins at the end: see Begin and End.
-// Freezes that overlap are one.
-void Backend::Freeze(Micros now, Micros until) {
-  const Micros from = std::max(now, frozen_until_);
+// Jobs that started within a pause end after its end, as it was then: an extension postpones them by the
+// extension alone, as it does all others.
+void Backend::Pause(Micros now, Micros until) {
+  const Micros from = std::max(now, paused_until_);
   if (until <= from) return;
-  frozen_sum_ += until - from;
-  frozen_until_ = until;
-  // Jobs that began within a freeze count from its end, which has just moved: they are put off by the rest
-  // only, as all others.
+  total_paused_ += until - from;
+  paused_until_ = until;
 }
 
-std::vector<Job> Backend::Die(Health to) {
-  std::vector<Job> held;
-  for (std::uint32_t i = 0; i < slots_.size(); ++i) {
-    if (slots_[i].busy) held.push_back(slots_[i].job);
+std::vector<Job> Backend::Stop(Health to) {
+  std::vector<Job> lost;
+  for (const Slot& slot : slots_) {
+    if (slot.busy) lost.push_back(slot.job);
   }
-  held.insert(held.end(), waiting_.begin(), waiting_.end());
-  waiting_.clear();
-  waiting_ms_ = 0;
+  lost.insert(lost.end(), queue_.begin(), queue_.end());
+  queue_.clear();
+  queued_ms_ = 0;
   health_ = to;
-  busy_ = 0;
-  ++life_;
-  const std::size_t slots = slots_.size();
-  slots_.assign(slots, Slot());
-  free_.clear();
-  for (std::size_t i = slots; i > 0; --i) free_.push_back(static_cast<std::uint32_t>(i - 1));
+  ++incarnation_;
+  ResetSlots(slots_.size());
   connections_ = 0;
-  met_.clear();
-  met_order_.clear();
-  pressed_.clear();
-  frozen_until_ = 0;
-  return held;
+  key_cache_.Clear();
+  slow_start_work_.clear();
+  paused_until_ = 0;
+  return lost;
 }
 
 void Backend::Start(Micros now) {
@@ -176,35 +169,43 @@
   up_since_ = std::max<Micros>(1, now);
 }
 
-double Backend::DoneIn(Micros now, double work_ms, std::uint64_t key) const {
+double Backend::CompletionTime(Micros now, double work_ms, std::uint64_t key) const {
   Job job;
   job.work_ms = static_cast<float>(work_ms);
   job.key = key;
-  const double frozen = ToMs(std::max<Micros>(0, frozen_until_ - now));
-  const double ahead = free_.empty() ? waiting_ms_ + 0.5 * busy_ * work_ms : 0;
-  return frozen + ahead / std::max(Capacity(now), 1e-9) + Needed(now, job);
+  const double pause = ToMs(std::max<Micros>(0, paused_until_ - now));
+  const double ahead = free_slots_.empty() ? queued_ms_ + kMeanProgressLeft * busy_ * work_ms : 0;
+  return pause + ahead / std::max(Capacity(now), kMinRate) + ServiceTime(now, job);
 }
 
-bool Backend::Accept() {
-  if (machine_->connections > 0 && connections_ >= machine_->connections) return false;
+bool Backend::AcceptConnection() {
+  if (type_->connections > 0 && connections_ >= type_->connections) return false;
   ++connections_;
   return true;
 }
 
-bool Backend::Press(Micros now, double work_ms, bool told, double* told_share) {
-  if (machine_->overload_factor <= 0 || Warmth(now) >= 1) return false;
-  pressed_.push_back({now, static_cast<float>(work_ms), told ? static_cast<float>(work_ms) : 0});
-  const Micros window = FromMs(machine_->fall_ms);
-  while (now - pressed_.front().at > window) pressed_.pop_front();
-  double sum = 0, known = 0;
-  for (const Pressed& p : pressed_) sum += p.work, known += p.told;
-  const double budget = machine_->overload_factor * Capacity(now) * machine_->fall_ms;
-  const double mean = std::max(sum / static_cast<double>(pressed_.size()), 1e-9);
-  const double slack = machine_->fall_roots > 0
-                           ? (machine_->fall_roots * std::sqrt(budget / mean) + kRootSlack) * mean
-                           : kPressSlack * work_ms;
-  if (sum <= budget + slack) return false;
-  *told_share = known / sum;
+// What chance may add to the budget, in milliseconds of work.
+double Backend::OverloadSlack(double budget_ms, double mean_ms, double work_ms) const {
+  if (type_->overload_deviations <= 0) return kFixedSlack * work_ms;
+  return (type_->overload_deviations * std::sqrt(budget_ms / mean_ms) + kDeviationSlack) * mean_ms;
+}
+
+bool Backend::RecordSlowStartWork(Micros now, double work_ms, bool informed, double* informed_share) {
+  if (type_->overload_factor <= 0 || CapacityFraction(now) >= 1) return false;
+  const auto work = static_cast<float>(work_ms);
+  slow_start_work_.push_back({now, work, informed ? work : 0});
+  const Micros window = FromMs(type_->overload_window_ms);
+  while (now - slow_start_work_.front().at > window) slow_start_work_.pop_front();
+  double sum = 0;
+  double informed_sum = 0;
+  for (const SentWork& sent : slow_start_work_) {
+    sum += sent.work_ms;
+    informed_sum += sent.informed_ms;
+  }
+  const double budget = type_->overload_factor * Capacity(now) * type_->overload_window_ms;
+  const double mean = std::max(sum / static_cast<double>(slow_start_work_.size()), kMinRate);
+  if (sum <= budget + OverloadSlack(budget, mean, work_ms)) return false;
+  *informed_share = informed_sum / sum;
   return true;
 }
 
--- /dev/null
+++ b/src/simulation/world/client_retry_accuracy.h
@@ -0,0 +1,52 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Measures how well ClientRetryDetector recognizes the client retries of one proxy's requests, against the
+// truth that only the simulation knows. It changes nothing.
+#ifndef COPPERPOINT_SIMULATION_WORLD_CLIENT_RETRY_ACCURACY_H_
+#define COPPERPOINT_SIMULATION_WORLD_CLIENT_RETRY_ACCURACY_H_
+
+#include <cstdint>
+
+#include "decision/client_retry_detector.h"
+#include "simulation/report/metrics.h"
+
+namespace copperpoint::simulation {
+
+// What the detector said of one request; kept with it.
+struct DetectedRequest {
+  std::uint64_t fingerprint = 0;
+  LogicalRequest logical_request;
+};
+
+class ClientRetryAccuracy {
+ public:
+  // A request reaches the proxy. `is_retry`: it is not the first of its logical request; `seen_here`: an
+  // earlier one of them came to this proxy.
+  DetectedRequest OnReceived(TimePoint now, const RequestReceived& request, bool is_retry, bool seen_here,
+                             Metrics* metrics) {
+    DetectedRequest detected{FingerprintOf(request), {}};
+    detected.logical_request = detector_.OnReceived(detected.fingerprint, now);
+    const bool taken_for_retry = detected.logical_request.client_attempts > 1;
+    metrics->client_retries_at_same_proxy += seen_here;
+    metrics->detected_retries += taken_for_retry && is_retry;
+    metrics->false_retries += taken_for_retry && !is_retry;
+    return detected;
+  }
+
+  // `may_retry`: the client may send it again, as after a rejection, or any failure if it is idempotent.
+  void OnCompleted(TimePoint now, const DetectedRequest& detected, bool may_retry, Duration deadline) {
+    if (may_retry) {
+      detector_.OnUnserved(detected.fingerprint, detected.logical_request,
+                           detected.logical_request.first_received + deadline);
+    } else {
+      detector_.OnServed(detected.fingerprint, now + deadline);
+    }
+  }
+
+ private:
+  ClientRetryDetector detector_;
+};
+
+}  // namespace copperpoint::simulation
+
+#endif  // COPPERPOINT_SIMULATION_WORLD_CLIENT_RETRY_ACCURACY_H_
--- /dev/null
+++ b/src/simulation/world/world.h
@@ -0,0 +1,159 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The state that the parts of a simulation share: the drawn scenario, the event queue, backends, proxies and
+// requests. Each part handles the kinds of events listed for it below; run/run.cpp dispatches them.
+#ifndef COPPERPOINT_SIMULATION_WORLD_WORLD_H_
+#define COPPERPOINT_SIMULATION_WORLD_WORLD_H_
+
+#include <fmt/format.h>
+
+#include <deque>
+#include <initializer_list>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "simulation/core/event_queue.h"
+#include "simulation/core/random.h"
+#include "simulation/report/metrics.h"
+#include "simulation/report/proxy_logs.h"
+#include "simulation/world/backend.h"
+#include "simulation/world/client_request.h"
+#include "simulation/world/drawn_scenario.h"
+#include "simulation/world/network.h"
+#include "simulation/world/proxy_state.h"
+#include "simulation/world/rule_checker.h"
+
+namespace copperpoint::simulation {
+
+// Behind each kind: the target and the argument of the event. `slot` is that of a ClientRequest, an
+// incarnation stands in the upper 32 bits.
+enum EventKind : std::uint32_t {
+  // ClientPopulation
+  kArrival,         // the next first request is sent
+  kClientSend,      // argument: slot of a request that reaches its proxy
+  kClientTimeout,   // argument: slot; the client gives this request up
+  kFrontEndUpdate,  // target: proxy, argument: 1: it is up, 0: it is not
+  // RequestHandler
+  kResponseOverdue,  // argument: slot; the final response must be there
+  // AttemptHandler
+  kAttemptReceived,   // target: attempt, bit 31 set on a new connection; argument: slot
+  kResponse,          // target: attempt | outcome << 8; argument: slot
+  kConnectFailure,    // target: attempt, argument: slot
+  kAttemptTimeout,    // target: attempt, argument: slot
+  kAttemptCancelled,  // target: attempt, argument: slot; the backend learns that nobody waits
+  kWorkCompleted,     // target: backend, argument: slot of the job | incarnation
+  // ProxyRuntime
+  kProxyTimer,  // target: proxy, argument: token | incarnation
+  // ProbeHandler
+  kProbeReceived,  // target: proxy, argument: backend | incarnation of the proxy
+  kProbeResponse,  // target: proxy, argument: index of the response
+  // DiscoveryService
+  kChangeDetected,  // argument: index of a change that discovery gets to know
+  kEndpointUpdate,  // target: proxy, argument: its incarnation
+  kPollAnswered,    // as above
+  kPollOverdue,     // as above; unless it has polled since
+  kPollFailed,      // as above
+  // FaultInjector
+  kFaultStart,  // argument: index of the fault
+  kFaultEnd,
+  kBackendPause,  // target: backend, argument: index of the fault
+  kDrainBackend,  // target: backend
+  kStopBackend,
+  kStartBackend,
+  kDrainProxy,  // target: proxy
+  kStopProxy,
+  kStartProxy,
+  // MembershipModel
+  kMembershipUpdate,
+  // ConnectionSampler
+  kConnectionSample,
+};
+
+// Two 32-bit numbers in an event's argument.
+constexpr std::uint64_t WithIncarnation(std::uint64_t low, std::uint32_t incarnation) {
+  return low | static_cast<std::uint64_t>(incarnation) << 32;
+}
+constexpr std::uint32_t LowHalf(std::uint64_t both) { return static_cast<std::uint32_t>(both); }
+constexpr std::uint32_t IncarnationOf(std::uint64_t both) { return static_cast<std::uint32_t>(both >> 32); }
+
+// Faults of attempts that are in force.
+struct AttemptFaults {
+  bool poison_active = false;         // requests of the poison key crash the backend that runs them
+  double lost_response_share = 0;     // responses that never arrive
+  double connection_reset_share = 0;  // attempts that find their connection reset
+};
+
+class World {
+ public:
+  World(const Scenario& scenario, std::uint64_t seed);
+
+  const Scenario& scenario;
+  const DrawnScenario drawn;
+  EventQueue queue;
+  Network network;
+  RuleChecker rules;
+  Metrics metrics;
+  Random service_random;  // of attempts: noise of their work, errors
+  std::vector<Backend> backends;
+  std::vector<ProxyState> proxies;
+  std::deque<ClientRequest> requests;
+  AttemptFaults attempt_faults;
+
+  Micros now() const { return queue.now(); }
+  // As the policies see it.
+  static TimePoint Time(Micros at) { return TimePoint(kPolicyTimeOrigin + Duration(ToMs(at))); }
+  TimePoint time() const { return Time(now()); }
+
+  // The slot of a fresh request, with one reference.
+  std::uint32_t NewRequest();
+  ClientRequest& RequestAt(std::uint64_t slot) { return requests[slot]; }
+  // Drops a reference; the slot is free after the last.
+  void Release(std::uint32_t slot);
+  // The request's id for its proxy: never the same twice.
+  static RequestId IdOf(std::uint32_t slot, const ClientRequest& request) {
+    return static_cast<RequestId>(request.generation) << 32 | slot;
+  }
+  // How often a client sends a request again at most.
+  int MaxClientRetries() const {
+    return scenario.clients.retry == ClientRetryMode::kNone ? 0 : scenario.clients.retries;
+  }
+  bool IsClientRetry(const ClientRequest& request) const { return request.retries_left < MaxClientRetries(); }
+  // Whether the request's key is the poison key, while that fault is in force.
+  bool IsPoison(std::uint64_t key) const {
+    return attempt_faults.poison_active && key != 0 && key == drawn.poison_key;
+  }
+  // Whether the proxy that received the request still runs, in the same incarnation.
+  bool ProxyIsRunning(const ClientRequest& request) const {
+    const ProxyState& proxy = proxies[request.proxy];
+    return proxy.running && proxy.incarnation == request.proxy_incarnation;
+  }
+
+  // Adds a line to the trace, if the request is the traced one.
+  template <typename... Args>
+  void Trace(std::uint32_t slot, fmt::format_string<Args...> text, Args&&... args) {
+    if (traced_request == 0 || IdOf(slot, requests[slot]) != traced_request) return;
+    trace.push_back(
+        fmt::format("{:12.3f} ms  {}", ToMs(now()), fmt::format(text, std::forward<Args>(args)...)));
+  }
+  RequestId traced_request = 0;  // 0: none
+  std::vector<std::string> trace;
+
+  // Writes a line to the log of a proxy, if logs are written.
+  void LogTo(std::uint32_t proxy, std::string_view event, std::initializer_list<log::Field> fields) {
+    if (logs) logs->Write(proxy, ToMs(now()), event, fields);
+  }
+  std::optional<ProxyLogs> logs;
+
+ private:
+  // An origin of 0 would mean "never" to policies.
+  static constexpr Duration kPolicyTimeOrigin{1e9};
+
+  std::vector<std::uint32_t> free_slots_;
+};
+
+}  // namespace copperpoint::simulation
+
+#endif  // COPPERPOINT_SIMULATION_WORLD_WORLD_H_
--- a/src/supervisor/settings.cpp
+++ b/src/supervisor/settings.cpp
@@ -15,7 +15,7 @@
   v.Word("program", program, {}, {.text = "its path"});
   v.Word("settings", settings, {}, {.text = "the operator's file that it runs with; empty: none"});
   v.Word("digest", digest, {},
-         {.text = "of both, as `copperpoint keep FILE --digests` prints it; empty: not checked"});
+         {.text = "of both, as `copperpoint supervise FILE --digests` prints it; empty: not checked"});
   v.Check("name", !name.empty() && name.find(' ') == std::string::npos, "is empty or has a space");
   v.Check("program", !program.empty(), "is missing");
 }
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -2,7 +2,10 @@
 #include <gtest/gtest.h>
 
 #include <string>
+#include <utility>
+#include <vector>
 
+#include "cli/command_line.h"
 #include "support/run_program.h"
 
 namespace copperpoint {
@@ -21,8 +24,16 @@
 }
 
 TEST(CommandLine, EachCommandHasHelpWithAnExample) {
-  for (const char* command :
-       {"serve", "config", "config check", "config show", "config reference", "version"}) {
+  for (const char* command : {"serve",          "config",           "config check",
+                              "config show",    "config reference", "simulate",
+                              "simulate run",   "simulate compare", "simulate sweep",
+                              "simulate plot",  "simulate draw",    "simulate reference",
+                              "fleet count",    "fleet show",       "fleet check",
+                              "fault-test run", "fault-test plot",  "fault-test list",
+                              "supervise",      "rollout plan",     "rollout start",
+                              "rollout pause",  "rollout resume",   "rollout abort",
+                              "rollout status", "rollout history",  "rollout simulate",
+                              "demo",           "version"}) {
     const Finished run = Invoke(std::string(command) + " --help");
     EXPECT_EQ(run.code, 0) << command;
     EXPECT_NE(run.out.find("Example: "), std::string::npos) << command;
@@ -75,6 +86,47 @@
   EXPECT_EQ(run.err, "copperpoint: " + file + ": 2:11: the configuration is no JSON\n");
 }
 
+TEST(CommandLine, OldNamesOfCommandsWorkAndAreNotInTheHelp) {
+  const std::pair<const char*, const char*> renamed[] = {
+      {"lab run --help", "simulate run --help"},         {"lab sweep --help", "simulate sweep --help"},
+      {"rig run --help", "fault-test run --help"},       {"keep --help", "supervise --help"},
+      {"rollout try --help", "rollout simulate --help"},
+  };
+  for (const auto& [old_name, current_name] : renamed) {
+    const Finished by_old_name = Invoke(old_name);
+    EXPECT_EQ(by_old_name.code, 0) << old_name;
+    EXPECT_EQ(by_old_name.out, Invoke(current_name).out) << old_name;
+  }
+  const std::string help = Invoke("--help").out + Invoke("rollout --help").out;
+  for (const char* old_name : {"\n  lab ", "\n  rig ", "\n  keep ", "\n  try "})
+    EXPECT_EQ(help.find(old_name), std::string::npos) << old_name;
+}
+
+TEST(CommandLine, OldNamesOfOptionsWorkAndAreNotInTheHelp) {
+  const std::string plan = std::string(SOURCE_DIR) + "/lab/rollout/nine.toml";
+  const std::string common = plan + " --members 9 --length 30 --amount 0.5 ";
+  const Finished by_old_name = Invoke("rollout try " + common + "--harm fails --around=surge --faults");
+  const Finished by_current_name =
+      Invoke("rollout simulate " + common + "--fault fails --environment=surge --member-faults");
+  EXPECT_EQ(by_current_name.err, "");
+  EXPECT_NE(by_current_name.out.find("fails 0.5 surge: 1 seeds"), std::string::npos) << by_current_name.out;
+  EXPECT_EQ(by_old_name.out, by_current_name.out);
+  const std::string help = Invoke("rollout simulate --help").out + Invoke("fleet count --help").out;
+  for (const char* old_name : {"--harm", "--around", "--faults", "--cold-for-ms"})
+    EXPECT_EQ(help.find(old_name), std::string::npos) << old_name;
+}
+
+TEST(CommandLine, ArgumentsBehindTwoDashesKeepTheirText) {
+  const std::vector<std::string> arguments{"rollout", "try", "--", "--harm"};
+  EXPECT_EQ(cli::CurrentArguments(arguments),
+            (std::vector<std::string>{"rollout", "simulate", "--", "--harm"}));
+}
+
+TEST(CommandLine, ValuesThatLookLikeOldCommandsKeepTheirText) {
+  const std::vector<std::string> arguments{"simulate", "run", "lab", "--policy", "rig"};
+  EXPECT_EQ(cli::CurrentArguments(arguments), arguments);
+}
+
 TEST(CommandLine, TheVersionIsOneLine) {
   const Finished run = Invoke("version");
   EXPECT_EQ(run.code, 0);
--- a/tests/decision/recorded_replies_test.cpp
+++ b/tests/decision/recorded_replies_test.cpp
@@ -61,7 +61,7 @@
   XXH3_64bits_reset(sum.get());
   simulation::RunOptions options;
   options.seed = seed;
-  options.make = [&](const std::string&, simulation::PolicyContext context) {
+  options.make_policy = [&](const std::string&, simulation::PolicyContext context) {
     return std::make_unique<RecordingPolicy>(std::move(context), sum.get());
   };
   simulation::Run(scenario, options);
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -24,7 +24,7 @@
 
 std::string Replay(const std::string& name, std::uint64_t seed, const Outcome& outcome) {
   std::string text =
-      "copperpoint rig run lab/rig/" + name + ".toml --virtual --seed " + std::to_string(seed) + "\n";
+      "copperpoint fault-test run lab/rig/" + name + ".toml --virtual --seed " + std::to_string(seed) + "\n";
   for (const std::string& line : outcome.story) text += line + "\n";
   return text;
 }
@@ -125,7 +125,7 @@
 Finished RunFile(const std::string& arguments) {
   Finished finished;
   for (int tries = 0; tries < 3; ++tries) {
-    finished = RunProgram(PROGRAM_PATH, "rig run " + arguments);
+    finished = RunProgram(PROGRAM_PATH, "fault-test run " + arguments);
     if (finished.code != 3) break;
   }
   return finished;
--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -34,25 +34,25 @@
   s.load.keys = 50;
   s.classes[0].work_cv = 0.5;
   s.classes[0].distribution = "lognormal";
-  s.classes[0].aim_ms = 200;
-  s.clients.retry = simulation::Retry::kFixed;
+  s.classes[0].latency_objective_ms = 200;
+  s.clients.retry = simulation::ClientRetryMode::kFixed;
   s.fleet = {12, 20, 2, 0, 4};
   s.network = {0.5, 0.3, 2, 0.1, 0, 200, 1, 200, 60};
-  s.discovery.ask = true;
-  s.discovery.notice_ms = 500;
+  s.discovery.polled = true;
+  s.discovery.detection_ms = 500;
   s.discovery.calls_per_s = 30;
   s.discovery.call_timeout_ms = 300;
-  s.machines[0].error_rate = 0.02;
-  s.machines[0].slow_start_min_capacity = 0.2;
-  s.machines[0].warm_up_s = 5;
-  const auto trouble = [&](simulation::TroubleKind kind, double at, double length, double part, double size) {
-    simulation::Trouble t;
+  s.backend_types[0].error_rate = 0.02;
+  s.backend_types[0].slow_start_min_capacity = 0.2;
+  s.backend_types[0].slow_start_window_s = 5;
+  const auto trouble = [&](simulation::FaultKind kind, double at, double length, double part, double size) {
+    simulation::Fault t;
     t.kind = kind, t.at_s = at, t.for_s = length, t.part = part, t.size = size;
-    s.troubles.push_back(t);
+    s.faults.push_back(t);
   };
-  trouble(simulation::TroubleKind::kVanish, 2, 2, 0.25, 1);
-  trouble(simulation::TroubleKind::kRelease, 4, 1, 0.3, 4);
-  trouble(simulation::TroubleKind::kDiscoveryDown, 1, 1, 1, 1);
+  trouble(simulation::FaultKind::kUnresponsive, 2, 2, 0.25, 1);
+  trouble(simulation::FaultKind::kRollingRestart, 4, 1, 0.3, 4);
+  trouble(simulation::FaultKind::kDiscoveryDown, 1, 1, 1, 1);
   return s;
 }
 
@@ -77,7 +77,7 @@
 TEST_P(CountedRun, EqualsTheEmulatorsOwnFigures) {
   const Folder folder;
   simulation::RunOptions options;
-  options.logs = folder.path;
+  options.log_folder = folder.path;
   options.log_format = GetParam();
   const simulation::RunResult run = simulation::Run(Busy(), options);
   const LogCounter counted = CountOf(folder.path);
@@ -107,7 +107,7 @@
 TEST(Count, TellsColdServersFromWarmOnes) {
   const Folder folder;
   simulation::RunOptions options;
-  options.logs = folder.path;
+  options.log_folder = folder.path;
   simulation::Run(Busy(), options);
   const auto cold_sent = [&](double slow_start_ms) {
     CountOptions count;
--- a/tests/simulation/lab_testing.h
+++ b/tests/simulation/lab_testing.h
@@ -29,8 +29,8 @@
   s.classes[0].distribution = "constant";
   s.classes[0].attempt_noise = 0;
   s.classes[0].deadline_ms = 1000;
-  s.classes[0].aim_ms = 500;
-  s.clients.retry = Retry::kNone;
+  s.classes[0].latency_objective_ms = 500;
+  s.clients.retry = ClientRetryMode::kNone;
   s.fleet.backends = 1;
   s.fleet.proxies = 1;
   s.network = {0, 0, 0, 0, 0, 200, 0, 200, 60};
@@ -59,8 +59,8 @@
   RunOptions options;
   options.policy = "scripted";
   options.seed = seed;
-  options.make = [&](const std::string&, PolicyContext) { return std::make_unique<Scripted>(react); };
-  return RunAndTell(scenario, options);
+  options.make_policy = [&](const std::string&, PolicyContext) { return std::make_unique<Scripted>(react); };
+  return RunWithTrace(scenario, options);
 }
 
 // A policy that keeps every rule: one attempt, and its end is the request's.
@@ -74,7 +74,7 @@
 }
 
 inline int RuleBroken(const RunResult& result) {
-  return result.broken == 0 ? 0 : result.json["broken"][0]["rule"].get<int>();
+  return result.violations == 0 ? 0 : result.json["broken"][0]["rule"].get<int>();
 }
 
 inline std::int64_t Count(const RunResult& result, const char* name) {
--- a/tests/simulation/models_test.cpp
+++ b/tests/simulation/models_test.cpp
@@ -8,34 +8,34 @@
 #include <memory>
 
 #include "lab_testing.h"
-#include "simulation/core/queue.h"
+#include "simulation/core/event_queue.h"
 #include "simulation/core/random.h"
-#include "simulation/report/metrics.h"
-#include "simulation/world/arrivals.h"
+#include "simulation/report/latency_histogram.h"
+#include "simulation/world/arrival_process.h"
 #include "simulation/world/backend.h"
-#include "simulation/world/day.h"
+#include "simulation/world/drawn_scenario.h"
 
 namespace copperpoint::simulation {
 namespace {
 
-TEST(Queue, IsOrderedByTimeThenRankThenPush) {
-  Queue queue;
-  queue.Push(20, Rank::kNews, 1, 0, 0);
-  queue.Push(10, Rank::kTimeout, 2, 0, 0);
-  queue.Push(10, Rank::kBackend, 3, 0, 0);
-  queue.Push(10, Rank::kBackend, 4, 0, 0);
-  queue.Push(10, Rank::kNews, 5, 0, 0);
+TEST(EventQueue, IsOrderedByTimeThenRankThenPush) {
+  EventQueue queue;
+  queue.Push(20, EventPriority::kControl, 1, 0, 0);
+  queue.Push(10, EventPriority::kTimeout, 2, 0, 0);
+  queue.Push(10, EventPriority::kBackend, 3, 0, 0);
+  queue.Push(10, EventPriority::kBackend, 4, 0, 0);
+  queue.Push(10, EventPriority::kControl, 5, 0, 0);
   std::vector<std::uint32_t> kinds;
-  while (!queue.empty()) kinds.push_back(queue.Take().kind);
+  while (!queue.empty()) kinds.push_back(queue.PopNext().kind);
   EXPECT_EQ(kinds, (std::vector<std::uint32_t>{5, 3, 4, 2, 1}));
 }
 
-TEST(Queue, ATimeInThePastIsNowAndTimeNeverGoesBack) {
-  Queue queue;
-  queue.Push(100, Rank::kNews, 1, 0, 0);
-  queue.Take();
-  queue.Push(5, Rank::kNews, 2, 0, 0);
-  EXPECT_EQ(queue.Take().at, 100);
+TEST(EventQueue, ATimeInThePastIsNowAndTimeNeverGoesBack) {
+  EventQueue queue;
+  queue.Push(100, EventPriority::kControl, 1, 0, 0);
+  queue.PopNext();
+  queue.Push(5, EventPriority::kControl, 2, 0, 0);
+  EXPECT_EQ(queue.PopNext().at, 100);
   EXPECT_EQ(queue.now(), 100);
 }
 
@@ -57,9 +57,9 @@
   s.load.rate = 1000.0 * rho * cores;
   s.classes[0].work_ms = 1;
   s.classes[0].distribution = "exponential";
-  s.classes[0].aim_ms = s.classes[0].deadline_ms = 100000;
-  s.machines[0].cores = cores;
-  s.machines[0].queue = 1000000;
+  s.classes[0].latency_objective_ms = s.classes[0].deadline_ms = 100000;
+  s.backend_types[0].cores = cores;
+  s.backend_types[0].queue = 1000000;
   RunOptions options;
   options.policy = "round_robin";
   options.seed = 7;
@@ -77,67 +77,67 @@
 }
 
 TEST(Models, WarmUpRisesEvenlyFromTheColdShare) {
-  Machine machine;
+  BackendType machine;
   machine.slow_start_min_capacity = 0.2;
-  machine.warm_up_s = 10;
+  machine.slow_start_window_s = 10;
   Backend backend(machine, 0, 0, 2);
-  EXPECT_EQ(backend.Warmth(0), 1) << "long up";
-  backend.Die(Backend::Health::kDown);
+  EXPECT_EQ(backend.CapacityFraction(0), 1) << "long up";
+  backend.Stop(Backend::Health::kDown);
   backend.Start(FromMs(5000));
-  EXPECT_NEAR(backend.Warmth(FromMs(5000)), 0.2, 1e-9);
-  EXPECT_NEAR(backend.Warmth(FromMs(10000)), 0.6, 1e-9);
+  EXPECT_NEAR(backend.CapacityFraction(FromMs(5000)), 0.2, 1e-9);
+  EXPECT_NEAR(backend.CapacityFraction(FromMs(10000)), 0.6, 1e-9);
   EXPECT_NEAR(backend.Capacity(FromMs(10000)), 1.2, 1e-9);
-  EXPECT_EQ(backend.Warmth(FromMs(15000)), 1);
+  EXPECT_EQ(backend.CapacityFraction(FromMs(15000)), 1);
 }
 
 Micros StartedAt(Backend& backend, Micros now, double work) {
-  Backend::Started started;
+  StartedJob started;
   Job job;
   job.work_ms = static_cast<float>(work);
-  EXPECT_EQ(backend.Arrive(now, job, &started), Backend::Verdict::kStarted);
-  return started.ends;
+  EXPECT_EQ(backend.Arrive(now, job, &started), ArrivalResult::kStarted);
+  return started.ends_at;
 }
 
 TEST(Models, AFreezePutsOffWhatIsInWorkByItsWholeLength) {
-  Machine machine;
+  BackendType machine;
   Backend backend(machine, 0, 0, 1);
-  Backend::Started started;
+  StartedJob started;
   Job job;
   job.work_ms = 10;
-  ASSERT_EQ(backend.Arrive(0, job, &started), Backend::Verdict::kStarted);
-  EXPECT_EQ(started.ends, 10000);
-  backend.Freeze(4000, 9000);
-  backend.Freeze(6000, 12000);  // overlaps: one freeze of 8 ms
-  Micros again = 0;
-  EXPECT_FALSE(backend.End(10000, started.slot, &again).has_value());
-  EXPECT_EQ(again, 18000);
-  EXPECT_TRUE(backend.End(18000, started.slot, &again).has_value());
+  ASSERT_EQ(backend.Arrive(0, job, &started), ArrivalResult::kStarted);
+  EXPECT_EQ(started.ends_at, 10000);
+  backend.Pause(4000, 9000);
+  backend.Pause(6000, 12000);  // overlaps: one freeze of 8 ms
+  Micros postponed_to = 0;
+  EXPECT_FALSE(backend.Finish(10000, started.slot, &postponed_to).has_value());
+  EXPECT_EQ(postponed_to, 18000);
+  EXPECT_TRUE(backend.Finish(18000, started.slot, &postponed_to).has_value());
 }
 
 TEST(Models, WhatArrivesInAFreezeBeginsAtItsEnd) {
-  Machine machine;
+  BackendType machine;
   Backend backend(machine, 0, 0, 1);
-  backend.Freeze(0, 5000);
+  backend.Pause(0, 5000);
   EXPECT_EQ(StartedAt(backend, 1000, 2), 7000);
 }
 
 // How long 10 ms of work for that key take at a backend that is idle, and is idle again after it.
 Micros Takes(Backend& backend, Micros now, std::uint64_t key) {
-  Backend::Started started;
+  StartedJob started;
   Job job;
   job.work_ms = 10;
   job.key = key;
   backend.Arrive(now, job, &started);
-  Micros again = 0;
-  backend.End(started.ends, started.slot, &again);
-  return started.ends - now;
+  Micros postponed_to = 0;
+  backend.Finish(started.ends_at, started.slot, &postponed_to);
+  return started.ends_at - now;
 }
 
 TEST(Models, AWarmKeySavesItsShareAndIsForgotten) {
-  Machine machine;
+  BackendType machine;
   machine.cores = 4;
-  machine.warm_key_gain = 0.5;
-  machine.warm_key_s = 2;
+  machine.cached_key_gain = 0.5;
+  machine.cached_key_s = 2;
   Backend backend(machine, 0, 0, 1);
   const auto takes = [&](Micros now, std::uint64_t key) { return Takes(backend, now, key); };
   EXPECT_EQ(takes(0, 5), 10000);
@@ -147,9 +147,9 @@
 }
 
 TEST(Models, ABackendRemembersNoMoreKeysThanItCan) {
-  Machine machine;
-  machine.warm_key_gain = 0.5;
-  machine.key_affinity = 3;
+  BackendType machine;
+  machine.cached_key_gain = 0.5;
+  machine.max_cached_keys = 3;
   Backend backend(machine, 0, 0, 1);
   Micros now = 0;
   const auto takes = [&](std::uint64_t key) {
@@ -164,11 +164,11 @@
 
 TEST(Models, ZipfSharesFollowTheLaw) {
   Scenario s = Plain("length_s = 200\n[load]\nrate = 1000\nkeys = 50\nzipf = 1.0\n");
-  const Day day = Draw(s, 3);
-  Arrivals arrivals(s, day);
+  const DrawnScenario drawn = DrawScenario(s, 3);
+  ArrivalProcess arrivals(s, drawn);
   std::map<std::uint64_t, double> seen;
   double all = 0;
-  while (const auto wish = arrivals.Next()) ++seen[wish->key], ++all;
+  while (const auto arrival = arrivals.Next()) ++seen[arrival->key], ++all;
   double harmonic = 0;
   for (int k = 1; k <= 50; ++k) harmonic += 1.0 / k;
   EXPECT_NEAR(all, 200000, 2000);
@@ -181,10 +181,10 @@
     Scenario s = Plain("length_s = 100\n[load]\nrate = 1000\n");
     s.classes[0].distribution = shape;
     s.classes[0].work_ms = 40;
-    const Day day = Draw(s, 3);
-    Arrivals arrivals(s, day);
+    const DrawnScenario drawn = DrawScenario(s, 3);
+    ArrivalProcess arrivals(s, drawn);
     double sum = 0, n = 0;
-    while (const auto wish = arrivals.Next()) sum += wish->work_ms, ++n;
+    while (const auto arrival = arrivals.Next()) sum += arrival->work_ms, ++n;
     EXPECT_NEAR(sum / n, 40, 0.8) << shape;
   }
 }
@@ -192,29 +192,29 @@
 TEST(Models, ABurstRaisesTheRateWhileItLasts) {
   const Scenario s = Plain(
       "length_s = 30\n[load]\nrate = 500\n[[trouble]]\nkind = \"burst\"\nat_s = 10\nfor_s = 10\nsize = 3\n");
-  const Day day = Draw(s, 1);
-  Arrivals arrivals(s, day);
+  const DrawnScenario drawn = DrawScenario(s, 1);
+  ArrivalProcess arrivals(s, drawn);
   double within = 0, without = 0;
-  while (const auto wish = arrivals.Next()) {
-    const double at = ToMs(wish->at) / 1000;
+  while (const auto arrival = arrivals.Next()) {
+    const double at = ToMs(arrival->at) / 1000;
     ++(at >= 10 && at < 20 ? within : without);
   }
   EXPECT_NEAR(without / 20, 500, 15);
   EXPECT_NEAR(within / 10, 1500, 40);
 }
 
-TEST(Latency, QuantilesAreWithinAPercent) {
-  Latency latency;
+TEST(LatencyHistogram, QuantilesAreWithinAPercent) {
+  LatencyHistogram latency;
   for (int i = 1; i <= 10000; ++i) latency.Add(i * 0.1);
   EXPECT_NEAR(latency.Quantile(0.5), 500, 6);
   EXPECT_NEAR(latency.Quantile(0.99), 990, 11);
   EXPECT_EQ(latency.count(), 10000);
   EXPECT_NEAR(latency.Mean(), 500.05, 1e-6);
-  EXPECT_EQ(Latency().Quantile(0.5), 0);
+  EXPECT_EQ(LatencyHistogram().Quantile(0.5), 0);
 }
 
-TEST(Latency, WhatIsBeyondItsRangeIsCountedAtTheEnds) {
-  Latency latency;
+TEST(LatencyHistogram, WhatIsBeyondItsRangeIsCountedAtTheEnds) {
+  LatencyHistogram latency;
   latency.Add(0);
   latency.Add(1e9);
   EXPECT_EQ(latency.count(), 2);
--- a/tests/simulation/overload_lab_test.cpp
+++ b/tests/simulation/overload_lab_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "config/read.h"
-#include "simulation/policies/gates.h"
+#include "simulation/policies/admission_gates.h"
 #include "simulation/policies/policy.h"
 #include "simulation/report/recovery.h"
 #include "simulation/run/run.h"
@@ -35,13 +35,13 @@
 TEST(Gates, EachKeepsAnOverloadedFleetUsefulAndLetsACalmOneBe) {
   const double none = Play(Service(1.5), "least_request+budget").goodput;
   EXPECT_LT(none, 0.2) << "repeats keep it down";
-  for (const std::string& gate : GateNames()) {
+  for (const std::string& gate : AdmissionGateNames()) {
     // CoDel's control law is for senders that slow down: it refuses too few of clients that don't.
     const double times = gate == "codel" ? 0.3 : 2;
     EXPECT_GT(Play(Service(1.5), "least_request+" + gate).goodput, times * none) << gate;
     EXPECT_GT(Play(Service(0.5), "least_request+" + gate).goodput, 0.95) << gate;
   }
-  EXPECT_THROW(MakeGate("none", Settings()), std::invalid_argument);
+  EXPECT_THROW(MakeAdmissionGate("none", Settings()), std::invalid_argument);
   EXPECT_THROW(MakePolicy("least_request+none", PolicyContext()), std::invalid_argument);
 }
 
@@ -49,33 +49,33 @@
   Scenario s;
   s.length_s = 20;
   s.window_s = 1;
-  s.troubles = {{.at_s = 5, .for_s = 3}, {.at_s = 6, .for_s = 4}};
-  std::vector<Stretch> line;
+  s.faults = {{.at_s = 5, .for_s = 3}, {.at_s = 6, .for_s = 4}};
+  std::vector<GoodputWindow> line;
   for (int i = 0; i < 20; ++i)
     line.push_back({1.0 * i, 10, i < 5 ? 10.0 : i < 10 ? 1.0 : i < 12 ? 6.0 : 9.8});
-  const auto r = RecoveryOf(s, line);
+  const auto r = MeasureRecovery(s, line);
   ASSERT_TRUE(r);
   EXPECT_DOUBLE_EQ(r->before, 1);
   EXPECT_DOUBLE_EQ(r->during, 0.1);
   EXPECT_NEAR(r->after, (2 * 6 + 3 * 9.8) / 50, 1e-9);
-  EXPECT_DOUBLE_EQ(r->back_s.value(), 2);
-  for (Stretch& stretch : line) stretch.got = std::min(stretch.got, stretch.at_s < 5 ? 10.0 : 9.0);
-  EXPECT_FALSE(RecoveryOf(s, line)->back_s) << "never as good as before";
-  s.troubles[1].for_s = 12;
-  EXPECT_FALSE(RecoveryOf(s, line)) << "ends too late to tell";
+  EXPECT_DOUBLE_EQ(r->recovered_after_s.value(), 2);
+  for (GoodputWindow& window : line) window.served = std::min(window.served, window.at_s < 5 ? 10.0 : 9.0);
+  EXPECT_FALSE(MeasureRecovery(s, line)->recovered_after_s) << "never as good as before";
+  s.faults[1].for_s = 12;
+  EXPECT_FALSE(MeasureRecovery(s, line)) << "ends too late to tell";
 }
 
 // The main thing, small: all stand still for four seconds, every client asks four times at once.
 TEST(Outage, OursIsBackAtOnceWhereABudgetOfRepeatsIsNot) {
   const std::string text = Service(0.85, "[[trouble]]\nkind = \"stall\"\nat_s = 6\nfor_s = 4\npart = 1\n");
   const RunResult ours = Play(text, "ours"), rival = Play(text, "least_request+budget");
-  EXPECT_EQ(ours.broken, 0);
+  EXPECT_EQ(ours.violations, 0);
   EXPECT_LE(ours.json["recovery"]["back_s"].get<double>(), 2);
   EXPECT_GT(rival.json["recovery"]["back_s"].get<double>(), 5);
   EXPECT_LE(ours.json["attempts_per_request"].get<double>(), 1.1);
 }
 
-TEST(Recognition, IsCertainWithHintsAndNeverGuessesWithoutHintAndKey) {
+TEST(ClientRetryAccuracy, IsCertainWithHintsAndNeverGuessesWithoutHintAndKey) {
   const auto counts = Play(Service(1.5), "ours").json["counts"];
   EXPECT_GT(counts["repeats_here"].get<int>(), 100);
   EXPECT_EQ(counts["recognised"], counts["repeats_here"]);
@@ -94,7 +94,7 @@
   const double lookup = ours.json["classes"]["lookup"], booking = ours.json["classes"]["booking"];
   EXPECT_NEAR(lookup, booking, 0.1);
   EXPECT_GT(booking, 0.2);
-  EXPECT_EQ(ours.broken, 0);
+  EXPECT_EQ(ours.violations, 0);
 }
 
 }  // namespace
--- a/tests/simulation/rules_observer_test.cpp
+++ b/tests/simulation/rules_observer_test.cpp
@@ -12,7 +12,7 @@
 
 TEST(RulesObserver, APolicyThatKeepsThemIsNotAccused) {
   const RunResult result = RunScripted(Plain(), OneAttempt);
-  EXPECT_EQ(result.broken, 0);
+  EXPECT_EQ(result.violations, 0);
   EXPECT_GT(Count(result, "served"), 50);
   EXPECT_EQ(Count(result, "served"), Count(result, "first_tries"));
 }
@@ -21,9 +21,9 @@
   const RunResult result =
       RunScripted(Plain(), [](Scripted&, TimePoint, const Event&, std::vector<Action>*) {});
   EXPECT_EQ(RuleBroken(result), 1);
-  EXPECT_EQ(result.broken, Count(result, "first_tries"));
-  ASSERT_FALSE(result.story.empty());
-  EXPECT_NE(result.story.back().find("without a final answer"), std::string::npos) << result.story.back();
+  EXPECT_EQ(result.violations, Count(result, "first_tries"));
+  ASSERT_FALSE(result.trace.empty());
+  EXPECT_NE(result.trace.back().find("without a final answer"), std::string::npos) << result.trace.back();
 }
 
 TEST(RulesObserver, Rule1SentAfterTheFinalAnswer) {
@@ -55,7 +55,7 @@
 }
 
 TEST(RulesObserver, Rule2ASafeRequestMayBeSentAgain) {
-  EXPECT_EQ(RunScripted(Plain("[[class]]\nsafe = true\nwork_ms = 10\n"), Impatient).broken, 0);
+  EXPECT_EQ(RunScripted(Plain("[[class]]\nsafe = true\nwork_ms = 10\n"), Impatient).violations, 0);
 }
 
 TEST(RulesObserver, Rule2ARefusalAfterItMayHaveRun) {
@@ -66,7 +66,7 @@
       actions->push_back(RejectRequest{end->request, Duration(0)});
   };
   EXPECT_EQ(RuleBroken(RunScripted(Plain("[[class]]\nsafe = false\nwork_ms = 10\n"), refuse)), 2);
-  EXPECT_EQ(RunScripted(Plain("[[class]]\nsafe = true\nwork_ms = 10\n"), refuse).broken, 0);
+  EXPECT_EQ(RunScripted(Plain("[[class]]\nsafe = true\nwork_ms = 10\n"), refuse).violations, 0);
 }
 
 constexpr char kRelease[] =
@@ -88,7 +88,7 @@
           return actions->push_back(RejectRequest{submit->request, Duration(0)});
         OneAttempt(self, now, event, actions);
       });
-  EXPECT_EQ(result.broken, 0);
+  EXPECT_EQ(result.violations, 0);
   EXPECT_GT(Count(result, "refused"), 20);
 }
 
@@ -107,14 +107,14 @@
   std::string late = kCold;
   late.replace(late.find("notice_ms = 100"), 15, "notice_ms = 9000");
   const RunResult result = RunScripted(Plain(late), OneAttempt);
-  EXPECT_EQ(result.broken, 0);
+  EXPECT_EQ(result.violations, 0);
   EXPECT_GT(Count(result, "resets") + Count(result, "connect_failed"), 100) << "it fell over all the same";
 }
 
 TEST(RulesObserver, OurModuleKeepsThemAllWhereTheOthersBrokeThem) {
   for (const char* scenario : {kRelease, kCold, "[[class]]\nsafe = false\nwork_ms = 10\n"}) {
-    const RunResult result = RunAndTell(Plain(scenario), RunOptions{});
-    EXPECT_EQ(result.broken, 0) << scenario << result.json["broken"].dump(1);
+    const RunResult result = RunWithTrace(Plain(scenario), RunOptions{});
+    EXPECT_EQ(result.violations, 0) << scenario << result.json["broken"].dump(1);
   }
 }
 
--- a/tests/simulation/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -12,6 +12,7 @@
 #include "config/edit.h"
 #include "lab_testing.h"
 #include "simulation/report/plot.h"
+#include "simulation/report/sweep_table.h"
 #include "simulation/run/compare.h"
 #include "support/run_program.h"
 
@@ -31,17 +32,17 @@
   SweepPlan plan;
   plan.scenario_file = "small.toml";
   plan.scenario_text = kSmall;
-  plan.varied = {ParseVaried("load.rate=20:60:20"), ParseVaried("clients.retry=none,fixed")};
+  plan.varied = {ParseVariedKey("load.rate=20:60:20"), ParseVariedKey("clients.retry=none,fixed")};
   plan.policies = {"ours", "p2c"};
   plan.seeds = {1, 2};
   return plan;
 }
 
-TEST(Varied, RangesIncludeTheirEndAndListsAreTakenAsTheyAre) {
-  EXPECT_EQ(ParseVaried("a.b=0.1:0.3:0.1").values, (std::vector<std::string>{"0.1", "0.2", "0.3"}));
-  EXPECT_EQ(ParseVaried("a.0.b=x,y").values, (std::vector<std::string>{"x", "y"}));
+TEST(VariedKey, RangesIncludeTheirEndAndListsAreTakenAsTheyAre) {
+  EXPECT_EQ(ParseVariedKey("a.b=0.1:0.3:0.1").values, (std::vector<std::string>{"0.1", "0.2", "0.3"}));
+  EXPECT_EQ(ParseVariedKey("a.0.b=x,y").values, (std::vector<std::string>{"x", "y"}));
   for (const char* bad : {"", "a", "=1", "a=", "a=1:2:0", "a=2:1:1", "a=x:y:z", "a=0:1e9:1"})
-    EXPECT_THROW(ParseVaried(bad), std::invalid_argument) << bad;
+    EXPECT_THROW(ParseVariedKey(bad), std::invalid_argument) << bad;
 }
 
 TEST(Edit, SetsKeysInTablesAndArraysAndMakesTables) {
@@ -61,7 +62,7 @@
   const SweepPlan plan = Small();
   SweepReport report = Sweep(plan, out, 2, {});
   EXPECT_EQ(report.points, 3u * 2 * 2 * 2);
-  EXPECT_EQ(report.done_before, 0u);
+  EXPECT_EQ(report.reused, 0u);
   const std::string whole = ReadWhole(out + "/point-0000005.json");
   std::filesystem::remove(out + "/point-0000003.json");
   std::ofstream(out + "/point-0000005.json") << whole.substr(0, whole.size() / 2);
@@ -72,8 +73,8 @@
   std::size_t ran = 0;
   report = Sweep(plan, out, 2, [&](std::size_t, std::size_t) { ++ran; });
   EXPECT_EQ(ran, 3u);
-  EXPECT_EQ(report.done_before, 21u);
-  EXPECT_EQ(report.torn, 2u);
+  EXPECT_EQ(report.reused, 21u);
+  EXPECT_EQ(report.corrupted, 2u);
   EXPECT_EQ(ReadWhole(out + "/point-0000005.json"), whole) << "the same bytes as the first time";
   EXPECT_EQ(ReadSweep(out).size(), 24u);
 }
@@ -104,7 +105,7 @@
 TEST(Sweep, APointThatIsNoGoodScenarioStopsItBeforeTheFirstRun) {
   const TemporaryFolder folder;
   SweepPlan plan = Small();
-  plan.varied = {ParseVaried("fleet.backends=1,many")};
+  plan.varied = {ParseVariedKey("fleet.backends=1,many")};
   EXPECT_THROW(Sweep(plan, folder / "sweep", 1, {}), config::BadFile);
   EXPECT_FALSE(std::filesystem::exists(folder / "sweep"));
 }
@@ -144,15 +145,15 @@
   const TemporaryFolder folder;
   const std::string scenario = folder.Write("small.toml", kSmall);
   const Finished compared =
-      RunProgram(PROGRAM_PATH, "lab compare " + scenario + " --json " + (folder / "out.json"));
+      RunProgram(PROGRAM_PATH, "simulate compare " + scenario + " --json " + (folder / "out.json"));
   EXPECT_EQ(compared.code, 0) << compared.err;
   for (const char* policy : {"ours", "oracle", "prequal+budget"})
     EXPECT_NE(compared.out.find(policy), std::string::npos);
-  const Finished again =
-      RunProgram(PROGRAM_PATH, "lab compare " + scenario + " --threads 1 --json " + (folder / "again.json"));
+  const Finished again = RunProgram(
+      PROGRAM_PATH, "simulate compare " + scenario + " --threads 1 --json " + (folder / "again.json"));
   EXPECT_EQ(ReadWhole(folder / "out.json"), ReadWhole(folder / "again.json"));
   const Finished plotted =
-      RunProgram(PROGRAM_PATH, "lab plot " + (folder / "out.json") + " --out " + (folder / "plots"));
+      RunProgram(PROGRAM_PATH, "simulate plot " + (folder / "out.json") + " --out " + (folder / "plots"));
   ASSERT_EQ(plotted.code, 0) << plotted.err;
   const std::string page = ReadWhole(folder / "plots" + "/report.html");
   EXPECT_NE(page.find("<svg"), std::string::npos);
@@ -162,12 +163,12 @@
 TEST(LabCommand, SweepsAndPlots) {
   const TemporaryFolder folder;
   const std::string scenario = folder.Write("small.toml", kSmall);
-  const std::string arguments =
-      "lab sweep " + scenario + " --vary load.rate=20:40:10 --policies ours,p2c --out " + (folder / "sweep");
+  const std::string arguments = "simulate sweep " + scenario +
+                                " --vary load.rate=20:40:10 --policies ours,p2c --out " + (folder / "sweep");
   EXPECT_EQ(RunProgram(PROGRAM_PATH, arguments).code, 0);
   EXPECT_NE(RunProgram(PROGRAM_PATH, arguments).out.find("6 points, 6 of them done before"),
             std::string::npos);
-  const Finished plotted = RunProgram(PROGRAM_PATH, "lab plot " + (folder / "sweep"));
+  const Finished plotted = RunProgram(PROGRAM_PATH, "simulate plot " + (folder / "sweep"));
   EXPECT_EQ(plotted.code, 0) << plotted.err;
   EXPECT_TRUE(std::filesystem::exists(folder / "sweep" + "/sweep-p99_ms.svg"));
 }
@@ -175,21 +176,21 @@
 TEST(LabCommand, FaultsAreExitCode2AndBrokenFilesAreNamed) {
   const TemporaryFolder folder;
   const std::string bad = folder.Write("bad.toml", "length_s = 0\n");
-  const Finished run = RunProgram(PROGRAM_PATH, "lab run " + bad);
+  const Finished run = RunProgram(PROGRAM_PATH, "simulate run " + bad);
   EXPECT_EQ(run.code, 2);
   EXPECT_EQ(run.err, "copperpoint: " + bad + ":1:12: length_s: 0 is out of range: 0.01 to 86400 s\n");
   const std::string good = folder.Write("good.toml", kSmall);
-  EXPECT_EQ(RunProgram(PROGRAM_PATH, "lab run " + good + " --policy none").code, 2);
-  EXPECT_EQ(RunProgram(PROGRAM_PATH, "lab run " + good + " --set fleet.backends=x").code, 2);
-  EXPECT_EQ(RunProgram(PROGRAM_PATH, "lab run " + good + " --set class.3.share=1").code, 2);
-  EXPECT_EQ(RunProgram(PROGRAM_PATH, "lab plot " + good).code, 2);
-  EXPECT_EQ(RunProgram(PROGRAM_PATH, "lab run " + good + " --set fleet.backends=1").code, 0);
+  EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --policy none").code, 2);
+  EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --set fleet.backends=x").code, 2);
+  EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --set class.3.share=1").code, 2);
+  EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate plot " + good).code, 2);
+  EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --set fleet.backends=1").code, 0);
 }
 
 TEST(LabCommand, ThePageHasEveryKey) {
   const std::string page = ReadWhole(std::string(SOURCE_DIR) + "/docs/scenarios.md");
   EXPECT_NE(page.find(ScenarioReference()), std::string::npos)
-      << "write it anew: copperpoint lab reference > docs/scenarios.md";
+      << "write it anew: copperpoint simulate reference > docs/scenarios.md";
 }
 
 }  // namespace
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -8,7 +8,7 @@
 
 #include "lab_testing.h"
 #include "simulation/run/compare.h"
-#include "simulation/world/day.h"
+#include "simulation/world/drawn_scenario.h"
 #include "support/run_program.h"
 
 namespace copperpoint::simulation {
@@ -66,8 +66,8 @@
   for (const char* policy : {"ours", "oracle", "p2c+3", "prequal"}) {
     RunOptions options;
     options.policy = policy;
-    const RunResult result = RunAndTell(Plain("[fleet]\nbackends = 0\n"), options);
-    EXPECT_EQ(result.broken, 0) << policy;
+    const RunResult result = RunWithTrace(Plain("[fleet]\nbackends = 0\n"), options);
+    EXPECT_EQ(result.violations, 0) << policy;
     EXPECT_EQ(Count(result, "served"), 0) << policy;
     EXPECT_GT(Count(result, "refused"), 50) << policy;
   }
@@ -80,8 +80,8 @@
       "retries = 3\nnotice_ms = 1000\n[[trouble]]\nkind = \"proxy_kill\"\nat_s = 2\nfor_s = 3\npart = 0.5\n";
   for (const char* cls :
        {"[[class]]\nsafe = true\nwork_ms = 30\n", "[[class]]\nsafe = false\nwork_ms = 30\n"}) {
-    const RunResult result = RunAndTell(Plain(std::string(kill) + cls), RunOptions{});
-    EXPECT_EQ(result.broken, 0) << result.json["broken"].dump(1);
+    const RunResult result = RunWithTrace(Plain(std::string(kill) + cls), RunOptions{});
+    EXPECT_EQ(result.violations, 0) << result.json["broken"].dump(1);
     EXPECT_GT(Count(result, "unreachable"), 10) << "the front has not noticed yet";
     EXPECT_GT(result.goodput, 0.95);
   }
@@ -95,7 +95,7 @@
                   OneAttempt);
   EXPECT_GT(Count(result, "resets"), 0) << "on connections from before";
   EXPECT_GT(Count(result, "connect_failed"), 0) << "on new ones";
-  EXPECT_EQ(result.broken, 0);
+  EXPECT_EQ(result.violations, 0);
 }
 
 TEST(World, CancelledWorkStopsWhereTheMachineStopsIt) {
@@ -145,8 +145,8 @@
       "\"immediate\"\n"
       "retries = 3\n[[class]]\nwork_ms = 10\ndeadline_ms = 1000\naim_ms = 200\n");
   RunOptions options;
-  const RunResult result = RunAndTell(s, options);
-  EXPECT_EQ(result.broken, 0);
+  const RunResult result = RunWithTrace(s, options);
+  EXPECT_EQ(result.violations, 0);
   // At most: each first try's and its repeats' time, at the rate of the arrivals, twice over.
   EXPECT_LT(result.json["most_open"].get<double>(), 2 * 4 * s.Rate());
   EXPECT_GT(result.goodput, 0.15);
@@ -165,9 +165,9 @@
       "[[trouble]]\nkind = \"discovery_down\"\nat_s = 3\nfor_s = 4\n");
   for (const char* ask : {"false", "true"}) {
     Scenario asked = s;
-    asked.discovery.ask = std::string(ask) == "true";
-    const RunResult result = RunAndTell(asked, RunOptions{});
-    EXPECT_EQ(result.broken, 0) << ask << result.json["broken"].dump(1);
+    asked.discovery.polled = std::string(ask) == "true";
+    const RunResult result = RunWithTrace(asked, RunOptions{});
+    EXPECT_EQ(result.violations, 0) << ask << result.json["broken"].dump(1);
     EXPECT_GT(Count(result, "served"), 300) << ask;
   }
 }
@@ -177,8 +177,8 @@
       "length_s = 10\n[load]\nrate = 50\nkeys = 20\n[fleet]\nbackends = 6\n[discovery]\nnotice_ms = "
       "200\n[[trouble]]\n"
       "kind = \"poison\"\nat_s = 2\nfor_s = 2\n");
-  const RunResult result = RunAndTell(s, RunOptions{});
-  EXPECT_EQ(result.broken, 0);
+  const RunResult result = RunWithTrace(s, RunOptions{});
+  EXPECT_EQ(result.violations, 0);
   EXPECT_GT(Count(result, "resets"), 0);
   EXPECT_GT(result.goodput, 0.5);
 }
@@ -213,10 +213,10 @@
 TEST(World, ADayIsTheSameWhateverThePolicyAndNamesItsTargets) {
   const Scenario s =
       Plain("[fleet]\nbackends = 10\n[[trouble]]\npart = 0.3\n[[trouble]]\nkind = \"lost_zone\"\n");
-  const Day day = Draw(s, 9);
-  EXPECT_EQ(day.targets[0].size(), 3u);
-  EXPECT_EQ(day.targets[1].size(), 10u);
-  EXPECT_EQ(Json(s, day).dump(), Json(s, Draw(s, 9)).dump());
+  const DrawnScenario drawn = DrawScenario(s, 9);
+  EXPECT_EQ(drawn.fault_targets[0].size(), 3u);
+  EXPECT_EQ(drawn.fault_targets[1].size(), 10u);
+  EXPECT_EQ(Json(s, drawn).dump(), Json(s, DrawScenario(s, 9)).dump());
 }
 
 TEST(World, TheModuleServesABackendWhoseIdIsUsedAgain) {
@@ -227,8 +227,8 @@
       "warm_up_s = 3\nfall_multiple = 3\n[[trouble]]\nkind = \"release\"\nat_s = 1\nfor_s = 12\npart = "
       "1\nsize = 1\n[[trouble]]\n"
       "kind = \"release\"\nat_s = 14\nfor_s = 12\npart = 1\nsize = 1\n");
-  const RunResult result = RunAndTell(s, RunOptions{});
-  EXPECT_EQ(result.broken, 0) << result.json["broken"].dump(1);
+  const RunResult result = RunWithTrace(s, RunOptions{});
+  EXPECT_EQ(result.violations, 0) << result.json["broken"].dump(1);
   EXPECT_GT(result.goodput, 0.9);
 }
 
@@ -275,13 +275,13 @@
     EXPECT_FALSE(s.title.empty()) << entry.path();
     if (entry.path().stem().string().starts_with("mass_")) {
       s.fleet.backends = 50, s.fleet.proxies = 75;  // each in small: a quarter of it
-      for (Trouble& t : s.troubles) t.size = t.kind == TroubleKind::kRelease ? t.size / 4 : t.size;
+      for (Fault& t : s.faults) t.size = t.kind == FaultKind::kRollingRestart ? t.size / 4 : t.size;
       s.discovery.calls_per_s /= 4;
     }
     if (s.fleet.backends > 100) continue;  // for a benchmark, not a test
     ++played;
-    const RunResult result = RunAndTell(s, RunOptions{});
-    EXPECT_EQ(result.broken, 0) << entry.path() << result.json["broken"].dump(1);
+    const RunResult result = RunWithTrace(s, RunOptions{});
+    EXPECT_EQ(result.violations, 0) << entry.path() << result.json["broken"].dump(1);
   }
   EXPECT_GE(played, 28);
 }
@@ -290,15 +290,15 @@
 // With a pick that has no cold budget the same day breaks the rule.
 TEST(Shipped, NoColdBackendOfAThrongIsPushedOverByTheSumOfAllProxies) {
   Scenario s = ReadScenario(std::string(SOURCE_DIR) + "/lab/scenarios/throng.toml");
-  for (const Machine& m : s.machines) EXPECT_EQ(m.fall_roots, 2);
+  for (const BackendType& m : s.backend_types) EXPECT_EQ(m.overload_deviations, 2);
   RunOptions options;
   for (options.seed = 1; options.seed <= 60; ++options.seed) {
-    const RunResult result = RunAndTell(s, options);
-    EXPECT_EQ(result.broken, 0) << "seed " << options.seed << " " << result.json["broken"].dump(1);
+    const RunResult result = RunWithTrace(s, options);
+    EXPECT_EQ(result.violations, 0) << "seed " << options.seed << " " << result.json["broken"].dump(1);
   }
   options.seed = 1;
   options.policy = "p2c";
-  EXPECT_GT(RunAndTell(s, options).broken, 0);
+  EXPECT_GT(RunWithTrace(s, options).violations, 0);
 }
 
 }  // namespace
