--- a/src/decision/backend_picker.cpp
+++ b/src/decision/backend_picker.cpp
@@ -14,9 +14,12 @@
 constexpr double kSlownessWeight = 1;  // of the time lost at a slow backend, against outstanding work
 constexpr double kAffinityWeight = 2;  // of the work of a request, at a backend that served its key lately
 
+// A plain loop, as there are few attempts and at the first pick none: std::any_of is unrolled for many.
 bool WasAttempted(const RequestState& request, BackendIndex index) {
-  return std::any_of(request.attempts.begin(), request.attempts.end(),
-                     [index](const AttemptState& attempt) { return attempt.backend == index; });
+  for (const AttemptState& attempt : request.attempts) {
+    if (attempt.backend == index) return true;
+  }
+  return false;
 }
 
 }  // namespace
@@ -64,19 +67,22 @@
          (backend.endpoint.zone != in_.settings.zone ? search.crossing_work_ms : 0);
 }
 
-inline void BackendPicker::Consider(BackendIndex index, Search& search) const {
+// Inlined into the loops of a pick, which call it for dozens of backends: a call would cost as much as it
+// does.
+[[gnu::always_inline]] inline void BackendPicker::Consider(BackendIndex index, Search& search) const {
   BackendState& backend = in_.endpoints[index];
   if (!backend.ready()) return;
   if (search.deduplication_anchor &&
       !RetryPolicy::InDeduplicationScope(search.deduplication_scope, *search.deduplication_anchor,
                                          backend.endpoint))
     return;
-  search.any_in_service |= backend.in_service();
+  const bool in_service = backend.in_service();
+  search.any_in_service |= in_service;
   if (!HasSlowStartBudget(backend, search)) {
     if (!search.over_budget) search.over_budget = &backend;
     return;
   }
-  const int rank = 2 * !backend.in_service() + WasAttempted(search.request, index);
+  const int rank = 2 * !in_service + WasAttempted(search.request, index);
   const double score = ScoreOf(backend, index, search);
   if (search.best && (rank > search.best_rank || (rank == search.best_rank && score > search.best_score)))
     return;
--- a/src/decision/client_timeouts.h
+++ b/src/decision/client_timeouts.h
@@ -23,11 +23,9 @@
   // returns how much time it has used, 0 while too few requests were counted. `client_retry`: the client
   // marks it as such.
   Duration ElapsedOnArrival(Duration remaining, Duration deadline, bool client_retry) {
-    const bool usual = Count(remaining) >= kMinCount;
-    if (MaxCount() < kMinCount) return Duration(0);
     const Duration elapsed = std::max(Duration(0), deadline - remaining);
-    if (!usual) return elapsed;
-    return client_retry ? elapsed * 0.5 : Duration(0);
+    if (Count(remaining) >= kMinCount) return client_retry ? elapsed * 0.5 : Duration(0);
+    return MaxCount() >= kMinCount ? elapsed : Duration(0);
   }
 
  private:
