--- a/src/decision/backend_picker.cpp
+++ b/src/decision/backend_picker.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <array>
 
-#include "decision/proxy_fleet.h"
+#include "decision/proxy_count.h"
 #include "decision/relative_latency.h"
 #include "decision/retry_policy.h"
 
--- a/src/decision/fleet_updates.cpp
+++ b/src/decision/backend_set_updater.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "decision/fleet_updates.h"
+#include "decision/backend_set_updater.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/decision/fleet_updates.h
+++ b/src/decision/backend_set_updater.h
@@ -2,8 +2,8 @@
 //
 // What changes the set of backends that are listed or in service, and the subset with it: endpoint lists,
 // ejections, zone outages, and their ends.
-#ifndef COPPERPOINT_DECISION_FLEET_UPDATES_H_
-#define COPPERPOINT_DECISION_FLEET_UPDATES_H_
+#ifndef COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
+#define COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
 
 #include <vector>
 
@@ -43,4 +43,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_FLEET_UPDATES_H_
+#endif  // COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
--- a/src/decision/balancer.cpp
+++ b/src/decision/balancer.cpp
@@ -8,13 +8,13 @@
 #include <utility>
 #include <variant>
 
+#include "decision/backend_set_updater.h"
 #include "decision/decision_state.h"
-#include "decision/dispatcher.h"
-#include "decision/fleet_updates.h"
 #include "decision/never.h"
 #include "decision/outcome_observer.h"
 #include "decision/rate_sampler.h"
 #include "decision/request_admission.h"
+#include "decision/request_scheduler.h"
 
 namespace copperpoint {
 
--- a/src/decision/outcome_observer.h
+++ b/src/decision/outcome_observer.h
@@ -5,8 +5,8 @@
 #define COPPERPOINT_DECISION_OUTCOME_OBSERVER_H_
 
 #include "copperpoint/balancer.h"
+#include "decision/backend_set_updater.h"
 #include "decision/decision_state.h"
-#include "decision/fleet_updates.h"
 #include "decision/request_state.h"
 
 namespace copperpoint {
--- a/src/decision/proxy_fleet.h
+++ b/src/decision/proxy_count.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Where the number of proxies changes what one proxy can know by itself.
-#ifndef COPPERPOINT_DECISION_PROXY_FLEET_H_
-#define COPPERPOINT_DECISION_PROXY_FLEET_H_
+#ifndef COPPERPOINT_DECISION_PROXY_COUNT_H_
+#define COPPERPOINT_DECISION_PROXY_COUNT_H_
 
 #include "copperpoint/balancer.h"
 
@@ -15,4 +15,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_PROXY_FLEET_H_
+#endif  // COPPERPOINT_DECISION_PROXY_COUNT_H_
--- a/src/decision/rate_sampler.h
+++ b/src/decision/rate_sampler.h
@@ -6,8 +6,8 @@
 #define COPPERPOINT_DECISION_RATE_SAMPLER_H_
 
 #include "copperpoint/balancer.h"
+#include "decision/backend_set_updater.h"
 #include "decision/decision_state.h"
-#include "decision/fleet_updates.h"
 #include "decision/outcome_observer.h"
 
 namespace copperpoint {
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "decision/client_retry_detector.h"
-#include "decision/proxy_fleet.h"
+#include "decision/proxy_count.h"
 
 namespace copperpoint {
 namespace {
--- a/src/decision/request_admission.h
+++ b/src/decision/request_admission.h
@@ -6,7 +6,7 @@
 
 #include "copperpoint/balancer.h"
 #include "decision/decision_state.h"
-#include "decision/dispatcher.h"
+#include "decision/request_scheduler.h"
 #include "decision/request_state.h"
 
 namespace copperpoint {
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "decision/dispatcher.h"
+#include "decision/request_scheduler.h"
 
 #include <algorithm>
 #include <optional>
--- a/src/decision/dispatcher.h
+++ b/src/decision/request_scheduler.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Starts attempts, queues requests while there is no capacity, and ends those that can't be served.
-#ifndef COPPERPOINT_DECISION_DISPATCHER_H_
-#define COPPERPOINT_DECISION_DISPATCHER_H_
+#ifndef COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
+#define COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
 
 #include "copperpoint/balancer.h"
 #include "decision/decision_state.h"
@@ -52,4 +52,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_DISPATCHER_H_
+#endif  // COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
