--- a/src/decision/backend_picker.h
+++ b/src/decision/backend_picker.h
@@ -40,8 +40,8 @@
 //
 // Looks in the subset first, then at all ready backends. Of more than kMaxRanked it ranks a sample:
 // kSampleSize drawn at random, the last kRecentPicks picked, and those that the key was sent to lately, so
-// that a pick doesn't cost more the larger the fleet is. Of a sample one is nearly always idle; that it is
-// fast is known of those picked before (two choices with memory, Mitzenmacher, Prabhakar and Shah 2002).
+// that a pick doesn't cost more the more backends there are. Of a sample one is nearly always idle; that it
+// is fast is known of those picked before (two choices with memory, Mitzenmacher, Prabhakar and Shah 2002).
 // Where none of the sample can be used, all are ranked.
 //
 // Owns the list of recent picks.
--- a/src/decision/backend_set_updater.cpp
+++ b/src/decision/backend_set_updater.cpp
@@ -7,7 +7,7 @@
 
 namespace copperpoint {
 
-void FleetUpdates::OnEndpointUpdate(const EndpointUpdate& update) {
+void BackendSetUpdater::OnEndpointUpdate(const EndpointUpdate& update) {
   if (state_.settings.polls_endpoints) state_.poller.OnUpdate(update.kind, state_.now, state_.random);
   if (update.kind == EndpointUpdateKind::kFailed) return;
   const EndpointSet::Changes changes = state_.endpoints.Apply(update, state_.now);
@@ -19,11 +19,11 @@
     if (changes.listed[i].started && state_.slow_start.CapacityFraction(endpoint, state_.now) < 1)
       state_.slow_start.OnStarted(backend.slow_start, state_.now, state_.random);
   }
-  OnFleetChanged();
+  OnBackendSetChanged();
   state_.recheck_queue = true;
 }
 
-void FleetUpdates::OnStateRestored(const StateRestored& restored) {
+void BackendSetUpdater::OnStateRestored(const StateRestored& restored) {
   for (const BackendSnapshot& snapshot : restored.backends) {
     BackendState* backend = state_.endpoints.Find(snapshot.backend);
     if (!backend) continue;
@@ -31,15 +31,15 @@
     if (snapshot.slow_start_work > 0)
       state_.slow_start.Restore(backend->slow_start, snapshot.slow_start_work, state_.now);
   }
-  OnFleetChanged();
+  OnBackendSetChanged();
 }
 
-void FleetUpdates::OnSubsetPosition(const SubsetPosition& position) {
+void BackendSetUpdater::OnSubsetPosition(const SubsetPosition& position) {
   state_.subset.SetOffset(position.ring_offset);
   RebuildSubset();
 }
 
-std::vector<BackendSnapshot> FleetUpdates::Export(TimePoint now) {
+std::vector<BackendSnapshot> BackendSetUpdater::Export(TimePoint now) {
   std::vector<BackendSnapshot> snapshots;
   for (BackendState& backend : state_.endpoints.backends()) {
     if (backend.endpoint.state == EndpointState::kRemoved) continue;
@@ -52,20 +52,20 @@
   return snapshots;
 }
 
-void FleetUpdates::OnNoAnswer(BackendState& backend) {
+void BackendSetUpdater::OnNoAnswer(BackendState& backend) {
   const int zone = backend.endpoint.zone;
   if (!state_.zone_outages.OnNoAnswer(zone, state_.endpoints.IndexOf(backend), state_.now, state_.random))
     return;
   for (BackendState& other : state_.endpoints.backends()) other.in_zone_outage |= other.endpoint.zone == zone;
   if (state_.MayLog(LogKind::kHealth))
     state_.WriteLog("zone " + std::to_string(zone) + " out of service: none of its backends answers");
-  OnFleetChanged();
+  OnBackendSetChanged();
 }
 
-void FleetUpdates::OnOutcome(BackendState& backend, bool success) {
+void BackendSetUpdater::OnOutcome(BackendState& backend, bool success) {
   if (!state_.outlier_detector.OnOutcome(backend.health, backend.ready(), success, state_.now, state_.random))
     return;
-  OnFleetChanged();
+  OnBackendSetChanged();
   // At low traffic the ejection lasts, and other proxies may need the connections.
   if (state_.outlier_detector.low_traffic()) state_.Emit(CloseIdleConnections{backend.endpoint.backend});
   if (state_.MayLog(LogKind::kHealth))
@@ -74,7 +74,7 @@
                     std::to_string(backend.health.attempts()) + " attempts failed");
 }
 
-void FleetUpdates::Advance() {
+void BackendSetUpdater::Advance() {
   if (state_.now >= std::min(state_.outlier_detector.next_return_at(), state_.zone_outages.next_return_at()))
     ReturnBackends();
   if (state_.outlier_detector.TakeIntervalEnd(state_.now)) {
@@ -82,7 +82,7 @@
   }
 }
 
-void FleetUpdates::ReturnBackends() {
+void BackendSetUpdater::ReturnBackends() {
   state_.outlier_detector.ResetNextReturn();
   state_.zone_outages.ResetNextReturn();
   state_.recheck_queue = true;
@@ -92,11 +92,11 @@
         state_.MayLog(LogKind::kHealth))
       state_.WriteLog("backend " + std::to_string(backend.endpoint.backend) + " returned to service");
   }
-  OnFleetChanged();
+  OnBackendSetChanged();
 }
 
-void FleetUpdates::CountCapacity() {
-  FleetCapacity capacity;
+void BackendSetUpdater::CountCapacity() {
+  BackendSetCapacity capacity;
   for (const BackendState& backend : state_.endpoints.backends()) {
     if (!backend.ready()) continue;
     const double fraction = state_.slow_start.CapacityFraction(backend.endpoint, state_.now);
@@ -107,19 +107,19 @@
   state_.capacity = capacity;
 }
 
-void FleetUpdates::FitToTraffic() {
+void BackendSetUpdater::FitToTraffic() {
   const double requests_per_s =
       state_.traffic.received_work_rate() * 1000 / std::max(1e-9, state_.latencies.mean_work_ms());
-  state_.outlier_detector.SetTraffic(requests_per_s, state_.subset.backends().size());
-  if (state_.subset.SetTrafficSize(OutlierDetector::BackendsWithVolume(requests_per_s))) RebuildSubset();
+  state_.outlier_detector.FitInterval(requests_per_s, state_.subset.backends().size());
+  if (state_.subset.SetEvaluableBackends(OutlierDetector::EvaluableBackends(requests_per_s))) RebuildSubset();
 }
 
-void FleetUpdates::OnFleetChanged() {
+void BackendSetUpdater::OnBackendSetChanged() {
   CountCapacity();
   RebuildSubset();
 }
 
-void FleetUpdates::RebuildSubset() {
+void BackendSetUpdater::RebuildSubset() {
   for (const BackendId backend : state_.subset.Rebuild(state_.endpoints))
     state_.Emit(CloseIdleConnections{backend});
 }
--- a/src/decision/backend_set_updater.h
+++ b/src/decision/backend_set_updater.h
@@ -13,9 +13,9 @@
 namespace copperpoint {
 
 // Holds no state of its own.
-class FleetUpdates {
+class BackendSetUpdater {
  public:
-  explicit FleetUpdates(DecisionState& state) : state_(state) {}
+  explicit BackendSetUpdater(DecisionState& state) : state_(state) {}
 
   void OnEndpointUpdate(const EndpointUpdate& update);
   void OnStateRestored(const StateRestored& restored);
@@ -34,7 +34,7 @@
   void FitToTraffic();
 
  private:
-  void OnFleetChanged();
+  void OnBackendSetChanged();
   void RebuildSubset();
   void ReturnBackends();
 
--- a/src/decision/balancer.cpp
+++ b/src/decision/balancer.cpp
@@ -29,17 +29,17 @@
     // The event comes first: a list may remove a backend that a due retry would go to.
     std::visit([this](const auto& e) { On(e); }, event);
     AdvanceTime();
-    dispatcher_.DispatchQueued();
+    scheduler_.DispatchQueued();
     SetNextTimer();
     state_.actions = nullptr;
   }
 
-  std::vector<BackendSnapshot> ExportState(TimePoint now) { return fleet_.Export(now); }
+  std::vector<BackendSnapshot> ExportState(TimePoint now) { return backend_set_.Export(now); }
 
  private:
-  void On(const EndpointUpdate& event) { fleet_.OnEndpointUpdate(event); }
-  void On(const StateRestored& event) { fleet_.OnStateRestored(event); }
-  void On(const SubsetPosition& event) { fleet_.OnSubsetPosition(event); }
+  void On(const EndpointUpdate& event) { backend_set_.OnEndpointUpdate(event); }
+  void On(const StateRestored& event) { backend_set_.OnStateRestored(event); }
+  void On(const SubsetPosition& event) { backend_set_.OnSubsetPosition(event); }
   void On(const RequestReceived& event) { admission_.OnRequestReceived(event); }
   void On(const TimerFired&) {}  // the time is all that it brings
 
@@ -60,27 +60,27 @@
     observer_.OnAttemptCompleted(request, event);
     state_.recheck_queue = true;
     if (event.request_completed && !request.finished)
-      dispatcher_.MarkFinished(request,
-                               /*client_may_retry=*/event.outcome != AttemptOutcome::kSuccess);
+      scheduler_.MarkFinished(request,
+                              /*client_may_retry=*/event.outcome != AttemptOutcome::kSuccess);
     if (!request.finished && !request.queued && !request.has_outstanding_attempt())
-      dispatcher_.Retry(
+      scheduler_.Retry(
           request, /*adds_load=*/attempt.may_have_run || event.outcome == AttemptOutcome::kBackendRejected);
-    dispatcher_.EraseIfDone(found);
+    scheduler_.EraseIfDone(found);
   }
 
   void On(const ClientDisconnected& event) {
     const auto found = state_.requests.find(event.request);
     if (found == state_.requests.end()) return;
-    if (!found->second.finished) dispatcher_.MarkFinished(found->second, /*client_may_retry=*/true);
-    dispatcher_.EraseIfDone(found);
+    if (!found->second.finished) scheduler_.MarkFinished(found->second, /*client_may_retry=*/true);
+    scheduler_.EraseIfDone(found);
   }
 
   void AdvanceTime() {
     if (state_.now >= timer_at_) timer_at_ = kNever;
-    fleet_.Advance();
+    backend_set_.Advance();
     sampler_.Advance();
     if (state_.poller.TakeDuePoll(state_.now)) state_.Emit(PollEndpoints{});
-    dispatcher_.EndExpiredWaits();
+    scheduler_.EndExpiredWaits();
   }
 
   void SetNextTimer() {
@@ -92,11 +92,11 @@
   }
 
   DecisionState state_;
-  FleetUpdates fleet_{state_};
-  Dispatcher dispatcher_{state_};
-  OutcomeObserver observer_{state_, fleet_};
-  RequestAdmission admission_{state_, dispatcher_};
-  RateSampler sampler_{state_, fleet_, observer_};
+  BackendSetUpdater backend_set_{state_};
+  RequestScheduler scheduler_{state_};
+  OutcomeObserver observer_{state_, backend_set_};
+  RequestAdmission admission_{state_, scheduler_};
+  RateSampler sampler_{state_, backend_set_, observer_};
   TimePoint timer_at_ = kNever;  // the timer that is set
 };
 
--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -11,7 +11,7 @@
 // By Little's law the attempts in flight are the rate of answers times their latency. More than
 // kMaxObjectiveFraction of the latency objective at the current rate could only queue at the backends, and
 // more than kMaxLatencyMultiple times the uncongested latency makes some backends slower the more they hold,
-// a state from which a fleet doesn't recover under load. Requests over the limit are queued in the proxy.
+// a state from which they don't recover under load. Requests over the limit are queued in the proxy.
 // Attempts are counted, not weighed by work: one huge request must neither be shut out nor shut out all
 // others.
 //
@@ -34,7 +34,7 @@
     overdue_ -= overdue;
   }
   // An attempt is outstanding for longer than its answer takes: it uses no backend's time and doesn't count.
-  // Without this, a dozen attempts on dead connections would use up the limit of an idle fleet.
+  // Without this, a dozen attempts on dead connections would use up the limit while all backends are idle.
   void OnOverdue() { ++overdue_; }
   int in_flight() const { return in_flight_; }
 
--- a/src/decision/decision_state.h
+++ b/src/decision/decision_state.h
@@ -43,11 +43,11 @@
 using Requests = boost::unordered_flat_map<RequestId, RequestState>;
 
 // Of the backends listed as ready.
-struct FleetCapacity {
+struct BackendSetCapacity {
   double ready = 0;  // one that is warming up counts as its capacity fraction
   // Those that are not ejected; zone outages are not subtracted. A backend that is warming up counts as the
   // square root of its capacity fraction, between the fraction itself (which overstates the rate of the warm
-  // backends) and 1 (which starves a fleet that is warming up altogether).
+  // backends) and 1 (which starves backends that are all warming up).
   double in_service = 0;
   bool any_warming_up = false;
 };
@@ -82,7 +82,7 @@
   EndpointPoller poller{settings.max_poll_interval};
   OutlierDetector outlier_detector;
   ZoneOutageDetector zone_outages;
-  FleetCapacity capacity;
+  BackendSetCapacity capacity;
   Subset subset{settings};
   SlowStart slow_start{settings};
   ZoneLocality zone_locality{settings.cross_zone_cost};
--- a/src/decision/outcome_observer.cpp
+++ b/src/decision/outcome_observer.cpp
@@ -31,14 +31,14 @@
   state_.last_outcome = state_.now;
   state_.overload_counts.succeeded += success;
   if (IsAnswer(completed.outcome)) state_.zone_outages.OnAnswer(backend.endpoint.zone, state_.now);
-  if (completed.outcome == AttemptOutcome::kConnectFailure) fleet_.OnNoAnswer(backend);
+  if (completed.outcome == AttemptOutcome::kConnectFailure) backend_set_.OnNoAnswer(backend);
   if (success) ObserveSuccess(request, backend);
   ObserveLocality(request, success, backend);
   ObserveLatency(request, completed, backend);
   if (success)
     state_.service_time.OnSuccess(request.work_ms, state_.latencies.mean_work_ms(),
                                   completed.duration.count());
-  fleet_.OnOutcome(backend, success);
+  backend_set_.OnOutcome(backend, success);
 }
 
 void OutcomeObserver::ReleaseBackend(const RequestState& request, AttemptOutcome outcome,
@@ -98,7 +98,7 @@
       attempt.overdue = true;
       BackendState& backend = state_.endpoints[attempt.backend];
       if (state_.zone_outages.LastAnswer(backend.endpoint.zone) < attempt.started_at)
-        fleet_.OnNoAnswer(backend);
+        backend_set_.OnNoAnswer(backend);
       state_.concurrency_limit.OnOverdue();
       state_.recheck_queue = true;
     }
--- a/src/decision/outcome_observer.h
+++ b/src/decision/outcome_observer.h
@@ -14,7 +14,8 @@
 // Holds no state of its own.
 class OutcomeObserver {
  public:
-  OutcomeObserver(DecisionState& state, FleetUpdates& fleet) : state_(state), fleet_(fleet) {}
+  OutcomeObserver(DecisionState& state, BackendSetUpdater& backend_set)
+      : state_(state), backend_set_(backend_set) {}
 
   // The attempt `completed.attempt` of `request` has ended; it is no longer outstanding.
   void OnAttemptCompleted(const RequestState& request, const AttemptCompleted& completed);
@@ -28,7 +29,7 @@
   void ObserveLatency(const RequestState& request, const AttemptCompleted& completed, BackendState& backend);
 
   DecisionState& state_;
-  FleetUpdates& fleet_;
+  BackendSetUpdater& backend_set_;
 };
 
 }  // namespace copperpoint
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -96,7 +96,7 @@
   if (!health.ejected) health.ejection_multiplier = std::max(0, health.ejection_multiplier - 1);
 }
 
-void OutlierDetector::SetTraffic(double requests_per_s, std::size_t backends) {
+void OutlierDetector::FitInterval(double requests_per_s, std::size_t backends) {
   const double volume_s = kRequestVolume * static_cast<double>(backends) / std::max(requests_per_s, 1e-9);
   interval_ = std::clamp(Duration(volume_s * 1000), kInterval, kMaxInterval);
   low_traffic_ = interval_ > kInterval;
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -16,13 +16,13 @@
 
 // The constants carry the names of the fields of A50's configuration. Departures from A50:
 // - A backend is evaluated at each outcome, not at the end of the interval.
-// - The threshold rises with the failure percentage of the other backends: an overloaded fleet must not eject
-//   itself.
+// - The threshold rises with the failure percentage of the other backends: under overload all fail, and must
+//   not be ejected one after the other.
 // - At low traffic (request_volume is not reached at each backend within kInterval) the interval is longer,
-// the
-//   volume lower (see RequestVolume), and ejection times are jittered, so that proxies don't return together.
+//   the volume lower (see RequestVolume), and ejection times are jittered, so that proxies don't return
+//   together.
 //
-// Owns BackendHealth of all backends and their sums, so that an outcome costs no scan of the fleet.
+// Owns BackendHealth of all backends and their sums, so that an outcome costs no scan of them.
 class OutlierDetector {
  public:
   static constexpr Duration kInterval{2000};
@@ -58,10 +58,10 @@
   bool TakeIntervalEnd(TimePoint now);
   static void EndInterval(BackendHealth& health);
 
-  // Fits the interval to this proxy's rate of requests a second, spread over `backends`.
-  void SetTraffic(double requests_per_s, std::size_t backends);
-  // To how many backends that rate brings request_volume within kInterval.
-  static std::size_t BackendsWithVolume(double requests_per_s) {
+  // Fits the interval, and whether traffic is low, to this proxy's requests a second, spread over `backends`.
+  void FitInterval(double requests_per_s, std::size_t backends);
+  // How many backends such a rate suffices to evaluate: it brings request_volume to each within kInterval.
+  static std::size_t EvaluableBackends(double requests_per_s) {
     return static_cast<std::size_t>(requests_per_s * kInterval.count() / 1000 / kRequestVolume);
   }
   bool low_traffic() const { return low_traffic_; }
--- a/src/decision/rate_sampler.cpp
+++ b/src/decision/rate_sampler.cpp
@@ -8,7 +8,7 @@
 void RateSampler::Advance() {
   if (state_.now < next_sample_at_) return;
   const Duration elapsed = state_.now - sampled_at_;
-  if (state_.capacity.any_warming_up) fleet_.CountCapacity();
+  if (state_.capacity.any_warming_up) backend_set_.CountCapacity();
   observer_.MarkOverdueAttempts();
   if (sampled_at_ != TimePoint{} && elapsed > Duration(0)) UpdateRates(elapsed);
   state_.tenant_quotas.Refill(elapsed.count());
@@ -22,7 +22,7 @@
   state_.concurrency_limit.Decay(elapsed);
   state_.load_shedder.Decay(elapsed);
   UpdateSlowStart(elapsed);
-  fleet_.FitToTraffic();
+  backend_set_.FitToTraffic();
   state_.priority.Decay(elapsed);
   if (state_.overload_monitor.Update(state_.now, elapsed, std::exchange(state_.overload_counts, {})))
     state_.WriteLog(state_.overload_monitor.Describe());
--- a/src/decision/rate_sampler.h
+++ b/src/decision/rate_sampler.h
@@ -15,8 +15,8 @@
 // Owns the times of the samples.
 class RateSampler {
  public:
-  RateSampler(DecisionState& state, FleetUpdates& fleet, OutcomeObserver& observer)
-      : state_(state), fleet_(fleet), observer_(observer) {}
+  RateSampler(DecisionState& state, BackendSetUpdater& backend_set, OutcomeObserver& observer)
+      : state_(state), backend_set_(backend_set), observer_(observer) {}
 
   // Takes a sample if kInterval is over.
   void Advance();
@@ -29,7 +29,7 @@
   void UpdateSlowStart(Duration elapsed);
 
   DecisionState& state_;
-  FleetUpdates& fleet_;
+  BackendSetUpdater& backend_set_;
   OutcomeObserver& observer_;
   TimePoint next_sample_at_{}, sampled_at_{};
 };
--- a/src/decision/relative_latency.h
+++ b/src/decision/relative_latency.h
@@ -17,7 +17,7 @@
 class RelativeLatency {
  public:
   static double Of(const LatencyState& state, TimePoint now) {
-    if (state.ratio == 1) return 1;  // most of a large fleet: no answer yet
+    if (state.ratio == 1) return 1;  // no answer yet, as of most backends where there are many
     return 1 + (state.ratio - 1) * std::exp((state.updated_at - now) / kMemory);
   }
 
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -43,13 +43,13 @@
   TakeQuota(request);
   WeighByServiceTime(request, remaining_objective);
   if (request.priority_weight <= 0)
-    return dispatcher_.Finish(request, RejectReason::kDeadlineUnreachable, dispatcher_.RetryAfter(request));
+    return scheduler_.Finish(request, RejectReason::kDeadlineUnreachable, scheduler_.RetryAfter(request));
   if (ShouldShed(request))
-    return dispatcher_.Finish(request, RejectReason::kLoadShed, dispatcher_.RetryAfter(request));
+    return scheduler_.Finish(request, RejectReason::kLoadShed, scheduler_.RetryAfter(request));
   SetMaxWait(request, remaining_objective);
   const auto entry = state_.requests.emplace(request.id, std::move(request)).first;
-  dispatcher_.Dispatch(entry->second);
-  dispatcher_.EraseIfDone(entry);
+  scheduler_.Dispatch(entry->second);
+  scheduler_.EraseIfDone(entry);
 }
 
 RequestState RequestAdmission::Describe(const RequestReceived& received) {
@@ -114,7 +114,7 @@
   request.max_wait_until = std::min(request.deadline - state_.settings.tick * 2,
                                     state_.now + std::max(useful_wait, objective / 4));
   const Duration wait_in_congestion = std::clamp(useful_wait, Duration(0), objective * kMaxWaitFraction);
-  request.wait_until = dispatcher_.HasCapacity()
+  request.wait_until = scheduler_.HasCapacity()
                            ? request.max_wait_until
                            : std::min(request.max_wait_until, state_.now + wait_in_congestion);
 }
--- a/src/decision/request_admission.h
+++ b/src/decision/request_admission.h
@@ -14,7 +14,8 @@
 // Holds no state of its own.
 class RequestAdmission {
  public:
-  RequestAdmission(DecisionState& state, Dispatcher& dispatcher) : state_(state), dispatcher_(dispatcher) {}
+  RequestAdmission(DecisionState& state, RequestScheduler& scheduler)
+      : state_(state), scheduler_(scheduler) {}
 
   void OnRequestReceived(const RequestReceived& received);
 
@@ -30,7 +31,7 @@
   void SetMaxWait(RequestState& request, Duration remaining_objective) const;
 
   DecisionState& state_;
-  Dispatcher& dispatcher_;
+  RequestScheduler& scheduler_;
 };
 
 }  // namespace copperpoint
--- a/src/decision/request_scheduler.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-bool Dispatcher::Dispatch(RequestState& request) {
+bool RequestScheduler::Dispatch(RequestState& request) {
   const RetryPolicy::Permission permission = PermissionFor(request);
   BackendState* backend = permission.may_dispatch && HasCapacity() ? Pick(request, permission) : nullptr;
   if (backend) {
@@ -32,11 +32,11 @@
   return false;
 }
 
-RetryPolicy::Permission Dispatcher::PermissionFor(const RequestState& request) const {
+RetryPolicy::Permission RequestScheduler::PermissionFor(const RequestState& request) const {
   return state_.retry_policy.PermissionFor(request, state_.ClassOf(request), state_.now);
 }
 
-bool Dispatcher::HasCapacity() const {
+bool RequestScheduler::HasCapacity() const {
   ConcurrencyLimit::Inputs inputs;
   inputs.answers_per_ms = state_.traffic.answers_per_ms();
   inputs.mean_objective_ms = state_.latencies.mean_objective_ms();
@@ -48,7 +48,7 @@
   return state_.concurrency_limit.HasCapacity(inputs);
 }
 
-BackendState* Dispatcher::Pick(const RequestState& request, const RetryPolicy::Permission& permission) {
+BackendState* RequestScheduler::Pick(const RequestState& request, const RetryPolicy::Permission& permission) {
   const BackendPicker::Result result =
       state_.picker.Pick(request, permission.deduplication_anchor, state_.now, state_.random);
   if (result.over_budget && state_.MayLog(LogKind::kSlowStart)) {
@@ -60,7 +60,7 @@
   return result.backend;
 }
 
-void Dispatcher::StartAttemptAt(RequestState& request, BackendState& backend) {
+void RequestScheduler::StartAttemptAt(RequestState& request, BackendState& backend) {
   if (request.attempts.empty()) {
     state_.retry_budget.OnFirstAttempt();
   } else {
@@ -83,7 +83,7 @@
   state_.Emit(StartAttempt{request.id, backend.endpoint.backend, timeout});
 }
 
-Duration Dispatcher::TimeoutFor(const RequestState& request, const BackendState& backend) const {
+Duration RequestScheduler::TimeoutFor(const RequestState& request, const BackendState& backend) const {
   AttemptTimeoutInputs inputs;
   inputs.may_retry = state_.ClassOf(request).idempotency != Idempotency::kNonIdempotent &&
                      state_.retry_budget.HasToken() && !state_.retry_policy.IsLastAttempt(request);
@@ -97,7 +97,7 @@
   return AttemptTimeoutFor(inputs);
 }
 
-void Dispatcher::Enqueue(RequestState& request) {
+void RequestScheduler::Enqueue(RequestState& request) {
   const bool within_quota = request.logical_request.within_quota;
   request.queue_priority =
       request.priority_weight / state_.ClassOf(request).priority_weight *
@@ -106,7 +106,7 @@
   state_.queue.AddWakeUp(request.wait_until, request.id);
 }
 
-void Dispatcher::Retry(RequestState& request, bool adds_load) {
+void RequestScheduler::Retry(RequestState& request, bool adds_load) {
   if (!PermissionFor(request).may_dispatch) return Finish(request, RejectReason::kNotRetriable);
   if (adds_load && !state_.retry_budget.HasToken())
     return Finish(request, RejectReason::kRetryBudgetExhausted);
@@ -117,7 +117,7 @@
   Dispatch(request);
 }
 
-void Dispatcher::Finish(RequestState& request, RejectReason reason, Duration retry_after) {
+void RequestScheduler::Finish(RequestState& request, RejectReason reason, Duration retry_after) {
   const bool reject = PermissionFor(request).may_reject;
   if (state_.MayLog(LogKind::kRequestEnd)) LogEnd(request, reject);
   if (reject) {
@@ -130,7 +130,7 @@
 }
 
 // For operators, seldom; the reason of each request is in the event request_completed, at level debug.
-void Dispatcher::LogEnd(const RequestState& request, bool rejected) {
+void RequestScheduler::LogEnd(const RequestState& request, bool rejected) {
   std::string cause = "not in time";
   if (!request.attempts.empty()) {
     const Endpoint& last = state_.endpoints[request.attempts.back().backend].endpoint;
@@ -141,7 +141,7 @@
                   std::to_string(state_.queue.size()) + " queued");
 }
 
-void Dispatcher::MarkFinished(RequestState& request, bool client_may_retry) {
+void RequestScheduler::MarkFinished(RequestState& request, bool client_may_retry) {
   request.finished = true;
   const Duration deadline = state_.ClassOf(request).deadline;
   if (client_may_retry) {
@@ -152,14 +152,14 @@
   }
 }
 
-void Dispatcher::EraseIfDone(Requests::iterator entry) {
+void RequestScheduler::EraseIfDone(Requests::iterator entry) {
   RequestState& request = entry->second;
   if (!request.finished) return;
   state_.queue.Remove(request);
   if (!request.has_outstanding_attempt()) state_.requests.erase(entry);
 }
 
-void Dispatcher::EndExpiredWaits() {
+void RequestScheduler::EndExpiredWaits() {
   while (const std::optional<RequestId> id = state_.queue.TakeDue(state_.now)) {
     const auto found = state_.requests.find(*id);
     if (found == state_.requests.end()) continue;
@@ -171,24 +171,24 @@
 
 // While no request has been answered since this one arrived, the cause is no congestion but an interruption,
 // which may end at any time: it waits for longer.
-void Dispatcher::OnMaxQueueTime(RequestState& request) {
+void RequestScheduler::OnMaxQueueTime(RequestState& request) {
   if (state_.last_outcome > request.received_at || state_.now >= request.max_wait_until)
     return RejectForNoCapacity(request);
   request.wait_until = request.max_wait_until;
   state_.queue.AddWakeUp(request.wait_until, request.id);
 }
 
-void Dispatcher::RejectForNoCapacity(RequestState& request) {
+void RequestScheduler::RejectForNoCapacity(RequestState& request) {
   if (state_.zone_outages.last_answer() > request.received_at) state_.load_shedder.OnNoCapacity();
   Finish(request, RejectReason::kNoCapacity, RetryAfter(request));
 }
 
-Duration Dispatcher::RetryAfter(const RequestState& request) {
+Duration RequestScheduler::RetryAfter(const RequestState& request) {
   return RetryAfterFor(state_.ClassOf(request).deadline, state_.settings.max_retry_after,
                        request.logical_request.client_attempts, state_.random);
 }
 
-void Dispatcher::DispatchQueued() {
+void RequestScheduler::DispatchQueued() {
   if (!state_.recheck_queue) return;
   state_.recheck_queue = false;
   int misses = 0;
--- a/src/decision/request_scheduler.h
+++ b/src/decision/request_scheduler.h
@@ -12,9 +12,9 @@
 namespace copperpoint {
 
 // Holds no state of its own. A finished request stays in DecisionState::requests until EraseIfDone.
-class Dispatcher {
+class RequestScheduler {
  public:
-  explicit Dispatcher(DecisionState& state) : state_(state) {}
+  explicit RequestScheduler(DecisionState& state) : state_(state) {}
 
   // Starts an attempt, or queues the request, or ends it; true if an attempt was started.
   bool Dispatch(RequestState& request);
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -17,8 +17,8 @@
 // slow_start_window, and fails when all proxies together send it more than overload_factor times that within
 // overload_window. A proxy sends it, within that window, its capacity fraction of the work that a warm
 // backend serves for this proxy; if all proxies do so, the sum is that fraction of what a warm backend can
-// serve, whatever part of the traffic each proxy has. Work sent is no measure, since an overloaded fleet is
-// sent far more than it can serve.
+// serve, whatever part of the traffic each proxy has. Work sent is no measure, since overloaded
+// backends are sent far more than they can serve.
 //
 // Where that budget is less than one request, a request may go once the budget has paid for it, the first at
 // a random part of that time: otherwise hundreds of proxies would send their first request at once.
--- a/src/decision/subset.cpp
+++ b/src/decision/subset.cpp
@@ -18,8 +18,9 @@
   const std::vector<BackendIndex> before = std::exchange(backends_, {});
   const BackendRing& ring = endpoints.ring();
   const double shared_size = kMaxSharers * static_cast<double>(ring.size()) / proxy_count_;
-  const std::size_t size = std::max(
-      traffic_size_, static_cast<std::size_t>(std::clamp<double>(shared_size, kMinSize, kMinSizeIfShared)));
+  const std::size_t size =
+      std::max(evaluable_backends_,
+               static_cast<std::size_t>(std::clamp<double>(shared_size, kMinSize, kMinSizeIfShared)));
   std::vector<BackendIndex> own_zone, other_zones;
   for (const BackendIndex index : ring.order()) {
     const bool own = cross_zone_cost_ > kMinCrossingCost && endpoints[index].endpoint.zone == zone_;
@@ -47,9 +48,9 @@
   }
 }
 
-bool Subset::SetTrafficSize(std::size_t backends) {
-  if (backends <= traffic_size_ && backends * 2 >= traffic_size_) return false;
-  traffic_size_ = backends;
+bool Subset::SetEvaluableBackends(std::size_t backends) {
+  if (backends <= evaluable_backends_ && backends * 2 >= evaluable_backends_) return false;
+  evaluable_backends_ = backends;
   return true;
 }
 
--- a/src/decision/subset.h
+++ b/src/decision/subset.h
@@ -29,11 +29,11 @@
   // ring.
   std::vector<BackendId> Rebuild(EndpointSet& endpoints);
 
-  // `ring_offset`: 0 to below 1. Takes effect with the next Rebuild, as does SetTrafficSize.
+  // `ring_offset`: 0 to below 1. Takes effect with the next Rebuild, as does SetEvaluableBackends.
   void SetOffset(double ring_offset) { ring_offset_ = ring_offset; }
-  // `backends`: to how many this proxy's traffic brings the request volume. True if the subset should be
+  // `backends`: OutlierDetector::EvaluableBackends of this proxy's traffic. True if the subset should be
   // rebuilt: small changes of the rate are not worth new connections.
-  bool SetTrafficSize(std::size_t backends);
+  bool SetEvaluableBackends(std::size_t backends);
 
   const std::vector<BackendIndex>& backends() const { return backends_; }
   bool Contains(const BackendState& backend) const { return backend.subset_generation == generation_; }
@@ -50,7 +50,7 @@
   const int proxy_count_, zone_;
   const double cross_zone_cost_;
   double ring_offset_;
-  std::size_t traffic_size_ = 0;
+  std::size_t evaluable_backends_ = 0;
   int generation_ = 0;
   std::vector<BackendIndex> backends_;
 };
--- a/src/decision/traffic_rates.h
+++ b/src/decision/traffic_rates.h
@@ -21,7 +21,7 @@
     ++successes_;
   }
 
-  // Ends a sample of `elapsed_ms`, in which `backends_in_service` (see FleetCapacity) served.
+  // Ends a sample of `elapsed_ms`, in which `backends_in_service` (see BackendSetCapacity) served.
   void Sample(double elapsed_ms, double backends_in_service) {
     const double even_gain = 1.0 / ++samples_;
     const double answer_gain = std::min(1.0, std::max(elapsed_ms / kAnswerMemory.count(), even_gain));
--- a/tests/decision/backend_picker_test.cpp
+++ b/tests/decision/backend_picker_test.cpp
@@ -131,7 +131,7 @@
 
 TEST_F(BackendPickerTest, FindsAnIdleBackendOfManyByItsSample) {
   List(500);
-  subset_.SetTrafficSize(500);
+  subset_.SetEvaluableBackends(500);
   subset_.Rebuild(endpoints_);
   for (BackendState& backend : endpoints_.backends())
     backend.outstanding_work_ms = backend.endpoint.backend % 2 == 0 ? 50 : 0;
@@ -143,7 +143,7 @@
 TEST_F(BackendPickerTest, RanksAllOfManyWhereTheSampleIsOutOfService) {
   List(500);
   for (BackendState& backend : endpoints_.backends()) backend.health.ejected = backend.endpoint.backend != 77;
-  subset_.SetTrafficSize(500);
+  subset_.SetEvaluableBackends(500);
   subset_.Rebuild(endpoints_);
   EXPECT_EQ(Picked(), 77u);
 }
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -81,12 +81,12 @@
 }
 
 TEST_F(OutlierDetectorTest, NeedsFewerAttemptsAtLowTraffic) {
-  detector_.SetTraffic(/*requests_per_s=*/2, /*backends=*/4);
+  detector_.FitInterval(/*requests_per_s=*/2, /*backends=*/4);
   ASSERT_TRUE(detector_.low_traffic());
   Succeed(good_, 5);
   EXPECT_FALSE(Fail(bad_));
   EXPECT_TRUE(Fail(bad_)) << "two failures where nearly nothing fails elsewhere are no chance";
-  detector_.SetTraffic(1000, 4);
+  detector_.FitInterval(1000, 4);
   EXPECT_FALSE(detector_.low_traffic());
 }
 
--- a/tests/decision/subset_test.cpp
+++ b/tests/decision/subset_test.cpp
@@ -46,11 +46,11 @@
 
 TEST(Subset, FollowsTheRateButNotItsSmallChanges) {
   Subset subset{Settings()};
-  EXPECT_TRUE(subset.SetTrafficSize(20));
-  EXPECT_FALSE(subset.SetTrafficSize(20));
-  EXPECT_FALSE(subset.SetTrafficSize(10)) << "half is still enough";
-  EXPECT_TRUE(subset.SetTrafficSize(9));
-  EXPECT_TRUE(subset.SetTrafficSize(21));
+  EXPECT_TRUE(subset.SetEvaluableBackends(20));
+  EXPECT_FALSE(subset.SetEvaluableBackends(20));
+  EXPECT_FALSE(subset.SetEvaluableBackends(10)) << "half is still enough";
+  EXPECT_TRUE(subset.SetEvaluableBackends(9));
+  EXPECT_TRUE(subset.SetEvaluableBackends(21));
 }
 
 TEST(Subset, ReturnsWhatLeftWhenTheOffsetMoves) {
