--- a/src/decision/fleet_updates.h
+++ b/src/decision/backend_set_updater.h
@@ -2,8 +2,8 @@
 //
 // What changes the set of backends that are listed or in service, and the subset with it: endpoint lists,
 // ejections, zone outages, and their ends.
-#ifndef COPPERPOINT_DECISION_FLEET_UPDATES_H_
-#define COPPERPOINT_DECISION_FLEET_UPDATES_H_
+#ifndef COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
+#define COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
 
 #include <vector>
 
@@ -13,9 +13,9 @@
 namespace copperpoint {
 
 // Holds no state of its own.
-class FleetUpdates {
+class BackendSetUpdater {
  public:
-  explicit FleetUpdates(DecisionState& state) : state_(state) {}
+  explicit BackendSetUpdater(DecisionState& state) : state_(state) {}
 
   void OnEndpointUpdate(const EndpointUpdate& update);
   void OnStateRestored(const StateRestored& restored);
@@ -34,7 +34,7 @@
   void FitToTraffic();
 
  private:
-  void OnFleetChanged();
+  void OnBackendSetChanged();
   void RebuildSubset();
   void ReturnBackends();
 
@@ -43,4 +43,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_FLEET_UPDATES_H_
+#endif  // COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
--- a/src/decision/dispatcher.h
+++ b/src/decision/request_scheduler.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Starts attempts, queues requests while there is no capacity, and ends those that can't be served.
-#ifndef COPPERPOINT_DECISION_DISPATCHER_H_
-#define COPPERPOINT_DECISION_DISPATCHER_H_
+#ifndef COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
+#define COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
 
 #include "copperpoint/balancer.h"
 #include "decision/decision_state.h"
@@ -12,9 +12,9 @@
 namespace copperpoint {
 
 // Holds no state of its own. A finished request stays in DecisionState::requests until EraseIfDone.
-class Dispatcher {
+class RequestScheduler {
  public:
-  explicit Dispatcher(DecisionState& state) : state_(state) {}
+  explicit RequestScheduler(DecisionState& state) : state_(state) {}
 
   // Starts an attempt, or queues the request, or ends it; true if an attempt was started.
   bool Dispatch(RequestState& request);
@@ -52,4 +52,4 @@
 
 }  // namespace copperpoint
 
-#endif  // COPPERPOINT_DECISION_DISPATCHER_H_
+#endif  // COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
