--- a/src/cli/rollout.cpp
+++ b/src/cli/rollout.cpp
@@ -43,8 +43,8 @@
 }
 
 // Who the change would be of: the living members of a proxy's view, or as many as were asked for.
-std::vector<rollout::Named> MembersOf(const Options& options) {
-  std::vector<rollout::Named> members;
+std::vector<rollout::MemberInfo> MembersOf(const Options& options) {
+  std::vector<rollout::MemberInfo> members;
   if (options.at.empty()) {
     for (int i = 0; i < options.members; ++i)
       members.push_back(
@@ -61,7 +61,7 @@
 }
 
 int ShowPlan(const Options& options) {
-  const rollout::Plan plan = rollout::ReadPlan(config::Contents(options.file), options.file);
+  const rollout::Plan plan = rollout::ParsePlan(config::Contents(options.file), options.file);
   const auto members = MembersOf(options);
   if (members.empty()) throw std::invalid_argument("whose change? --at ADDRESS, or --members N");
   double rate = options.rate;
@@ -70,36 +70,39 @@
            static_cast<double>(members.size());
   if (rate < 0)
     throw std::invalid_argument("how much traffic? --rate, requests a second over all, or --at ADDRESS");
-  const rollout::Order order = rollout::MakeOrder(plan, members, /*change=*/1);
-  const auto sights = rollout::Foresee(plan, order, rate, options.missed);
+  const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*change=*/1);
+  const auto forecasts = rollout::ForecastStages(plan, order, rate, options.missed);
   std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests a second, {:.2f}% missed today\n",
-                           plan.name, plan.from, plan.to, members.size(), rate, 100 * options.missed);
+                           plan.name, plan.old_version, plan.new_version, members.size(), rate,
+                           100 * options.missed);
   std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10} {:>11} {:>12} {:>14}  {}\n", "stage", "changed",
                            "others", "requests", "at_most_s", "sees_loss", "needs_watch_s", "who is new");
   int before = 0, blind = 0;
   double longest = 0;
-  for (std::size_t k = 0; k < sights.size(); ++k) {
-    const rollout::Sight& sight = sights[k];
+  for (std::size_t k = 0; k < forecasts.size(); ++k) {
+    const rollout::StageForecast& forecast = forecasts[k];
     std::string who;
-    for (int i = before; i < std::min(sight.changed, before + 6); ++i)
+    for (int i = before; i < std::min(forecast.changed, before + 6); ++i)
       who += (who.empty() ? "" : " ") + order.members[static_cast<std::size_t>(i)].name;
-    if (sight.changed > before + 6) who += " ...";
-    before = sight.changed;
-    longest += sight.longest_s;
-    const bool alone = sight.others == 0;
+    if (forecast.changed > before + 6) who += " ...";
+    before = forecast.changed;
+    longest += forecast.max_duration_s;
+    const bool alone = forecast.others == 0;
     std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", k + 1,
-                             sight.changed, sight.others, sight.requests, sight.longest_s,
-                             alone ? "-" : fmt::format("{:.4f}", sight.seen_worth),
-                             alone                  ? "-"
-                             : sight.needed_s < 1e6 ? fmt::format("{:.0f}", sight.needed_s)
-                                                    : "never",
+                             forecast.changed, forecast.others, forecast.requests, forecast.max_duration_s,
+                             alone ? "-" : fmt::format("{:.4f}", forecast.detectable_fraction),
+                             alone ? "-"
+                             : forecast.required_bake_time_s < 1e6
+                                 ? fmt::format("{:.0f}", forecast.required_bake_time_s)
+                                 : "never",
                              who);
-    if (!alone && sight.seen_worth > plan.guard.worth) {
+    if (!alone && forecast.detectable_fraction > plan.guardrails.missed_fraction) {
       ++blind;
       std::cerr << fmt::format(
           "copperpoint: {}: stage {}: guard.worth = {} cannot be seen here, only {:.4f}; watch_s = {:.0f} "
           "would do\n",
-          options.file, k + 1, plan.guard.worth, sight.seen_worth, std::ceil(sight.needed_s));
+          options.file, k + 1, plan.guardrails.missed_fraction, forecast.detectable_fraction,
+          std::ceil(forecast.required_bake_time_s));
     }
   }
   std::cout << fmt::format(
@@ -252,7 +255,7 @@
   address(start);
   start->callback([options] {
     const std::string text = config::Contents(options->file);
-    rollout::ReadPlan(text, options->file);
+    rollout::ParsePlan(text, options->file);
     std::cout << Ask(options->at, "/rollout/start", /*post=*/true, text);
   });
   for (const char* what : {"pause", "resume", "abort"}) {
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -96,7 +96,7 @@
   int LeaderNow() const;
   void Break(const std::string& what);
   bool Settled() const;
-  rollout::wire::Report Report(const Node& node) const;
+  rollout::wire::MemberReport Report(const Node& node) const;
 
   const rollout::Plan& plan_;
   const TrialOptions& options_;
@@ -121,7 +121,7 @@
     if (a != b && (!cut.one_way || a)) return false;
   }
   return !nodes_[static_cast<std::size_t>(from)].deaf ||
-         nodes_[static_cast<std::size_t>(from)].version != plan_.to;
+         nodes_[static_cast<std::size_t>(from)].version != plan_.new_version;
 }
 
 bool Trial::Lives(int observer, const std::string& name) const {
@@ -133,11 +133,11 @@
     if (cut.side[static_cast<std::size_t>(observer)] != cut.side[static_cast<std::size_t>(i)] && !cut.one_way)
       return false;
   }
-  return !(of.deaf && of.version == plan_.to);
+  return !(of.deaf && of.version == plan_.new_version);
 }
 
-rollout::wire::Report Trial::Report(const Node& node) const {
-  rollout::wire::Report report;
+rollout::wire::MemberReport Trial::Report(const Node& node) const {
+  rollout::wire::MemberReport report;
   report.set_ready(now_ >= node.ready_at && node.target.empty());
   report.set_crashes(node.crashes);
   for (const auto& stratum : node.strata) *report.add_strata() = stratum;
@@ -161,14 +161,14 @@
   for (auto& stratum : node.strata) {
     rollout::wire::Stratum fresh;
     fresh.set_request_class(stratum.request_class());
-    fresh.set_account(stratum.account());
+    fresh.set_tenant(stratum.tenant());
     stratum = fresh;
   }
   node.agent = std::make_unique<Agent>(
-      Agent::Self{node.name, version, static_cast<std::uint64_t>(i) << 20 | node.life, node.mark, node.failed,
-                  node.failure},
+      Agent::Identity{node.name, version, static_cast<std::uint64_t>(i) << 20 | node.life, node.mark,
+                      node.failed, node.failure},
       [this, i](const std::string& name) { return Lives(i, name); }, [this, i] { return Report(At(i)); });
-  if (version == plan_.to) {
+  if (version == plan_.new_version) {
     node.ever_new = true;
     if (result_.first_s == 0) result_.first_s = Seconds(now_);
   }
@@ -178,14 +178,14 @@
 void Trial::Keep(int i, const std::string& version) {
   Node& node = At(i);
   const Micros takes = FromMs(random_.Between(800, 2000));
-  if (version == plan_.to && node.knew_ended.contains(node.agent->mark().change))
+  if (version == plan_.new_version && node.knew_ended.contains(node.agent->progress().rollout_id))
     Break(node.name + " changes after it knew of the end");
-  if (version == plan_.to && options_.harm == Harm::kNoStart) {
+  if (version == plan_.new_version && options_.harm == Harm::kNoStart) {
     if (result_.first_s == 0) result_.first_s = Seconds(now_);
     node.ever_new = true;
     node.failed = version;
     node.failure = "it did not come up";
-    node.agent->OnFailed(version, node.failure);
+    node.agent->OnVersionFailed(version, node.failure);
     return Take(i);
   }
   node.target = version;
@@ -194,8 +194,8 @@
 
 void Trial::Take(int i) {
   Node& node = At(i);
-  Agent::Output output = node.agent->Take();
-  for (auto& letter : output.letters) {
+  Agent::Output output = node.agent->TakeOutput();
+  for (auto& letter : output.messages) {
     const auto to = by_name_.find(letter.to);
     if (to == by_name_.end() || !Reaches(i, to->second)) continue;
     if (now_ < lossy_until_ && random_.Chance(0.3)) continue;
@@ -209,7 +209,7 @@
   for (const rollout::Event& event : output.events) {
     if (options_.tell)
       told_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} may have changed", Seconds(now_), node.name,
-                                  event.change, event.name, event.why, event.prefix));
+                                  event.change, event.name, event.why, event.admitted_members));
     if (event.name == "stage") {
       // No stage goes on unless its leader hears a majority.
       int heard = 0;
@@ -229,9 +229,9 @@
     if ((event.name == "done" || event.name == "ended" || event.name == "stopped") && result_.ended_s == 0)
       result_.ended_s = Seconds(now_);
   }
-  if (output.mark != 0) node.mark = output.mark;
-  if (node.agent->mark().takes_back()) node.knew_ended.insert(node.agent->mark().change);
-  if (output.run) Keep(i, *output.run);
+  if (output.progress != 0) node.mark = output.progress;
+  if (node.agent->progress().requires_rollback()) node.knew_ended.insert(node.agent->progress().rollout_id);
+  if (output.requested_version) Keep(i, *output.requested_version);
 }
 
 void Trial::Tick(int i) {
@@ -241,9 +241,9 @@
   if (!node.target.empty() && now_ >= node.ready_at) {
     const std::string version = std::exchange(node.target, "");
     Begin(i, version);
-    if (version == plan_.from) node.back = now_;
+    if (version == plan_.old_version) node.back = now_;
   }
-  if (options_.harm == Harm::kEnds && node.version == plan_.to &&
+  if (options_.harm == Harm::kEnds && node.version == plan_.new_version &&
       now_ > node.up_since + FromMs(options_.amount * 1000)) {
     ++node.crashes;  // its keeper starts it again
     Begin(i, node.version);
@@ -251,12 +251,12 @@
   }
   if (!node.letters.empty()) {
     for (auto& [from, body] : std::exchange(node.letters, {})) {
-      node.agent->OnLetter(Time(now_), At(from).name, body);
+      node.agent->OnMessage(Time(now_), At(from).name, body);
       Take(i);
       if (!node.agent) return;
     }
   }
-  if (node.agent->next() <= Time(now_)) {
+  if (node.agent->next_tick_at() <= Time(now_)) {
     node.agent->OnTick(Time(now_));
     Take(i);
   }
@@ -269,7 +269,7 @@
     return;
   for (const auto& [topic, document] : At(j).held) {
     auto& mine = At(i).held[topic];
-    if (document.first <= mine.first || !At(i).agent->Admits(topic, document.first)) continue;
+    if (document.first <= mine.first || !At(i).agent->AcceptsDocument(topic, document.first)) continue;
     mine = document;
     At(i).agent->OnDocument(Time(now_), topic, document.first, document.second);
     Take(i);
@@ -280,7 +280,7 @@
 // A second of traffic at every member that serves.
 void Trial::Serve() {
   int changed = 0;
-  for (const Node& node : nodes_) changed += node.version == plan_.to;
+  for (const Node& node : nodes_) changed += node.version == plan_.new_version;
   const bool crowd = 3 * changed >= options_.members;
   const double t = Seconds(now_);
   // Troubles come back every two minutes, so that some meet every stage.
@@ -288,7 +288,7 @@
   for (int i = 0; i < options_.members; ++i) {
     Node& node = At(i);
     if (!Up(node) || Still(node) || now_ < node.ready_at - 2 * kSecond) continue;
-    const bool is_new = node.version == plan_.to;
+    const bool is_new = node.version == plan_.new_version;
     double factor = 1, load = 1;
     if (trouble && options_.around == Around::kSurge) factor = 4, load = 2;
     // A third of the members have the backends that ail.
@@ -319,18 +319,19 @@
         auto& of_account =
             node.strata[static_cast<std::size_t>(options_.classes + c * options_.accounts + a)];
         for (auto* one : {&stratum, &of_account}) {
-          one->set_asked(one->asked() + static_cast<std::uint64_t>(asked));
+          one->set_requests(one->requests() + static_cast<std::uint64_t>(asked));
           one->set_missed(one->missed() + static_cast<std::uint64_t>(missed));
           one->set_failed(one->failed() + static_cast<std::uint64_t>(missed));
           one->set_attempts(one->attempts() +
                             static_cast<std::uint64_t>(asked + (traffic_.Chance(0.02 * asked) ? 1 : 0)));
         }
-        while (stratum.times_size() < static_cast<int>(rollout::kTimeBuckets)) stratum.add_times(0);
+        while (stratum.latency_buckets_size() < static_cast<int>(rollout::kLatencyBuckets))
+          stratum.add_latency_buckets(0);
         const double slow = is_new && options_.harm == Harm::kSlower ? 1 + options_.amount : 1;
         for (int n = missed; n < asked; ++n) {
           const double ms = 20 * (c + 1) * slow * traffic_.Lognormal(1, 0.7);
-          const int bucket = static_cast<int>(rollout::TimeBucket(ms));
-          stratum.set_times(bucket, stratum.times(bucket) + 1);
+          const int bucket = static_cast<int>(rollout::LatencyBucketOf(ms));
+          stratum.set_latency_buckets(bucket, stratum.latency_buckets(bucket) + 1);
         }
         node.cpu_us += asked * 300 * (is_new && options_.harm == Harm::kProcessor ? 1 + options_.amount : 1) *
                        traffic_.Lognormal(1, 0.2);
@@ -342,7 +343,7 @@
 
 int Trial::LeaderNow() const {
   for (int i = 0; i < options_.members; ++i)
-    if (nodes_[static_cast<std::size_t>(i)].agent && nodes_[static_cast<std::size_t>(i)].agent->leads())
+    if (nodes_[static_cast<std::size_t>(i)].agent && nodes_[static_cast<std::size_t>(i)].agent->is_leader())
       return i;
   return 0;
 }
@@ -394,7 +395,7 @@
       break;
     case 5:
       if (Up(At(victim)) && !Still(At(victim)) && At(victim).agent->Abort(Time(now_)).empty()) {
-        aborted_.insert(At(victim).agent->mark().change);
+        aborted_.insert(At(victim).agent->progress().rollout_id);
         Take(victim);
       }
       break;
@@ -402,7 +403,7 @@
       if (Up(At(victim)) && !Still(At(victim))) {
         rollout::Plan second = plan_;
         second.name = "second";
-        std::vector<rollout::Named> all;
+        std::vector<rollout::MemberInfo> all;
         for (const Node& node : nodes_) all.push_back({node.name, node.zone});
         second_ = At(victim).agent->Start(Time(now_), second, all);
         Take(victim);
@@ -421,19 +422,19 @@
   for (const Node& node : nodes_) {
     if (now_ < node.down_until || now_ < node.stopped_until || !node.agent || !node.target.empty())
       return false;
-    if (node.deaf && node.version == plan_.to) return false;
-    const rollout::Mark& held = node.agent->mark();
-    if (held.change == 0) continue;  // it holds none, as where the only one that knew of it ended
+    if (node.deaf && node.version == plan_.new_version) return false;
+    const rollout::Progress& held = node.agent->progress();
+    if (held.rollout_id == 0) continue;  // it holds none, as where the only one that knew of it ended
     if (node.agent->busy()) return false;
     versions.insert(node.version);
-    if (held.takes_back() && node.version == plan_.to) return false;
-    if (held.course == rollout::Course::kDone && node.version != plan_.to) return false;
+    if (held.requires_rollback() && node.version == plan_.new_version) return false;
+    if (held.status == rollout::RolloutStatus::kCompleted && node.version != plan_.new_version) return false;
   }
   return versions.size() <= 1;
 }
 
 TrialResult Trial::Play() {
-  std::vector<rollout::Named> all;
+  std::vector<rollout::MemberInfo> all;
   for (int i = 0; i < options_.members; ++i) {
     Node node;
     node.name = fmt::format("p{}", i + 1);
@@ -449,14 +450,14 @@
       for (int a = 0; a < options_.accounts; ++a) {
         rollout::wire::Stratum stratum;
         stratum.set_request_class(static_cast<std::uint32_t>(c));
-        stratum.set_account(static_cast<std::uint32_t>(a + 1));
+        stratum.set_tenant(static_cast<std::uint32_t>(a + 1));
         node.strata.push_back(stratum);
       }
     by_name_[node.name] = i;
     all.push_back({node.name, node.zone});
     nodes_.push_back(std::move(node));
   }
-  for (int i = 0; i < options_.members; ++i) Begin(i, plan_.from);
+  for (int i = 0; i < options_.members; ++i) Begin(i, plan_.old_version);
   if (options_.faults) DrawFaults();
   const int first = static_cast<int>(random_.Below(nodes_.size()));
   if (const std::string why = At(first).agent->Start(Time(0), plan_, all); !why.empty()) Break(why);
@@ -481,7 +482,7 @@
         if (to.letters.size() < 200) to.letters.emplace_back(letter.from, std::move(letter.body));
         continue;
       }
-      to.agent->OnLetter(Time(now_), At(letter.from).name, letter.body);
+      to.agent->OnMessage(Time(now_), At(letter.from).name, letter.body);
       Take(letter.to);
     }
     for (int i = 0; i < options_.members; ++i) {
@@ -508,10 +509,12 @@
   for (const Node& node : nodes_) {
     if (!node.agent) continue;
     versions.insert(node.version);
-    result_.done |= node.agent->mark().course == rollout::Course::kDone;
-    if (node.agent->mark().course == rollout::Course::kDone && aborted_.contains(node.agent->mark().change))
+    result_.done |= node.agent->progress().status == rollout::RolloutStatus::kCompleted;
+    if (node.agent->progress().status == rollout::RolloutStatus::kCompleted &&
+        aborted_.contains(node.agent->progress().rollout_id))
       Break(node.name + " holds it for done after an abort");
-    back |= node.agent->mark().ended() && node.agent->mark().course != rollout::Course::kDone;
+    back |=
+        node.agent->progress().ended() && node.agent->progress().status != rollout::RolloutStatus::kCompleted;
   }
   result_.stopped = back;
   if (result_.done && back) Break("some hold the change for done, others for stopped");
@@ -519,10 +522,10 @@
     Break("it has not ended, or not everywhere alike");
     for (const Node& node : nodes_)
       if (node.agent && result_.story.size() < 30)
-        result_.story.push_back(fmt::format("{} runs {}, holds change {:x} {}, {} may have changed{}",
-                                            node.name, node.version, node.agent->mark().change,
-                                            static_cast<int>(node.agent->mark().course),
-                                            node.agent->mark().prefix, node.agent->leads() ? ", leads" : ""));
+        result_.story.push_back(
+            fmt::format("{} runs {}, holds change {:x} {}, {} may have changed{}", node.name, node.version,
+                        node.agent->progress().rollout_id, static_cast<int>(node.agent->progress().status),
+                        node.agent->progress().admitted_members, node.agent->is_leader() ? ", leads" : ""));
   }
   if (!result_.holds)
     for (const std::string& line : told_) result_.story.push_back(line);
@@ -538,7 +541,7 @@
 }
 
 TrialResult TryChange(const std::string& text, const std::string& name_of_file, const TrialOptions& options) {
-  const rollout::Plan plan = rollout::ReadPlan(text, name_of_file);
+  const rollout::Plan plan = rollout::ParsePlan(text, name_of_file);
   return Trial(plan, options).Play();
 }
 
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -62,12 +62,12 @@
   return record;
 }
 
-rollout::Agent::Self AgentOf(const membership::View& view, const SupervisorLink* keeper) {
-  rollout::Agent::Self self{view.self().name(), "", view.self().life(), 0, "", ""};
+rollout::Agent::Identity AgentOf(const membership::View& view, const SupervisorLink* keeper) {
+  rollout::Agent::Identity self{view.self().name(), "", view.self().life(), 0, "", ""};
   if (!keeper) return self;
   const SupervisorLink::Known& known = keeper->known();
   self.version = known.version;
-  self.mark = known.mark;
+  self.progress = known.mark;
   self.failed_version = known.failed_version;
   self.failure = known.failure;
   return self;
@@ -93,7 +93,7 @@
       on_ring_offset_(std::move(on_ring_offset)),
       keeper_(SupervisorLink::FromEnvironment(io,
                                               [this](const std::string& version, const std::string& why) {
-                                                agent_.OnFailed(version, why);
+                                                agent_.OnVersionFailed(version, why);
                                                 Flush();
                                               })),
       agent_(
@@ -103,15 +103,16 @@
             return at != membership::Members::kNone && view_.members()[at].living();
           },
           [this] {
-            rollout::wire::Report report = counts_.Report();
+            rollout::wire::MemberReport report = counts_.Report();
             report.set_ready(ready_ && !left_);
             if (keeper_) report.set_crashes(keeper_->known().ends);
             return report;
           }),
       began_(FleetNow()),
       timer_(io) {
-  view_.SetGate(
-      [this](membership::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
+  view_.SetGate([this](membership::Topic topic, std::uint64_t version) {
+    return agent_.AcceptsDocument(topic, version);
+  });
   Open();
 } catch (const std::invalid_argument& error) {
   throw ConfigError(std::string("fleet: ") + error.what());
@@ -152,10 +153,10 @@
 // What the view has for the parts that live on it, and what they have for the view.
 void FleetHost::LookAtParts() {
   for (bool more = true; more;) {
-    CarryOut(agent_.Take());
+    CarryOut(agent_.TakeOutput());
     const membership::Output output = view_.Take();
     for (const membership::Letter& letter : output.letters)
-      if (letter.topic == rollout::kLetterTopic) agent_.OnLetter(FleetNow(), letter.from, letter.body);
+      if (letter.topic == rollout::kMessageTopic) agent_.OnMessage(FleetNow(), letter.from, letter.body);
     for (const membership::Topic topic : output.documents) {
       const membership::Document* document = view_.document(topic);
       if (document) agent_.OnDocument(FleetNow(), topic, document->version, document->body);
@@ -169,13 +170,14 @@
   const membership::Time now = FleetNow();
   for (const auto& document : output.documents)
     view_.Put(now, document.topic, document.version, document.body);
-  for (auto& letter : output.letters)
-    view_.Mail(now, letter.to, rollout::kLetterTopic, std::move(letter.body));
+  for (auto& letter : output.messages)
+    view_.Mail(now, letter.to, rollout::kMessageTopic, std::move(letter.body));
   for (const rollout::Event& event : output.events)
-    log::Global().Info("rollout_" + event.name,
-                       {{"change", event.change}, {"why", event.why}, {"may_have_changed", event.prefix}});
-  if (keeper_ && output.mark != 0) keeper_->Say("mark " + log::Hex(output.mark));
-  if (keeper_ && output.run) keeper_->Say("run " + *output.run);
+    log::Global().Info(
+        "rollout_" + event.name,
+        {{"change", event.change}, {"why", event.why}, {"may_have_changed", event.admitted_members}});
+  if (keeper_ && output.progress != 0) keeper_->Say("mark " + log::Hex(output.progress));
+  if (keeper_ && output.requested_version) keeper_->Say("run " + *output.requested_version);
 }
 
 void FleetHost::Ready() {
@@ -183,8 +185,8 @@
   if (keeper_) keeper_->Say("ready");
 }
 
-std::vector<rollout::Named> FleetHost::Living() const {
-  std::vector<rollout::Named> members;
+std::vector<rollout::MemberInfo> FleetHost::Living() const {
+  std::vector<rollout::MemberInfo> members;
   for (const int at : view_.members().living()) {
     const membership::Record& record = *view_.members()[at].record;
     members.push_back({record.name(), record.zone()});
@@ -208,7 +210,7 @@
   std::string why;
   if (what == "/start") {
     try {
-      why = agent_.Start(now, rollout::ReadPlan(body, "plan"), Living());
+      why = agent_.Start(now, rollout::ParsePlan(body, "plan"), Living());
     } catch (const config::BadFile& error) {
       why = error.what();
     }
@@ -258,11 +260,11 @@
 
 void FleetHost::Arm() {
   if (!transport_ || view_.silent()) return;
-  timer_.expires_at(ToSteady(std::min({view_.next(), positions_.next(), agent_.next()})));
+  timer_.expires_at(ToSteady(std::min({view_.next(), positions_.next(), agent_.next_tick_at()})));
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     view_.OnTick(FleetNow());
-    if (agent_.next() <= FleetNow()) agent_.OnTick(FleetNow());
+    if (agent_.next_tick_at() <= FleetNow()) agent_.OnTick(FleetNow());
     Flush();
   });
 }
--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/host.h
@@ -60,7 +60,7 @@
   void Send(const membership::Output& output);
   void LookAtParts();
   void CarryOut(rollout::Agent::Output output);
-  std::vector<rollout::Named> Living() const;
+  std::vector<rollout::MemberInfo> Living() const;
   void Flush();
   void Arm();
 
--- a/src/proxy/membership/request_counts.cpp
+++ b/src/proxy/membership/request_counts.cpp
@@ -37,9 +37,9 @@
 }
 
 void Count(rollout::wire::Stratum& stratum, RequestOutcome outcome, bool in_time, int attempts) {
-  stratum.set_asked(stratum.asked() + 1);
+  stratum.set_requests(stratum.requests() + 1);
   stratum.set_missed(stratum.missed() + !(IsServed(outcome) && in_time));
-  stratum.set_refused(stratum.refused() + (outcome == RequestOutcome::kRejected));
+  stratum.set_rejected(stratum.rejected() + (outcome == RequestOutcome::kRejected));
   stratum.set_failed(stratum.failed() + (outcome == RequestOutcome::kFailed));
   stratum.set_attempts(stratum.attempts() + static_cast<std::uint64_t>(std::max(0, attempts)));
 }
@@ -73,30 +73,31 @@
     if (strata_.size() >= kMostStrata) return nullptr;
     auto& fresh = strata_[{number, cls}];
     fresh.set_request_class(cls);
-    fresh.set_account(number);
+    fresh.set_tenant(number);
     return &fresh;
   };
   if (rollout::wire::Stratum* stratum = of(0)) {
     Count(*stratum, outcome, in_time, attempts);
     if (IsServed(outcome)) {
-      while (stratum->times_size() < static_cast<int>(rollout::kTimeBuckets)) stratum->add_times(0);
-      const int bucket = static_cast<int>(rollout::TimeBucket(duration_ms));
-      stratum->set_times(bucket, stratum->times(bucket) + 1);
+      while (stratum->latency_buckets_size() < static_cast<int>(rollout::kLatencyBuckets))
+        stratum->add_latency_buckets(0);
+      const int bucket = static_cast<int>(rollout::LatencyBucketOf(duration_ms));
+      stratum->set_latency_buckets(bucket, stratum->latency_buckets(bucket) + 1);
     }
   }
   if (tenant == 0) return;
   if (rollout::wire::Stratum* stratum = of(tenant)) Count(*stratum, outcome, in_time, attempts);
 }
 
-rollout::wire::Report RequestCounts::Report() const {
-  rollout::wire::Report report;
+rollout::wire::MemberReport RequestCounts::Report() const {
+  rollout::wire::MemberReport report;
   report.set_cpu_us(ProcessorUs());
   report.set_memory_kb(MemoryKb());
   std::vector<const rollout::wire::Stratum*> ordered;
   for (const auto& [key, stratum] : strata_) ordered.push_back(&stratum);
   std::stable_sort(ordered.begin(), ordered.end(), [](const auto* a, const auto* b) {
-    if ((a->account() == 0) != (b->account() == 0)) return a->account() == 0;
-    return a->asked() > b->asked();
+    if ((a->tenant() == 0) != (b->tenant() == 0)) return a->tenant() == 0;
+    return a->requests() > b->requests();
   });
   std::size_t bytes = 0;
   for (const rollout::wire::Stratum* stratum : ordered) {
--- a/src/proxy/membership/request_counts.h
+++ b/src/proxy/membership/request_counts.h
@@ -23,7 +23,7 @@
   void Record(int request_class, std::uint32_t tenant, RequestOutcome outcome, bool in_time, int attempts,
               double duration_ms);
   // As much as fits into one message: classes before tenants, those with most requests first.
-  rollout::wire::Report Report() const;
+  rollout::wire::MemberReport Report() const;
   std::uint64_t asked() const { return asked_; }
 
  private:
--- a/src/rollout/agent.cpp
+++ b/src/rollout/agent.cpp
@@ -26,17 +26,17 @@
 Time Seconds(double s) { return Time(static_cast<std::int64_t>(s * 1e6)); }
 double Of(Time time) { return std::chrono::duration<double>(time).count(); }
 
-const char* NameOf(Course course) {
+const char* NameOf(RolloutStatus course) {
   switch (course) {
-    case Course::kGoing:
+    case RolloutStatus::kInProgress:
       return "going";
-    case Course::kDone:
+    case RolloutStatus::kCompleted:
       return "done";
-    case Course::kStopped:
+    case RolloutStatus::kStopped:
       return "stopped";
-    case Course::kBack:
+    case RolloutStatus::kRolledBack:
       return "taken back";
-    case Course::kAborted:
+    case RolloutStatus::kAborted:
       return "aborted";
   }
   return "unknown";
@@ -44,176 +44,178 @@
 
 }  // namespace
 
-Agent::Agent(Self self, Lives lives, Counted counted)
+Agent::Agent(Identity self, Lives lives, Counted counted)
     : self_(std::move(self)),
       lives_(std::move(lives)),
       counted_(std::move(counted)),
       running_(self_.version) {
   failed_version_ = self_.failed_version;
   failure_ = self_.failure;
-  known_ = Mark::Unpack(self_.mark);
+  known_ = Progress::Decode(self_.progress);
 }
 
-bool Agent::Admits(std::uint32_t topic, std::uint64_t version) const {
+bool Agent::AcceptsDocument(std::uint32_t topic, std::uint64_t version) const {
   if (!busy()) return true;
   // Without its document yet, it is the change that the process before was in.
-  const std::uint64_t key = plan_ ? key_ : known_.change;
-  if (topic == kChangeTopic) return KeyOf(version) == key;
-  if (topic != kMarkTopic) return true;
+  const std::uint64_t key = plan_ ? key_ : known_.rollout_id;
+  if (topic == kPlanTopic) return RolloutIdOf(version) == key;
+  if (topic != kProgressTopic) return true;
   // A later change that has begun has a majority: this one cannot go on any more.
-  const Mark mark = Mark::Unpack(version);
-  return mark.change == key || (mark.change > key && mark.prefix > 0);
+  const Progress mark = Progress::Decode(version);
+  return mark.rollout_id == key || (mark.rollout_id > key && mark.admitted_members > 0);
 }
 
 void Agent::OnDocument(Time now, std::uint32_t topic, std::uint64_t version, const std::string& body) {
-  if (topic == kChangeTopic) return Hold(now, version, body);
-  if (topic == kMarkTopic || topic == kEndTopic) {
-    std::uint64_t& seen = topic == kMarkTopic ? seen_mark_ : seen_end_;
+  if (topic == kPlanTopic) return Hold(now, version, body);
+  if (topic == kProgressTopic || topic == kFinalProgressTopic) {
+    std::uint64_t& seen = topic == kProgressTopic ? seen_mark_ : seen_end_;
     seen = std::max(seen, version);
-    const Mark mark = Mark::Unpack(version);
-    last_epoch_ = std::max(last_epoch_, static_cast<std::uint32_t>(mark.change >> 12));
+    const Progress mark = Progress::Decode(version);
+    last_epoch_ = std::max(last_epoch_, static_cast<std::uint32_t>(mark.rollout_id >> 12));
     if (!plan_) {
-      const bool same = mark.change == known_.change && version > known_.Pack();
-      if (same || (mark.change > known_.change && mark.prefix > 0)) known_ = mark;
+      const bool same = mark.rollout_id == known_.rollout_id && version > known_.Encode();
+      if (same || (mark.rollout_id > known_.rollout_id && mark.admitted_members > 0)) known_ = mark;
       return;
     }
-    if (mark.change == key_ && version > mark_.Pack()) {
-      SetMark(now, mark);
-    } else if (mark.change > key_ && mark.prefix > 0 && busy()) {
+    if (mark.rollout_id == key_ && version > progress_.Encode()) {
+      SetProgress(now, mark);
+    } else if (mark.rollout_id > key_ && mark.admitted_members > 0 && busy()) {
       // Superseded while this member was away. How it ended is not known here; what comes next is.
-      Mark ended = mark_;
-      ended.course = Course::kStopped;
-      SetMark(now, ended);
+      Progress ended = progress_;
+      ended.status = RolloutStatus::kStopped;
+      SetProgress(now, ended);
     }
     return;
   }
-  if (topic == kStoryTopic && version > story_version_) {
+  if (topic == kHistoryTopic && version > story_version_) {
     story_version_ = version;
     story_.ParseFromString(body);
   }
 }
 
 void Agent::Hold(Time now, std::uint64_t version, const std::string& body) {
-  wire::Change change;
+  wire::RolloutDocument change;
   last_epoch_ = std::max(last_epoch_, EpochOf(version));
   if (version == version_ || !change.ParseFromString(body)) return;
   auto plan = std::make_unique<Plan>();
   try {
-    *plan = ReadPlan(change.plan(), "the change of " + change.by());
+    *plan = ParsePlan(change.plan(), "the change of " + change.started_by());
   } catch (const config::BadFile&) {
     // Of a program that knows more than this one. It takes no part, and so is not counted for a majority.
     output_.events.push_back({"not_understood", "", "a plan that this program cannot read", 0});
     return;
   }
-  std::vector<Named> members;
-  for (const wire::Named& one : change.members()) members.push_back({one.name(), one.zone()});
+  std::vector<MemberInfo> members;
+  for (const wire::Member& one : change.members()) members.push_back({one.name(), one.zone()});
   leader_.reset();
   plan_ = std::move(plan);
   version_ = version;
-  key_ = KeyOf(version);
-  order_ = MakeOrder(*plan_, std::move(members), key_);
-  by_ = change.by();
+  key_ = RolloutIdOf(version);
+  order_ = MakeUpgradeOrder(*plan_, std::move(members), key_);
+  by_ = change.started_by();
   rank_ = order_.RankOf(self_.name);
   lead_ranks_.clear();
-  for (const Named& one : order_.members)
+  for (const MemberInfo& one : order_.members)
     lead_ranks_.push_back(XXH64(one.name.data(), one.name.size(), key_ + 1));
   next_around_ = now;
   held_since_ = majority_at_ = now;
   back_at_ = Time{};
-  mark_ = Mark{key_, Course::kGoing, 0, 0};
+  progress_ = Progress{key_, RolloutStatus::kInProgress, 0, 0};
   // A process begun anew must not act on less than the one before it knew.
   // Nor on less than came before its document.
-  for (const std::uint64_t seen : {known_.Pack(), seen_mark_, seen_end_})
-    if (Mark::Unpack(seen).change == key_ && seen > mark_.Pack()) mark_ = Mark::Unpack(seen);
-  Spread();
+  for (const std::uint64_t seen : {known_.Encode(), seen_mark_, seen_end_})
+    if (Progress::Decode(seen).rollout_id == key_ && seen > progress_.Encode())
+      progress_ = Progress::Decode(seen);
+  PublishProgress();
   majority_ = expired_ = false;
   next_ = now;
   Say("held", "begun at " + by_);
 }
 
-void Agent::SetMark(Time now, const Mark& mark) {
-  const Mark before = std::exchange(mark_, mark);
-  output_.mark = mark_.Pack();
+void Agent::SetProgress(Time now, const Progress& mark) {
+  const Progress before = std::exchange(progress_, mark);
+  output_.progress = progress_.Encode();
   next_ = now;
   if (mark.ended() && !before.ended()) {
     leader_.reset();
-    Say(mark.course == Course::kDone ? "done" : "ended", NameOf(mark.course));
+    Say(mark.status == RolloutStatus::kCompleted ? "done" : "ended", NameOf(mark.status));
   } else if (mark.paused() != before.paused()) {
     Say(mark.paused() ? "paused" : "resumed", "");
-  } else if (mark.prefix != before.prefix) {
+  } else if (mark.admitted_members != before.admitted_members) {
     Say("progress", "");
   }
 }
 
 // The end of a change that had begun is told apart from the marks of later ones, so that whoever was away
 // learns it.
-void Agent::Spread() {
-  output_.documents.push_back({kMarkTopic, mark_.Pack(), ""});
-  if (mark_.ended() && mark_.prefix > 0) output_.documents.push_back({kEndTopic, mark_.Pack(), ""});
+void Agent::PublishProgress() {
+  output_.documents.push_back({kProgressTopic, progress_.Encode(), ""});
+  if (progress_.ended() && progress_.admitted_members > 0)
+    output_.documents.push_back({kFinalProgressTopic, progress_.Encode(), ""});
 }
 
 void Agent::Say(const std::string& name, const std::string& why) {
-  output_.events.push_back({name, plan_ ? plan_->name : "", why, mark_.prefix});
+  output_.events.push_back({name, plan_ ? plan_->name : "", why, progress_.admitted_members});
 }
 
 void Agent::AddStep(Time now, const std::string& what, const std::string& why) {
   if (EpochOf(story_version_) != EpochOf(version_)) story_.clear_steps();
   if (story_.steps_size() >= kMostSteps) return;
   wire::Step& step = *story_.add_steps();
-  step.set_what(what);
-  step.set_why(why);
-  step.set_by(self_.name);
-  step.set_prefix(mark_.prefix);
+  step.set_event(what);
+  step.set_reason(why);
+  step.set_recorded_by(self_.name);
+  step.set_admitted_members(progress_.admitted_members);
   step.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - held_since_).count() / 1000)));
   // More steps go before fewer; of two that tell as many, the greater hash.
   const std::string body = story_.SerializeAsString();
-  story_version_ = VersionOf(EpochOf(version_), static_cast<std::uint32_t>(story_.steps_size()) << 20 |
-                                                    (XXH32(body.data(), body.size(), 0) & 0xfffff));
-  output_.documents.push_back({kStoryTopic, story_version_, body});
+  story_version_ = DocumentVersion(EpochOf(version_), static_cast<std::uint32_t>(story_.steps_size()) << 20 |
+                                                          (XXH32(body.data(), body.size(), 0) & 0xfffff));
+  output_.documents.push_back({kHistoryTopic, story_version_, body});
 }
 
 void Agent::Run(const std::string& version, const std::string& why) {
   if (running_ == version) return;
   running_ = version;
-  output_.run = version;
+  output_.requested_version = version;
   Say("run", version + ": " + why);
 }
 
-wire::Report Agent::Report() const {
-  wire::Report report = counted_();
+wire::MemberReport Agent::Report() const {
+  wire::MemberReport report = counted_();
   report.set_version(self_.version);
-  report.set_life(self_.life);
-  report.set_keeper(!self_.version.empty());
-  if (plan_ && failed_version_ == plan_->to) report.set_failure(failure_);
+  report.set_incarnation(self_.incarnation);
+  report.set_supervised(!self_.version.empty());
+  if (plan_ && failed_version_ == plan_->new_version) report.set_failure(failure_);
   return report;
 }
 
-wire::Letter Agent::Begin() const {
-  wire::Letter letter;
-  letter.set_change(expired_ ? 0 : key_);
-  letter.set_mark(mark_.Pack());
+wire::AgentMessage Agent::Begin() const {
+  wire::AgentMessage letter;
+  letter.set_rollout_id(expired_ ? 0 : key_);
+  letter.set_progress(progress_.Encode());
   return letter;
 }
 
-void Agent::OnLetter(Time now, const std::string& from, std::string_view body) {
-  wire::Letter letter;
+void Agent::OnMessage(Time now, const std::string& from, std::string_view body) {
+  wire::AgentMessage letter;
   if (!letter.ParseFromArray(body.data(), static_cast<int>(body.size()))) return;
-  if (letter.has_ask()) {
-    wire::Letter answer = Begin();
+  if (letter.has_request()) {
+    wire::AgentMessage answer = Begin();
     *answer.mutable_report() = Report();
-    answer.set_answers(letter.ask().number());
-    output_.letters.push_back({from, answer.SerializeAsString()});
+    answer.set_request_number(letter.request().number());
+    output_.messages.push_back({from, answer.SerializeAsString()});
   }
-  if (plan_ && letter.change() == key_ && letter.mark() > mark_.Pack()) {
-    SetMark(now, Mark::Unpack(letter.mark()));
-    Spread();
+  if (plan_ && letter.rollout_id() == key_ && letter.progress() > progress_.Encode()) {
+    SetProgress(now, Progress::Decode(letter.progress()));
+    PublishProgress();
   }
   if (letter.has_report() && leader_) {
     // It counts from when it was asked for: what waited here while this process stood still is old.
     const int rank = order_.RankOf(from);
-    const std::uint32_t before = asked_ - letter.answers();
+    const std::uint32_t before = asked_ - letter.request_number();
     if (rank >= 0 && before < asked_at_.size())
-      leader_->OnReport(asked_at_[asked_at_.size() - 1 - before], rank, letter.change(), letter.report());
+      leader_->OnReport(asked_at_[asked_at_.size() - 1 - before], rank, letter.rollout_id(), letter.report());
   }
 }
 
@@ -236,7 +238,8 @@
   next_ = now + kTick;
   if (!plan_) return;
   LookAround(now);
-  if (!mark_.ended() && mark_.prefix == 0 && now - held_since_ > Seconds(plan_->start_within_s)) {
+  if (!progress_.ended() && progress_.admitted_members == 0 &&
+      now - held_since_ > Seconds(plan_->start_timeout_s)) {
     // It never began, as far as this member knows, and must not keep another from beginning. If it has begun
     // after all, progress will tell; an end of its own would end it for those, too.
     if (!std::exchange(expired_, true)) {
@@ -254,31 +257,32 @@
 // What this member is to run, by what it knows alone.
 void Agent::LookAtTurn(Time now) {
   if (rank_ < 0 || self_.version.empty()) return;
-  const bool is_new = running_ == plan_->to;
-  if (mark_.takes_back()) {
+  const bool is_new = running_ == plan_->new_version;
+  if (progress_.requires_rollback()) {
     if (!is_new) return;
     // A few at a time, the last to change first, without a word from anybody.
     if (back_at_ == Time{}) {
-      const int behind = std::max(0, static_cast<int>(mark_.prefix) - 1 - rank_);
-      back_at_ = now + (behind / plan_->at_once) * Seconds(plan_->back_step_s);
+      const int behind = std::max(0, static_cast<int>(progress_.admitted_members) - 1 - rank_);
+      back_at_ = now + (behind / plan_->max_unavailable) * Seconds(plan_->rollback_interval_s);
     }
-    if (now >= back_at_) Run(plan_->from, std::string("the change was ") + NameOf(mark_.course));
+    if (now >= back_at_) Run(plan_->old_version, std::string("the change was ") + NameOf(progress_.status));
     return;
   }
   if (is_new) {
-    const bool alone = now - majority_at_ > Seconds(plan_->alone_back_s);
-    if (!mark_.ended() && plan_->alone_back_s > 0 && alone) Run(plan_->from, "no majority is heard");
+    const bool alone = now - majority_at_ > Seconds(plan_->isolation_timeout_s);
+    if (!progress_.ended() && plan_->isolation_timeout_s > 0 && alone)
+      Run(plan_->old_version, "no majority is heard");
     return;
   }
-  if (mark_.ended() && mark_.course != Course::kDone) return;
+  if (progress_.ended() && progress_.status != RolloutStatus::kCompleted) return;
   // Only from the version that the plan names, only where it was not taken back before, and not out of a
   // corner.
-  const bool turn = rank_ < static_cast<int>(mark_.prefix) && running_ == plan_->from;
-  if (turn && failed_version_ != plan_->to && majority_) Run(plan_->to, "its turn");
+  const bool turn = rank_ < static_cast<int>(progress_.admitted_members) && running_ == plan_->old_version;
+  if (turn && failed_version_ != plan_->new_version && majority_) Run(plan_->new_version, "its turn");
 }
 
 void Agent::LookAtLead(Time now) {
-  if (mark_.ended() || !first_) {
+  if (progress_.ended() || !first_) {
     leader_.reset();
     return;
   }
@@ -290,74 +294,75 @@
   }
   if (now >= next_ask_) {
     next_ask_ = now + kAskEvery;
-    wire::Letter ask = Begin();
-    ask.mutable_ask()->set_number(++asked_);
+    wire::AgentMessage ask = Begin();
+    ask.mutable_request()->set_number(++asked_);
     asked_at_.push_back(now);
     if (asked_at_.size() > kMostAsked) asked_at_.pop_front();
     const std::string body = ask.SerializeAsString();
-    for (const Named& one : order_.members)
-      if (one.name != self_.name) output_.letters.push_back({one.name, body});
+    for (const MemberInfo& one : order_.members)
+      if (one.name != self_.name) output_.messages.push_back({one.name, body});
     leader_->OnReport(now, rank_, key_, Report());
   }
-  const auto decision = leader_->Look(now, mark_);
+  const auto decision = leader_->Look(now, progress_);
   if (!decision) return;
-  if (decision->mark.Pack() > mark_.Pack()) {
-    mark_ = decision->mark;
-    output_.mark = mark_.Pack();
-    Spread();
+  if (decision->mark.Encode() > progress_.Encode()) {
+    progress_ = decision->mark;
+    output_.progress = progress_.Encode();
+    PublishProgress();
   }
   Say(decision->what, decision->why);
   AddStep(now, decision->what, decision->why);
-  if (mark_.ended()) leader_.reset();
+  if (progress_.ended()) leader_.reset();
   next_ = now;
 }
 
-void Agent::OnFailed(const std::string& version, const std::string& why) {
+void Agent::OnVersionFailed(const std::string& version, const std::string& why) {
   failed_version_ = version;
   failure_ = why;
   running_ = self_.version;
   Say("failed", version + ": " + why);
 }
 
-std::string Agent::Start(Time now, const Plan& plan, std::vector<Named> members) {
+std::string Agent::Start(Time now, const Plan& plan, std::vector<MemberInfo> members) {
   if (busy()) return plan_ ? "the change '" + plan_->name + "' is under way" : "a change is under way";
   if (members.empty()) return "there are no members to change";
   if (members.size() > 32767) return "more than 32,767 members";
-  wire::Change change;
-  change.set_plan(TextOf(plan));
-  change.set_by(self_.name);
-  for (const Named& one : members) {
-    wire::Named& named = *change.add_members();
+  wire::RolloutDocument change;
+  change.set_plan(FormatPlan(plan));
+  change.set_started_by(self_.name);
+  for (const MemberInfo& one : members) {
+    wire::Member& named = *change.add_members();
     named.set_name(one.name);
     named.set_zone(one.zone);
   }
   const std::string body = change.SerializeAsString();
-  const std::uint64_t version = VersionOf(last_epoch_ + 1, XXH32(body.data(), body.size(), 0));
+  const std::uint64_t version = DocumentVersion(last_epoch_ + 1, XXH32(body.data(), body.size(), 0));
   Hold(now, version, body);
-  output_.documents.push_back({kChangeTopic, version, body});
-  AddStep(now, "begun",
-          fmt::format("{}: {} to {}, {} members", plan.name, plan.from, plan.to, members.size()));
+  output_.documents.push_back({kPlanTopic, version, body});
+  AddStep(
+      now, "begun",
+      fmt::format("{}: {} to {}, {} members", plan.name, plan.old_version, plan.new_version, members.size()));
   return "";
 }
 
 std::string Agent::Abort(Time now) {
-  if (!plan_ || mark_.course == Course::kAborted) return "there is no change to abort";
-  Mark aborted = mark_;
-  aborted.course = Course::kAborted;
-  SetMark(now, aborted);
-  Spread();
+  if (!plan_ || progress_.status == RolloutStatus::kAborted) return "there is no change to abort";
+  Progress aborted = progress_;
+  aborted.status = RolloutStatus::kAborted;
+  SetProgress(now, aborted);
+  PublishProgress();
   AddStep(now, "aborted", "by an operator at " + self_.name);
   return "";
 }
 
 std::string Agent::Pause(Time now, bool pause) {
-  if (!plan_ || mark_.ended()) return "there is no change under way";
-  if (mark_.paused() == pause) return pause ? "it pauses already" : "it does not pause";
-  if (mark_.pauses >= kMostPauses) return "it has paused too often";
-  Mark next = mark_;
-  ++next.pauses;
-  SetMark(now, next);
-  Spread();
+  if (!plan_ || progress_.ended()) return "there is no change under way";
+  if (progress_.paused() == pause) return pause ? "it pauses already" : "it does not pause";
+  if (progress_.pause_count >= kMostPauses) return "it has paused too often";
+  Progress next = progress_;
+  ++next.pause_count;
+  SetProgress(now, next);
+  PublishProgress();
   AddStep(now, pause ? "paused" : "resumed", "by an operator at " + self_.name);
   return "";
 }
@@ -369,14 +374,14 @@
     return json.dump();
   }
   json["change"] = {{"name", plan_->name},
-                    {"from", plan_->from},
-                    {"to", plan_->to},
+                    {"from", plan_->old_version},
+                    {"to", plan_->new_version},
                     {"by", by_},
-                    {"course", expired_ ? "never began" : NameOf(mark_.course)},
-                    {"paused", mark_.paused()},
+                    {"course", expired_ ? "never began" : NameOf(progress_.status)},
+                    {"paused", progress_.paused()},
                     {"members", order_.members.size()},
-                    {"may_have_changed", mark_.prefix},
-                    {"stages", order_.ends},
+                    {"may_have_changed", progress_.admitted_members},
+                    {"stages", order_.stage_ends},
                     {"held_s", Of(now - held_since_)},
                     {"majority_lives", majority_}};
   json["leads"] = leader_ != nullptr;
@@ -398,7 +403,7 @@
     const Leader::Member& member = leader_->members()[i];
     members.push_back({{"name", order_.members[i].name},
                        {"zone", order_.members[i].zone},
-                       {"allowed", i < mark_.prefix},
+                       {"allowed", i < progress_.admitted_members},
                        {"version", member.report.version()},
                        {"ready", member.report.ready()},
                        {"heard_s", member.ever ? Of(now - member.heard) : -1},
@@ -411,13 +416,13 @@
   Json json = Json::array();
   for (const wire::Step& step : story_.steps())
     json.push_back({{"at_s", static_cast<double>(step.age_ms()) / 1000},
-                    {"what", step.what()},
-                    {"why", step.why()},
-                    {"by", step.by()},
-                    {"prefix", step.prefix()}});
+                    {"what", step.event()},
+                    {"why", step.reason()},
+                    {"by", step.recorded_by()},
+                    {"prefix", step.admitted_members()}});
   return json.dump();
 }
 
-Agent::Output Agent::Take() { return std::exchange(output_, {}); }
+Agent::Output Agent::TakeOutput() { return std::exchange(output_, {}); }
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/compare.cpp
+++ b/src/rollout/compare.cpp
@@ -16,23 +16,23 @@
 constexpr const char* kNames[] = {"missed", "slow", "tail", "attempts"};
 
 // The first bucket beyond which at most `share` of the answers lie; none if there are too few.
-int Beyond(const std::array<double, kTimeBuckets>& times, double share) {
+int Beyond(const std::array<double, kLatencyBuckets>& times, double member_fraction) {
   double all = 0;
   for (const double n : times) all += n;
   if (all < kLeastTimes) return -1;
   double beyond = all;
   for (std::size_t i = 0; i < times.size(); ++i) {
     beyond -= times[i];
-    if (beyond <= share * all) return static_cast<int>(i);
+    if (beyond <= member_fraction * all) return static_cast<int>(i);
   }
   return -1;
 }
 
 }  // namespace
 
-std::size_t TimeBucket(double ms) {
+std::size_t LatencyBucketOf(double ms) {
   if (!(ms > 1)) return 0;
-  return std::min(kTimeBuckets - 1,
+  return std::min(kLatencyBuckets - 1,
                   static_cast<std::size_t>(std::ceil(std::log(ms) / std::log(1.25) - 1e-9)));
 }
 
@@ -40,13 +40,15 @@
   return std::sqrt((v + kMixture) * std::log((v + kMixture) / (kMixture * alpha * alpha)));
 }
 
-double AlphaOf(const Guard& guard, std::size_t stages, std::size_t parts) {
-  return guard.alarm / static_cast<double>(std::max<std::size_t>(1, stages) * (4 + 4 * parts));
+double AlphaOf(const Guardrails& guardrails, std::size_t stages, std::size_t parts) {
+  return guardrails.false_alarm_probability /
+         static_cast<double>(std::max<std::size_t>(1, stages) * (4 + 4 * parts));
 }
 
-Comparison::Comparison(const Guard& guard, std::size_t stages, const std::vector<Named>& members)
-    : guard_(guard), stages_(stages) {
-  for (const Named& one : members) {
+Comparison::Comparison(const Guardrails& guardrails, std::size_t stages,
+                       const std::vector<MemberInfo>& members)
+    : guardrails_(guardrails), stages_(stages) {
+  for (const MemberInfo& one : members) {
     auto zone = std::find(zones_.begin(), zones_.end(), one.zone);
     if (zone == zones_.end()) zone = zones_.insert(zones_.end(), one.zone);
     zone_of_.push_back(static_cast<std::uint32_t>(zone - zones_.begin()));
@@ -64,30 +66,30 @@
 
 void Comparison::Add(int member, bool changed, const wire::Stratum& more) {
   Cohort& cohort = cohorts_[changed];
-  cohort.asked += static_cast<double>(more.asked());
+  cohort.asked += static_cast<double>(more.requests());
   cohort.missed += static_cast<double>(more.missed());
-  cohort.refused += static_cast<double>(more.refused());
+  cohort.refused += static_cast<double>(more.rejected());
   cohort.failed += static_cast<double>(more.failed());
   cohort.attempts += static_cast<double>(more.attempts());
-  if (changed) changed_requests_ += more.asked();
+  if (changed) changed_requests_ += more.requests();
 
   std::array<Counts, kMeasures> counts;
-  const auto asked = static_cast<double>(more.asked());
+  const auto asked = static_cast<double>(more.requests());
   counts[kMissed] = {asked, static_cast<double>(more.missed())};
   counts[kAttempts] = {asked, std::max(0.0, static_cast<double>(more.attempts()) - asked)};
   // What is slow is said by what the others took before this look.
   if (const auto times = times_.find(more.request_class()); times != times_.end()) {
     const int median = Beyond(times->second, 0.5), tail = Beyond(times->second, 0.05);
-    for (int i = 0; i < more.times_size(); ++i) {
-      const double n = more.times(i);
+    for (int i = 0; i < more.latency_buckets_size(); ++i) {
+      const double n = more.latency_buckets(i);
       if (median >= 0) counts[kSlow].n += n, counts[kSlow].x += i > median ? n : 0;
       if (tail >= 0) counts[kTail].n += n, counts[kTail].x += i > tail ? n : 0;
     }
   }
   if (!changed) {
     auto& next = times_next_[more.request_class()];
-    for (int i = 0; i < more.times_size() && i < static_cast<int>(kTimeBuckets); ++i)
-      next[static_cast<std::size_t>(i)] += more.times(i);
+    for (int i = 0; i < more.latency_buckets_size() && i < static_cast<int>(kLatencyBuckets); ++i)
+      next[static_cast<std::size_t>(i)] += more.latency_buckets(i);
   }
   Count(member, changed, more, counts);
 }
@@ -95,8 +97,8 @@
 void Comparison::Count(int member, bool changed, const wire::Stratum& more,
                        const std::array<Counts, kMeasures>& counts) {
   const std::uint32_t zone = zone_of_[static_cast<std::size_t>(member)];
-  Cells& cells = look_[{zone, more.request_class(), more.account()}];
-  const Part parts[] = {{0, 0}, {1, more.request_class()}, {2, zone}, {3, more.account()}};
+  Cells& cells = look_[{zone, more.request_class(), more.tenant()}];
+  const Part parts[] = {{0, 0}, {1, more.request_class()}, {2, zone}, {3, more.tenant()}};
   for (int measure = 0; measure < kMeasures; ++measure) {
     const Counts& of = counts[static_cast<std::size_t>(measure)];
     if (of.n <= 0) continue;
@@ -160,7 +162,7 @@
   }
   for (const auto& [cls, cells] : left_over) score(cells, {{0, 0}, {1, cls}});
   for (const auto& [cls, times] : times_next_)
-    for (std::size_t i = 0; i < kTimeBuckets; ++i) times_[cls][i] += times[i];
+    for (std::size_t i = 0; i < kLatencyBuckets; ++i) times_[cls][i] += times[i];
   times_next_.clear();
 }
 
@@ -168,13 +170,13 @@
   // Half of what must not go unseen: a change that is worse by less than that is not worth a stop.
   switch (measure) {
     case kMissed:
-      return guard_.worth / 2;
+      return guardrails_.missed_fraction / 2;
     case kSlow:
-      return guard_.slower / 2;
+      return guardrails_.above_median_fraction / 2;
     case kTail:
-      return guard_.tail / 2;
+      return guardrails_.above_tail_fraction / 2;
     default:
-      return guard_.attempts / 2;
+      return guardrails_.attempts_per_request / 2;
   }
 }
 
@@ -203,7 +205,7 @@
 std::optional<Finding> Comparison::Worse() const {
   std::size_t parts = 0;
   for (const auto& [key, test] : tests_) parts += key.second == 0 && key.first.first != 0;
-  const double alpha = AlphaOf(guard_, stages_, std::max<std::size_t>(8, parts));
+  const double alpha = AlphaOf(guardrails_, stages_, std::max<std::size_t>(8, parts));
   std::optional<Finding> worst;
   for (const auto& [key, test] : tests_) {
     const auto& [part, measure] = key;
--- a/src/rollout/compare.h
+++ b/src/rollout/compare.h
@@ -24,13 +24,13 @@
 namespace copperpoint::rollout {
 
 // Times taken, by bucket: up to 1 ms, then a quarter longer each; the last holds all beyond 1.2 s.
-constexpr std::size_t kTimeBuckets = 33;
-std::size_t TimeBucket(double ms);
+constexpr std::size_t kLatencyBuckets = 33;
+std::size_t LatencyBucketOf(double ms);
 
 // The score of a martingale of variance `v` that a true null exceeds, at any time, with at most this chance.
 double Boundary(double v, double alpha);
 // Of one test among all that are made: measures, and classes, zones and accounts by themselves.
-double AlphaOf(const Guard& guard, std::size_t stages, std::size_t parts);
+double AlphaOf(const Guardrails& guardrails, std::size_t stages, std::size_t parts);
 
 struct Finding {
   std::string measure, where;  // where: "all", "class 2", "zone a", "account 7"
@@ -41,7 +41,7 @@
 class Comparison {
  public:
   // `members`: of the change, by rank.
-  Comparison(const Guard& guard, std::size_t stages, const std::vector<Named>& members);
+  Comparison(const Guardrails& guardrails, std::size_t stages, const std::vector<MemberInfo>& members);
 
   void Begin();  // a new stage: what was seen before no longer counts
   // What a member has counted more since it was last added.
@@ -80,7 +80,7 @@
   static double Spread(const Test& test, double alpha);
   std::string NameOf(const Part& part) const;
 
-  const Guard& guard_;
+  const Guardrails& guardrails_;
   const std::size_t stages_;
   std::vector<std::uint32_t> zone_of_;
   std::vector<std::string> zones_;
@@ -89,7 +89,7 @@
   // Of the present look: by zone, class and account.
   std::map<std::array<std::uint32_t, 3>, Cells> look_;
   // Times that the others' answers took, by class, and what follows for this look.
-  std::map<std::uint32_t, std::array<double, kTimeBuckets>> times_, times_next_;
+  std::map<std::uint32_t, std::array<double, kLatencyBuckets>> times_, times_next_;
   std::map<std::pair<Part, int>, Test> tests_;
 };
 
--- a/src/rollout/leader.h
+++ b/src/rollout/leader.h
@@ -13,25 +13,25 @@
 
 #include "rollout.pb.h"
 #include "rollout/compare.h"
-#include "rollout/mark.h"
 #include "rollout/plan.h"
+#include "rollout/progress.h"
 
 namespace copperpoint::rollout {
 
 class Leader {
  public:
   // Both have to outlive it.
-  Leader(const Plan& plan, const Order& order);
+  Leader(const Plan& plan, const UpgradeOrder& order);
 
   // From the member of that rank, which holds to `change`; asked for at `asked_at`.
-  void OnReport(Time asked_at, int rank, std::uint64_t change, const wire::Report& report);
+  void OnReport(Time asked_at, int rank, std::uint64_t change, const wire::MemberReport& report);
 
   struct Decision {
-    Mark mark;
+    Progress mark;
     std::string what, why;  // an event, where something was decided
   };
   // What follows at `now` from a mark: the next one, where it changes.
-  std::optional<Decision> Look(Time now, const Mark& mark);
+  std::optional<Decision> Look(Time now, const Progress& mark);
 
   // Members that were heard lately and hold to this change, this one included.
   int Heard(Time now, std::uint64_t change) const;
@@ -48,7 +48,7 @@
     bool ever = false;  // heard by this leader
     Time heard{};
     std::uint64_t change = 0;
-    wire::Report report;
+    wire::MemberReport report;
     std::vector<wire::Stratum> base;  // what was counted when it was last added
     std::uint64_t base_life = 0;
     Time allowed{};        // since when it may change; 0: not yet
@@ -64,14 +64,14 @@
   bool Fresh(Time now, const Member& member) const;
   bool Changed(const Member& member) const;
   void Enter(Time now, Phase phase);
-  Decision Stop(const Mark& mark, const std::string& why) const;
+  Decision Stop(const Progress& mark, const std::string& why) const;
   std::optional<std::string> Hard(Time now,
-                                  const Mark& mark) const;   // why it must stop whatever the counts say
-  std::optional<std::string> Costs(const Mark& mark) const;  // processor time and memory
+                                  const Progress& mark) const;   // why it must stop whatever the counts say
+  std::optional<std::string> Costs(const Progress& mark) const;  // processor time and memory
   void AddCounts(int rank, Member& member, bool changed);
 
   const Plan& plan_;
-  const Order& order_;
+  const UpgradeOrder& order_;
   std::vector<Member> members_;
   Comparison comparison_;
   Phase phase_ = Phase::kGathering;
--- /dev/null
+++ b/src/rollout/progress.h
@@ -0,0 +1,62 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// How far a rollout has got, as one number that only grows: members that disagree take the greatest, whoever
+// wrote it. So an end takes precedence over a pause, a pause over progress, and a later rollout over an
+// earlier one; two leaders that cannot reach each other admit members of the same order, so the greater of
+// their two numbers covers both.
+#ifndef COPPERPOINT_ROLLOUT_PROGRESS_H_
+#define COPPERPOINT_ROLLOUT_PROGRESS_H_
+
+#include <cstdint>
+
+namespace copperpoint::rollout {
+
+// The values are on the wire. A greater one takes precedence.
+enum class RolloutStatus : std::uint8_t {
+  kInProgress = 0,
+  kCompleted = 1,
+  kStopped = 2,     // members stay at the version that they run
+  kRolledBack = 3,  // stopped, and all members return to the old version
+  kAborted = 4,     // by an operator; all members return to the old version
+};
+
+// A rollout is identified by its epoch (24 bits) and 12 bits of the hash of its document (RolloutIdOf).
+//
+// Encoded, from the highest bit: rollout_id 36 bits, status 3, pause_count 10, admitted_members 15. These
+// bits are on the wire and in what the supervisor stores.
+struct Progress {
+  std::uint64_t rollout_id = 0;
+  RolloutStatus status = RolloutStatus::kInProgress;
+  std::uint32_t pause_count = 0;       // of pauses and resumptions, up to 1,023; odd: paused
+  std::uint32_t admitted_members = 0;  // the first so many of the order may upgrade; up to 32,767
+
+  bool paused() const { return pause_count % 2 == 1; }
+  bool ended() const { return status != RolloutStatus::kInProgress; }
+  bool requires_rollback() const {
+    return status == RolloutStatus::kRolledBack || status == RolloutStatus::kAborted;
+  }
+
+  std::uint64_t Encode() const {
+    return rollout_id << 28 | std::uint64_t{static_cast<std::uint8_t>(status)} << 25 |
+           std::uint64_t{pause_count & 1023} << 15 | (admitted_members & 32767);
+  }
+  static Progress Decode(std::uint64_t encoded) {
+    return {encoded >> 28, static_cast<RolloutStatus>(encoded >> 25 & 7),
+            static_cast<std::uint32_t>(encoded >> 15 & 1023), static_cast<std::uint32_t>(encoded & 32767)};
+  }
+};
+
+// The version of a rollout's document in the membership: its epoch and a hash of its body.
+inline std::uint64_t DocumentVersion(std::uint32_t epoch, std::uint32_t hash) {
+  return static_cast<std::uint64_t>(epoch) << 32 | hash;
+}
+inline std::uint32_t EpochOf(std::uint64_t document_version) {
+  return static_cast<std::uint32_t>(document_version >> 32);
+}
+inline std::uint64_t RolloutIdOf(std::uint64_t document_version) {
+  return (document_version >> 32 & 0xffffff) << 12 | (document_version >> 20 & 0xfff);
+}
+
+}  // namespace copperpoint::rollout
+
+#endif  // COPPERPOINT_ROLLOUT_PROGRESS_H_
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -47,8 +47,8 @@
 worth = 0.1
 )";
 
-std::vector<Named> Nine() {
-  std::vector<Named> members;
+std::vector<MemberInfo> Nine() {
+  std::vector<MemberInfo> members;
   for (int i = 0; i < 9; ++i)
     members.push_back(
         {std::string("p").append(std::to_string(i + 1)), std::string(1, static_cast<char>('a' + i % 3))});
@@ -57,32 +57,33 @@
 
 // ---- marks -----------------------------------------------------------------------------------------------
 
-TEST(Mark, AnEndGoesBeforeProgressAndALaterChangeBeforeAnEarlier) {
-  const std::uint64_t change = KeyOf(VersionOf(7, 0xabcdef01));
-  const Mark far{change, Course::kGoing, 0, 32000}, stopped{change, Course::kBack, 0, 3},
-      aborted{change, Course::kAborted, 0, 1}, paused{change, Course::kGoing, 1, 5},
-      done{change, Course::kDone, 0, 300};
-  EXPECT_GT(stopped.Pack(), far.Pack());
-  EXPECT_GT(stopped.Pack(), done.Pack());
-  EXPECT_GT(aborted.Pack(), stopped.Pack());
-  EXPECT_GT(paused.Pack(), far.Pack());
-  EXPECT_GT((Mark{KeyOf(VersionOf(8, 0)), Course::kGoing, 0, 0}).Pack(), aborted.Pack());
-  const Mark read = Mark::Unpack(paused.Pack());
-  EXPECT_EQ(read.change, change);
-  EXPECT_EQ(read.prefix, 5u);
+TEST(Progress, AnEndGoesBeforeProgressAndALaterChangeBeforeAnEarlier) {
+  const std::uint64_t change = RolloutIdOf(DocumentVersion(7, 0xabcdef01));
+  const Progress far{change, RolloutStatus::kInProgress, 0, 32000},
+      stopped{change, RolloutStatus::kRolledBack, 0, 3}, aborted{change, RolloutStatus::kAborted, 0, 1},
+      paused{change, RolloutStatus::kInProgress, 1, 5}, done{change, RolloutStatus::kCompleted, 0, 300};
+  EXPECT_GT(stopped.Encode(), far.Encode());
+  EXPECT_GT(stopped.Encode(), done.Encode());
+  EXPECT_GT(aborted.Encode(), stopped.Encode());
+  EXPECT_GT(paused.Encode(), far.Encode());
+  EXPECT_GT((Progress{RolloutIdOf(DocumentVersion(8, 0)), RolloutStatus::kInProgress, 0, 0}).Encode(),
+            aborted.Encode());
+  const Progress read = Progress::Decode(paused.Encode());
+  EXPECT_EQ(read.rollout_id, change);
+  EXPECT_EQ(read.admitted_members, 5u);
   EXPECT_TRUE(read.paused());
 }
 
 // ---- the plan --------------------------------------------------------------------------------------------
 
 TEST(Order, IsTheSameForAllAndTakesZonesInTurn) {
-  const Plan plan = ReadPlan(kPlan, "plan");
-  std::vector<Named> turned = Nine();
+  const Plan plan = ParsePlan(kPlan, "plan");
+  std::vector<MemberInfo> turned = Nine();
   std::reverse(turned.begin(), turned.end());
-  const Order a = MakeOrder(plan, Nine(), 5), b = MakeOrder(plan, turned, 5);
+  const UpgradeOrder a = MakeUpgradeOrder(plan, Nine(), 5), b = MakeUpgradeOrder(plan, turned, 5);
   ASSERT_EQ(a.members.size(), 9u);
   for (std::size_t i = 0; i < 9; ++i) EXPECT_EQ(a.members[i].name, b.members[i].name);
-  EXPECT_EQ(a.ends, (std::vector<int>{1, 3, 9}));
+  EXPECT_EQ(a.stage_ends, (std::vector<int>{1, 3, 9}));
   for (std::size_t i = 0; i < 9; i += 3) {
     EXPECT_NE(a.members[i].zone, a.members[i + 1].zone);
     EXPECT_NE(a.members[i + 1].zone, a.members[i + 2].zone);
@@ -92,10 +93,10 @@
 
 // Mutant: the cohort chosen by zone alone. Over changes each member comes first about as often.
 TEST(Order, EachMemberIsFirstInSomeChange) {
-  const Plan plan = ReadPlan(kPlan, "plan");
+  const Plan plan = ParsePlan(kPlan, "plan");
   std::map<std::string, int> first;
   for (std::uint64_t change = 1; change <= 900; ++change)
-    ++first[MakeOrder(plan, Nine(), change).members[0].name];
+    ++first[MakeUpgradeOrder(plan, Nine(), change).members[0].name];
   EXPECT_EQ(first.size(), 9u);
   for (const auto& [name, times] : first) EXPECT_GT(times, 50) << name;
 }
@@ -103,7 +104,7 @@
 TEST(Plan, FaultsAreToldWithLineAndKey) {
   const auto read = [](const std::string& text) {
     try {
-      ReadPlan(text, "f.toml");
+      ParsePlan(text, "f.toml");
     } catch (const config::BadFile& error) {
       return std::string(error.what());
     }
@@ -114,7 +115,7 @@
             std::string::npos);
   EXPECT_NE(read("from = \"a\"\nto = \"b\"\n[[stage]]\nwatch_s = 3\n").find("changes nobody"),
             std::string::npos);
-  EXPECT_EQ(read(TextOf(ReadPlan(kPlan, "plan"))), "");
+  EXPECT_EQ(read(FormatPlan(ParsePlan(kPlan, "plan"))), "");
 }
 
 TEST(Foresight, APlanThatCannotSeeWhatItGuardsAgainstIsRefusedWithTheFigureThatWouldDo) {
@@ -133,7 +134,7 @@
   explicit Draws(std::uint64_t seed) : random(seed, "compare") {}
   wire::Stratum Of(int asked, double missed) {
     wire::Stratum stratum;
-    stratum.set_asked(static_cast<std::uint64_t>(asked));
+    stratum.set_requests(static_cast<std::uint64_t>(asked));
     stratum.set_attempts(static_cast<std::uint64_t>(asked));
     stratum.set_missed(static_cast<std::uint64_t>(
         boost::random::binomial_distribution<int>(asked, std::min(1.0, missed))(random.engine())));
@@ -145,10 +146,10 @@
 // Whether a change is ever taken for worse in `looks` looks at `members`, the first of which has changed.
 bool Alarmed(std::uint64_t seed, double more, double differ, double trouble, int members = 9,
              int looks = 120) {
-  const Guard guard;
-  std::vector<Named> all;
+  const Guardrails guardrails;
+  std::vector<MemberInfo> all;
   for (int i = 0; i < members; ++i) all.push_back({std::string("p").append(std::to_string(i)), "a"});
-  Comparison comparison(guard, 1, all);
+  Comparison comparison(guardrails, 1, all);
   comparison.Begin();
   Draws draws(seed);
   std::vector<double> base;
@@ -188,22 +189,22 @@
 // Members that hear each other at once, their documents too; what their keepers do is done at once.
 class Fleet {
  public:
-  explicit Fleet(const std::string& plan_text = kPlan) : plan(ReadPlan(plan_text, "plan")) {
-    for (const Named& one : Nine()) {
+  explicit Fleet(const std::string& plan_text = kPlan) : plan(ParsePlan(plan_text, "plan")) {
+    for (const MemberInfo& one : Nine()) {
       version[one.name] = "v1";
       Begin(one.name);
     }
   }
   void Begin(const std::string& name) {
     agents[name] = std::make_unique<Agent>(
-        Agent::Self{name, version[name], ++lives, marks[name], "", ""},
+        Agent::Identity{name, version[name], ++lives, marks[name], "", ""},
         [this, name](const std::string& other) { return !ended.contains(other) && Hears(name, other); },
         [this, name] {
-          wire::Report report;
+          wire::MemberReport report;
           report.set_ready(true);
           report.set_crashes(crashes[name]);
           wire::Stratum& stratum = *report.add_strata();
-          stratum.set_asked(asked[name]);
+          stratum.set_requests(asked[name]);
           stratum.set_attempts(asked[name]);
           stratum.set_missed(missed[name]);
           return report;
@@ -218,24 +219,24 @@
     Take("p1");
   }
   void Take(const std::string& name) {
-    auto output = agents[name]->Take();
+    auto output = agents[name]->TakeOutput();
     for (const auto& event : output.events) events.push_back(name + " " + event.name + " " + event.why);
     for (const auto& document : output.documents) Keep(name, document.topic, document.version, document.body);
-    if (output.mark != 0) marks[name] = output.mark;
-    for (const auto& letter : output.letters) {
+    if (output.progress != 0) marks[name] = output.progress;
+    for (const auto& letter : output.messages) {
       if (ended.contains(letter.to) || !Hears(name, letter.to)) continue;
-      agents[letter.to]->OnLetter(now, name, letter.body);
+      agents[letter.to]->OnMessage(now, name, letter.body);
       Take(letter.to);
       if (!agents.contains(name)) return;
     }
-    if (output.run) {
-      runs.push_back(name + " " + *output.run);
-      if (*output.run == refused) {
-        agents[name]->OnFailed(*output.run, "it did not come up");
+    if (output.requested_version) {
+      runs.push_back(name + " " + *output.requested_version);
+      if (*output.requested_version == refused) {
+        agents[name]->OnVersionFailed(*output.requested_version, "it did not come up");
         return Take(name);
       }
-      if (version[name] != *output.run) ++changes;
-      version[name] = *output.run;
+      if (version[name] != *output.requested_version) ++changes;
+      version[name] = *output.requested_version;
       held[name].clear();
       Begin(name);
     }
@@ -254,14 +255,15 @@
         for (const auto& [other, documents] : std::map(held)) {
           if (other == name || ended.contains(other) || !Hears(name, other)) continue;
           for (const auto& [topic, document] : documents) {
-            if (document.first <= held[name][topic].first || !agents[name]->Admits(topic, document.first))
+            if (document.first <= held[name][topic].first ||
+                !agents[name]->AcceptsDocument(topic, document.first))
               continue;
             held[name][topic] = document;
             agents[name]->OnDocument(now, topic, document.first, document.second);
             Take(name);
           }
         }
-        if (agents[name]->next() <= now) {
+        if (agents[name]->next_tick_at() <= now) {
           agents[name]->OnTick(now);
           Take(name);
         }
@@ -275,7 +277,7 @@
   }
   std::string Leader() const {
     for (const auto& [name, agent] : agents)
-      if (agent->leads() && !ended.contains(name)) return name;
+      if (agent->is_leader() && !ended.contains(name)) return name;
     return "";
   }
   std::string Story() const {
@@ -309,7 +311,8 @@
   fleet.Start();
   fleet.Run(90);
   EXPECT_EQ(fleet.Running("v2"), 9) << fleet.Story();
-  for (const auto& [name, agent] : fleet.agents) EXPECT_EQ(agent->mark().course, Course::kDone) << name;
+  for (const auto& [name, agent] : fleet.agents)
+    EXPECT_EQ(agent->progress().status, RolloutStatus::kCompleted) << name;
   EXPECT_EQ(fleet.changes, 9);
 }
 
@@ -330,7 +333,7 @@
   fleet.Run(20);
   EXPECT_EQ(fleet.Running("v1"), 9);
   EXPECT_EQ(fleet.runs.size(), 1u);
-  for (const auto& [name, agent] : fleet.agents) EXPECT_TRUE(agent->mark().takes_back()) << name;
+  for (const auto& [name, agent] : fleet.agents) EXPECT_TRUE(agent->progress().requires_rollback()) << name;
 }
 
 // Mutant: silence taken for health.
@@ -375,7 +378,8 @@
   fleet.Take("p7");
   fleet.Run(90);
   EXPECT_EQ(fleet.Running("v1"), 9);
-  for (const auto& [name, agent] : fleet.agents) EXPECT_EQ(agent->mark().course, Course::kAborted) << name;
+  for (const auto& [name, agent] : fleet.agents)
+    EXPECT_EQ(agent->progress().status, RolloutStatus::kAborted) << name;
   EXPECT_NE(fleet.agents["p2"]->Abort(fleet.now), "");
 }
 
@@ -401,7 +405,7 @@
             std::string::npos);
   fleet.Run(120);
   Plan back = fleet.plan;
-  std::swap(back.from, back.to);
+  std::swap(back.old_version, back.new_version);
   EXPECT_EQ(fleet.agents["p4"]->Start(fleet.now, back, Nine()), "");
   fleet.Take("p4");
   fleet.Run(120);
@@ -431,16 +435,16 @@
   Fleet fleet;
   fleet.Start();
   fleet.Run(2);
-  const Mark other{fleet.agents["p1"]->mark().change - 1, Course::kAborted, 0, 9};
-  EXPECT_FALSE(fleet.agents["p1"]->Admits(kMarkTopic, other.Pack()));
-  wire::Letter letter;
-  letter.set_change(other.change);
-  letter.set_mark(other.Pack());
-  for (auto& [name, agent] : fleet.agents) agent->OnLetter(fleet.now, "p1", letter.SerializeAsString());
+  const Progress other{fleet.agents["p1"]->progress().rollout_id - 1, RolloutStatus::kAborted, 0, 9};
+  EXPECT_FALSE(fleet.agents["p1"]->AcceptsDocument(kProgressTopic, other.Encode()));
+  wire::AgentMessage letter;
+  letter.set_rollout_id(other.rollout_id);
+  letter.set_progress(other.Encode());
+  for (auto& [name, agent] : fleet.agents) agent->OnMessage(fleet.now, "p1", letter.SerializeAsString());
   // Nor one of this number that claims a greater change in its mark.
-  letter.set_mark(Mark{other.change + 2, Course::kAborted, 0, 9}.Pack());
-  for (auto& [name, agent] : fleet.agents) agent->OnLetter(fleet.now, "p1", letter.SerializeAsString());
-  for (auto& [name, agent] : fleet.agents) EXPECT_FALSE(agent->mark().ended()) << name;
+  letter.set_progress(Progress{other.rollout_id + 2, RolloutStatus::kAborted, 0, 9}.Encode());
+  for (auto& [name, agent] : fleet.agents) agent->OnMessage(fleet.now, "p1", letter.SerializeAsString());
+  for (auto& [name, agent] : fleet.agents) EXPECT_FALSE(agent->progress().ended()) << name;
   fleet.Run(90);
   EXPECT_EQ(fleet.Running("v2"), 9) << fleet.Story();
 }
