--- a/src/cli/keep.cpp
+++ b/src/cli/keep.cpp
@@ -32,7 +32,7 @@
       return;
     }
     log::Global().Set({log::Level::kInfo, settings.json_log ? log::Format::kJson : log::Format::kText, 200});
-    *exit_code = supervisor::Keep(settings);
+    *exit_code = supervisor::RunSupervisor(settings);
   });
 }
 
--- a/src/supervisor/settings.cpp
+++ b/src/supervisor/settings.cpp
@@ -26,16 +26,17 @@
   v.Words("operators", operators,
           {.text = "operator's addresses of its processes, in turn; at least two, as two run side by side in "
                    "a change"});
-  v.Millis("ready_ms", limits.ready, {.text = "for a process to serve", .least = 100, .most = kHour});
-  v.Millis("heard_ms", limits.heard,
+  v.Millis("ready_ms", limits.ready_timeout, {.text = "for a process to serve", .least = 100, .most = kHour});
+  v.Millis("heard_ms", limits.contact_timeout,
            {.text = "from then on, for a new version to hear its fleet; 0: it need not", .most = kHour});
-  v.Millis("first_wait_ms", limits.first_wait,
+  v.Millis("first_wait_ms", limits.initial_backoff,
            {.text = "before one that ended is begun again; doubled each time", .least = 10, .most = kHour});
-  v.Millis("longest_wait_ms", limits.longest_wait, {.text = "of these", .least = 10, .most = kHour});
-  v.Millis("steady_ms", limits.steady, {.text = "served so long, it starts the waits anew", .most = kHour});
-  v.Whole32("most_ends", limits.most_ends,
+  v.Millis("longest_wait_ms", limits.max_backoff, {.text = "of these", .least = 10, .most = kHour});
+  v.Millis("steady_ms", limits.stable_after,
+           {.text = "served so long, it starts the waits anew", .most = kHour});
+  v.Whole32("most_ends", limits.max_exits,
             {.text = "in a row, then the keeper gives up", .least = 1, .most = 1000});
-  v.Whole32("most_ends_of_new", limits.most_ends_of_new,
+  v.Whole32("most_ends_of_new", limits.max_exits_on_probation,
             {.text = "of a version that was not heard yet, then it is taken back", .least = 1, .most = 1000});
   v.Flag("json_log", json_log, {.text = "a JSON object a line, as the proxy's own `log.format`"});
   v.Items("version", "Programs with their settings.", versions);
--- a/src/supervisor/settings.h
+++ b/src/supervisor/settings.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/schema.h"
-#include "supervisor/keeper.h"
+#include "supervisor/supervisor.h"
 
 namespace copperpoint::supervisor {
 
@@ -36,7 +36,7 @@
 std::string DigestOf(const Version& version);
 
 // Runs until the child has ended for good or a signal ends both; returns the exit status.
-int Keep(const Settings& settings);
+int RunSupervisor(const Settings& settings);
 
 }  // namespace copperpoint::supervisor
 
--- a/src/supervisor/host.cpp
+++ b/src/supervisor/supervisor_host.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keeper's processes, signals and lines, for the logic in keeper.h.
+// The keeper's processes, signals and lines, for the logic in supervisor.h.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <linux/close_range.h>
@@ -46,15 +46,15 @@
  public:
   explicit Host(const Settings& settings)
       : settings_(settings),
-        keeper_(settings.limits, settings.first),
+        supervisor_(settings.limits, settings.first),
         timer_(io_),
-        ends_(io_, SIGTERM, SIGINT),
-        children_ended_(io_, SIGCHLD),
-        reloads_(io_, SIGHUP) {}
+        stop_signals_(io_, SIGTERM, SIGINT),
+        child_signals_(io_, SIGCHLD),
+        reload_signals_(io_, SIGHUP) {}
 
   int Run() {
     AwaitSignals();
-    keeper_.OnStart(Now());
+    supervisor_.OnStart(Now());
     Carry();
     io_.run();
     return status_;
@@ -66,9 +66,9 @@
   }
 
   void AwaitSignals() {
-    ends_.async_wait([this](const Error& failed, int) {
+    stop_signals_.async_wait([this](const Error& failed, int) {
       if (failed) return;
-      keeper_.OnStop(Now());
+      supervisor_.OnStopRequested(Now());
       Carry();
       AwaitEnds();
     });
@@ -76,21 +76,21 @@
     AwaitReloads();
   }
   void AwaitEnds() {
-    ends_.async_wait([this](const Error& failed, int signal) {
+    stop_signals_.async_wait([this](const Error& failed, int signal) {
       if (failed) return;
       for (auto& [number, child] : children_) ::kill(child->pid, signal);
       AwaitEnds();
     });
   }
   void AwaitReloads() {
-    reloads_.async_wait([this](const Error& failed, int) {
+    reload_signals_.async_wait([this](const Error& failed, int) {
       if (failed) return;
       for (auto& [number, child] : children_) ::kill(child->pid, SIGHUP);
       AwaitReloads();
     });
   }
   void AwaitChildren() {
-    children_ended_.async_wait([this](const Error& failed, int) {
+    child_signals_.async_wait([this](const Error& failed, int) {
       if (failed) return;
       int status = 0;
       for (pid_t pid; (pid = ::waitpid(-1, &status, WNOHANG)) > 0;) {
@@ -98,7 +98,7 @@
           if (at->second->pid != pid) continue;
           const int number = at->first;
           children_.erase(at);
-          keeper_.OnEnded(Now(), number, WIFEXITED(status) && WEXITSTATUS(status) == 0);
+          supervisor_.OnExited(Now(), number, WIFEXITED(status) && WEXITSTATUS(status) == 0);
           break;
         }
       }
@@ -107,7 +107,7 @@
     });
   }
 
-  void Begin(int number, const std::string& name) {
+  void Start(int number, const std::string& name) {
     const Version* version = settings_.Find(name);
     std::string why = version ? "" : "no version of this name";
     if (version && !version->digest.empty()) {
@@ -122,17 +122,17 @@
     if (!why.empty()) {
       log::Global().Error("keep_cannot_begin", {{"version", name}, {"why", why}});
       asio::post(io_, [this, number] {
-        keeper_.OnEnded(Now(), number, false);
+        supervisor_.OnExited(Now(), number, false);
         Carry();
       });
       return;
     }
     std::map<std::string, std::string> more{{"COPPERPOINT_KEEPER", std::to_string(pair[1])},
                                             {"COPPERPOINT_VERSION", name},
-                                            {"COPPERPOINT_MARK", fmt::format("{:x}", keeper_.mark())},
-                                            {"COPPERPOINT_ENDS", std::to_string(keeper_.ends())},
-                                            {"COPPERPOINT_FAILED", keeper_.failed_version()},
-                                            {"COPPERPOINT_FAILURE", keeper_.failure()}};
+                                            {"COPPERPOINT_MARK", fmt::format("{:x}", supervisor_.progress())},
+                                            {"COPPERPOINT_ENDS", std::to_string(supervisor_.exits())},
+                                            {"COPPERPOINT_FAILED", supervisor_.failed_version()},
+                                            {"COPPERPOINT_FAILURE", supervisor_.failure()}};
     if (!settings_.operators.empty())
       more["ROUTER_OPERATOR"] =
           settings_.operators[static_cast<std::size_t>(number) % settings_.operators.size()];
@@ -189,37 +189,37 @@
     const std::size_t space = line.find(' ');
     const std::string what = line.substr(0, space),
                       rest = space == std::string::npos ? "" : line.substr(space + 1);
-    if (what == "ready") keeper_.OnReady(Now(), number);
-    if (what == "heard") keeper_.OnHeard(Now(), number);
-    if (what == "run") keeper_.OnWish(Now(), number, rest);
-    if (what == "mark") keeper_.OnMark(number, std::strtoull(rest.c_str(), nullptr, 16));
+    if (what == "ready") supervisor_.OnReady(Now(), number);
+    if (what == "heard") supervisor_.OnMembershipContact(Now(), number);
+    if (what == "run") supervisor_.OnVersionRequested(Now(), number, rest);
+    if (what == "mark") supervisor_.OnProgress(number, std::strtoull(rest.c_str(), nullptr, 16));
     Carry();
   }
 
   void Carry() {
-    Keeper::Output output = keeper_.Take();
+    Supervisor::Output output = supervisor_.Take();
     for (const auto& [name, text] : output.events) log::Global().Info(name, {{"version", text}});
-    for (const auto& [number, in_order] : output.end)
+    for (const auto& [number, in_order] : output.stop)
       if (const auto found = children_.find(number); found != children_.end())
         ::kill(found->second->pid, in_order ? SIGTERM : SIGKILL);
-    for (const auto& [number, line] : output.tell)
+    for (const auto& [number, line] : output.lines)
       if (const auto found = children_.find(number); found != children_.end()) {
         Error ignored;
         asio::write(found->second->socket, asio::buffer(line + "\n"), ignored);
       }
-    for (const auto& begin : output.begin) Begin(begin.process, begin.version);
-    if (output.over) {
+    for (const auto& begin : output.start) Start(begin.process, begin.version);
+    if (output.finished) {
       over_ = true;
-      status_ = output.status;
+      status_ = output.exit_status;
       io_.stop();
       return;
     }
     timer_.cancel();
-    if (const auto next = keeper_.next()) {
+    if (const auto next = supervisor_.next_tick_at()) {
       timer_.expires_at(std::chrono::steady_clock::time_point(*next));
       timer_.async_wait([this](const Error& cancelled) {
         if (cancelled) return;
-        keeper_.OnTick(Now());
+        supervisor_.OnTick(Now());
         Carry();
       });
     }
@@ -227,9 +227,9 @@
 
   const Settings& settings_;
   asio::io_context io_;
-  Keeper keeper_;
+  Supervisor supervisor_;
   asio::steady_timer timer_;
-  asio::signal_set ends_, children_ended_, reloads_;
+  asio::signal_set stop_signals_, child_signals_, reload_signals_;
   std::map<int, std::shared_ptr<Child>> children_;
   bool over_ = false;
   int status_ = 0;
@@ -237,6 +237,6 @@
 
 }  // namespace
 
-int Keep(const Settings& settings) { return Host(settings).Run(); }
+int RunSupervisor(const Settings& settings) { return Host(settings).Run(); }
 
 }  // namespace copperpoint::supervisor
--- a/tests/fault_testing/change_test.cpp
+++ b/tests/fault_testing/change_test.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Rolling changes of nine real processes under their keepers, with faults on their links; and the keeper's
-// logic.
+// Rolling changes of nine real processes under their supervisors, with faults on their links; and the
+// supervisor's logic.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
 #include <string>
 
-#include "supervisor/keeper.h"
+#include "supervisor/supervisor.h"
 #include "support/run_program.h"
 
 namespace copperpoint::fault_testing {
@@ -75,83 +75,83 @@
 namespace {
 
 struct Play {
-  Play() : keeper({}, "v1") {
-    keeper.OnStart(now);
+  Play() : supervisor({}, "v1") {
+    supervisor.OnStart(now);
     Take();
-    keeper.OnReady(now, 1);
+    supervisor.OnReady(now, 1);
     Take();
   }
   void Take() {
-    auto output = keeper.Take();
-    for (const auto& begin : output.begin) began.push_back(begin.version);
-    for (const auto& end : output.end) ended.push_back(end.first);
-    over |= output.over;
+    auto output = supervisor.Take();
+    for (const auto& begin : output.start) began.push_back(begin.version);
+    for (const auto& end : output.stop) ended.push_back(end.first);
+    over |= output.finished;
   }
   void Pass(int ms) {
     now += Time(ms);
-    keeper.OnTick(now);
+    supervisor.OnTick(now);
     Take();
   }
-  Keeper keeper;
+  Supervisor supervisor;
   Time now{1000};
   std::vector<std::string> began;
   std::vector<int> ended;
   bool over = false;
 };
 
-TEST(Keeper, AnotherVersionServesBeforeTheOneBeforeEnds) {
+TEST(Supervisor, AnotherVersionServesBeforeTheOneBeforeEnds) {
   Play play;
-  play.keeper.OnWish(play.now, 1, "v2");
+  play.supervisor.OnVersionRequested(play.now, 1, "v2");
   play.Take();
   EXPECT_EQ(play.began, (std::vector<std::string>{"v1", "v2"}));
   EXPECT_TRUE(play.ended.empty());
-  play.keeper.OnReady(play.now, 2);
+  play.supervisor.OnReady(play.now, 2);
   play.Take();
   EXPECT_EQ(play.ended, (std::vector<int>{1}));
-  EXPECT_EQ(play.keeper.version(), "v2");
+  EXPECT_EQ(play.supervisor.version(), "v2");
 }
 
-TEST(Keeper, AVersionThatHearsNoFleetIsTakenBackWithoutAnybodysHelp) {
+TEST(Supervisor, AVersionThatHearsNoFleetIsTakenBackWithoutAnybodysHelp) {
   Play play;
-  play.keeper.OnWish(play.now, 1, "v2");
-  play.keeper.OnReady(play.now, 2);
-  play.keeper.OnEnded(play.now, 1, true);
+  play.supervisor.OnVersionRequested(play.now, 1, "v2");
+  play.supervisor.OnReady(play.now, 2);
+  play.supervisor.OnExited(play.now, 1, true);
   play.Pass(21000);
   EXPECT_EQ(play.began.back(), "v1");
-  EXPECT_EQ(play.keeper.failed_version(), "v2");
-  play.keeper.OnReady(play.now, 3);
+  EXPECT_EQ(play.supervisor.failed_version(), "v2");
+  play.supervisor.OnReady(play.now, 3);
   play.Take();
-  EXPECT_EQ(play.keeper.version(), "v1");
+  EXPECT_EQ(play.supervisor.version(), "v1");
   // What was gone back to is on no trial.
   play.Pass(60000);
   EXPECT_EQ(play.began.size(), 3u);
 }
 
-TEST(Keeper, OneThatEndsAgainAndAgainIsBegunMoreAndMoreSeldomAndThenGivenUp) {
+TEST(Supervisor, OneThatEndsAgainAndAgainIsBegunMoreAndMoreSeldomAndThenGivenUp) {
   Play play;
   int process = 1;
   for (int i = 0; i < 4; ++i) {
-    play.keeper.OnEnded(play.now, process, false);
+    play.supervisor.OnExited(play.now, process, false);
     play.Take();
     play.Pass((200 << i) - 50);
     EXPECT_EQ(play.began.size(), static_cast<std::size_t>(process)) << i;
     play.Pass(60);
     EXPECT_EQ(play.began.size(), static_cast<std::size_t>(++process)) << i;
-    play.keeper.OnReady(play.now, process);
+    play.supervisor.OnReady(play.now, process);
     play.Take();
   }
-  play.keeper.OnEnded(play.now, process, false);
+  play.supervisor.OnExited(play.now, process, false);
   play.Take();
   EXPECT_TRUE(play.over);
 }
 
-TEST(Keeper, ASignalEndsAllAndTheKeeper) {
+TEST(Supervisor, ASignalEndsAllAndTheSupervisor) {
   Play play;
-  play.keeper.OnStop(play.now);
+  play.supervisor.OnStopRequested(play.now);
   play.Take();
   EXPECT_EQ(play.ended, (std::vector<int>{1}));
   EXPECT_FALSE(play.over);
-  play.keeper.OnEnded(play.now, 1, true);
+  play.supervisor.OnExited(play.now, 1, true);
   play.Take();
   EXPECT_TRUE(play.over);
 }
