--- a/src/cli/rollout.cpp
+++ b/src/cli/rollout.cpp
@@ -20,7 +20,9 @@
 #include "config/read.h"
 #include "fault_testing/quantile.h"
 #include "fault_testing/trial.h"
-#include "rollout/plan.h"
+#include "rollout/forecast.h"
+#include "rollout/plan_parser.h"
+#include "rollout/upgrade_order.h"
 #include "simulation/run/compare.h"
 
 namespace copperpoint::cli {
@@ -70,7 +72,7 @@
            static_cast<double>(members.size());
   if (rate < 0)
     throw std::invalid_argument("how much traffic? --rate, requests a second over all, or --at ADDRESS");
-  const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*change=*/1);
+  const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*rollout_id=*/1);
   const auto forecasts = rollout::ForecastStages(plan, order, rate, options.missed);
   std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests a second, {:.2f}% missed today\n",
                            plan.name, plan.old_version, plan.new_version, members.size(), rate,
@@ -82,20 +84,20 @@
   for (std::size_t k = 0; k < forecasts.size(); ++k) {
     const rollout::StageForecast& forecast = forecasts[k];
     std::string who;
-    for (int i = before; i < std::min(forecast.changed, before + 6); ++i)
+    for (int i = before; i < std::min(forecast.canary, before + 6); ++i)
       who += (who.empty() ? "" : " ") + order.members[static_cast<std::size_t>(i)].name;
-    if (forecast.changed > before + 6) who += " ...";
-    before = forecast.changed;
+    if (forecast.canary > before + 6) who += " ...";
+    before = forecast.canary;
     longest += forecast.max_duration_s;
-    const bool alone = forecast.others == 0;
-    std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", k + 1,
-                             forecast.changed, forecast.others, forecast.requests, forecast.max_duration_s,
-                             alone ? "-" : fmt::format("{:.4f}", forecast.detectable_fraction),
-                             alone ? "-"
-                             : forecast.required_bake_time_s < 1e6
-                                 ? fmt::format("{:.0f}", forecast.required_bake_time_s)
-                                 : "never",
-                             who);
+    const bool alone = forecast.baseline == 0;
+    std::cout << fmt::format(
+        "{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", k + 1, forecast.canary,
+        forecast.baseline, forecast.canary_requests, forecast.max_duration_s,
+        alone ? "-" : fmt::format("{:.4f}", forecast.detectable_fraction),
+        alone                                 ? "-"
+        : forecast.required_bake_time_s < 1e6 ? fmt::format("{:.0f}", forecast.required_bake_time_s)
+                                              : "never",
+        who);
     if (!alone && forecast.detectable_fraction > plan.guardrails.missed_fraction) {
       ++blind;
       std::cerr << fmt::format(
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -16,6 +16,8 @@
 #include <utility>
 
 #include "rollout/agent.h"
+#include "rollout/latency_histogram.h"
+#include "rollout/plan_parser.h"
 #include "simulation/core/queue.h"
 #include "simulation/core/random.h"
 
@@ -110,7 +112,6 @@
   std::vector<std::string> told_;
   Micros last_fault_over_ = 0, lossy_until_ = 0;
   std::set<std::uint64_t> aborted_;  // changes
-  std::string second_;
   TrialResult result_;
 };
 
@@ -209,8 +210,9 @@
   for (const rollout::Event& event : output.events) {
     if (options_.tell)
       told_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} may have changed", Seconds(now_), node.name,
-                                  event.change, event.name, event.why, event.admitted_members));
-    if (event.name == "stage") {
+                                  event.rollout_name, rollout::NameOf(event.kind), event.reason,
+                                  event.admitted_members));
+    if (event.kind == rollout::EventKind::kStageStarted) {
       // No stage goes on unless its leader hears a majority.
       int heard = 0;
       for (int j = 0; j < options_.members; ++j) {
@@ -225,8 +227,10 @@
       }
       if (2 * heard <= options_.members) Break(node.name + " goes on with a stage without a majority");
     }
-    if (event.name == "stopped" && result_.why.empty()) result_.why = event.why;
-    if ((event.name == "done" || event.name == "ended" || event.name == "stopped") && result_.ended_s == 0)
+    if (event.kind == rollout::EventKind::kStopped && result_.why.empty()) result_.why = event.reason;
+    if ((event.kind == rollout::EventKind::kCompleted || event.kind == rollout::EventKind::kEnded ||
+         event.kind == rollout::EventKind::kStopped) &&
+        result_.ended_s == 0)
       result_.ended_s = Seconds(now_);
   }
   if (output.progress != 0) node.mark = output.progress;
@@ -394,7 +398,7 @@
       lossy_until_ = now_ + length;
       break;
     case 5:
-      if (Up(At(victim)) && !Still(At(victim)) && At(victim).agent->Abort(Time(now_)).empty()) {
+      if (Up(At(victim)) && !Still(At(victim)) && !At(victim).agent->Abort(Time(now_))) {
         aborted_.insert(At(victim).agent->progress().rollout_id);
         Take(victim);
       }
@@ -405,7 +409,7 @@
         second.name = "second";
         std::vector<rollout::MemberInfo> all;
         for (const Node& node : nodes_) all.push_back({node.name, node.zone});
-        second_ = At(victim).agent->Start(Time(now_), second, all);
+        At(victim).agent->Start(Time(now_), second, all);
         Take(victim);
       }
   }
@@ -460,7 +464,7 @@
   for (int i = 0; i < options_.members; ++i) Begin(i, plan_.old_version);
   if (options_.faults) DrawFaults();
   const int first = static_cast<int>(random_.Below(nodes_.size()));
-  if (const std::string why = At(first).agent->Start(Time(0), plan_, all); !why.empty()) Break(why);
+  if (const auto failure = At(first).agent->Start(Time(0), plan_, all)) Break(failure->text);
   Take(first);
 
   constexpr Micros kStep = 50'000;
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -7,10 +7,10 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "config/read.h"
 #include "log/log.h"
 #include "proxy/config/config.h"
 #include "proxy/membership/clock.h"
+#include "rollout/plan_parser.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -173,9 +173,10 @@
   for (auto& letter : output.messages)
     view_.Mail(now, letter.to, rollout::kMessageTopic, std::move(letter.body));
   for (const rollout::Event& event : output.events)
-    log::Global().Info(
-        "rollout_" + event.name,
-        {{"change", event.change}, {"why", event.why}, {"may_have_changed", event.admitted_members}});
+    log::Global().Info(std::string("rollout_") + rollout::NameOf(event.kind),
+                       {{"change", event.rollout_name},
+                        {"why", event.reason},
+                        {"may_have_changed", event.admitted_members}});
   if (keeper_ && output.progress != 0) keeper_->Say("mark " + log::Hex(output.progress));
   if (keeper_ && output.requested_version) keeper_->Say("run " + *output.requested_version);
 }
@@ -200,29 +201,31 @@
                                                                 const std::string& body) {
   const membership::Time now = FleetNow();
   if (!post) {
-    if (what == "/history") return AdminHandler::FleetCallResult{true, agent_.History(now)};
+    if (what == "/history") return AdminHandler::FleetCallResult{true, agent_.HistoryJson()};
     if (!what.empty()) return std::nullopt;
-    auto json = nlohmann::ordered_json::parse(agent_.Status(now));
+    auto json = nlohmann::ordered_json::parse(agent_.StatusJson(now));
     const double lived = std::chrono::duration<double>(now - began_).count();
     json["rate_per_s"] = static_cast<double>(counts_.asked()) / std::max(1.0, lived);
     return AdminHandler::FleetCallResult{true, json.dump()};
   }
-  std::string why;
+  std::optional<rollout::CommandFailure> failure;
   if (what == "/start") {
     try {
-      why = agent_.Start(now, rollout::ParsePlan(body, "plan"), Living());
-    } catch (const config::BadFile& error) {
-      why = error.what();
+      failure = agent_.Start(now, rollout::ParsePlan(body, "plan"), Living());
+    } catch (const rollout::InvalidPlan& error) {
+      failure = {rollout::CommandError::kInvalidPlan, error.what()};
     }
   } else if (what == "/abort") {
-    why = agent_.Abort(now);
-  } else if (what == "/pause" || what == "/resume") {
-    why = agent_.Pause(now, what == "/pause");
+    failure = agent_.Abort(now);
+  } else if (what == "/pause") {
+    failure = agent_.Pause(now);
+  } else if (what == "/resume") {
+    failure = agent_.Resume(now);
   } else {
     return std::nullopt;
   }
   Flush();
-  return AdminHandler::FleetCallResult{why.empty(), why.empty() ? "done" : why};
+  return AdminHandler::FleetCallResult{!failure, failure ? failure->text : "done"};
 }
 
 void FleetHost::Flush() {
--- a/src/proxy/membership/request_counts.cpp
+++ b/src/proxy/membership/request_counts.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <vector>
 
-#include "rollout/compare.h"
+#include "rollout/latency_histogram.h"
 
 namespace copperpoint::proxy {
 namespace {
--- a/src/rollout/agent.cpp
+++ b/src/rollout/agent.cpp
@@ -5,423 +5,348 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
+#include <chrono>
 #include <utility>
 
-#include "config/read.h"
+#include "rollout/plan_parser.h"
+#include "rollout/status.h"
 
 namespace copperpoint::rollout {
 namespace {
 
-using std::chrono::milliseconds;
-using Json = nlohmann::ordered_json;
-
-constexpr Time kTick = milliseconds(250);
-constexpr Time kAskEvery = milliseconds(500);
-constexpr Time kAroundEvery = milliseconds(500);
-constexpr int kMostSteps = 200;
-constexpr std::size_t kMostAsked = 32;  // questions whose answers still count
-constexpr std::uint32_t kMostPauses = 1022;
-
-Time Seconds(double s) { return Time(static_cast<std::int64_t>(s * 1e6)); }
-double Of(Time time) { return std::chrono::duration<double>(time).count(); }
-
-const char* NameOf(RolloutStatus course) {
-  switch (course) {
-    case RolloutStatus::kInProgress:
-      return "going";
-    case RolloutStatus::kCompleted:
-      return "done";
-    case RolloutStatus::kStopped:
-      return "stopped";
-    case RolloutStatus::kRolledBack:
-      return "taken back";
-    case RolloutStatus::kAborted:
-      return "aborted";
-  }
-  return "unknown";
+constexpr Time kTick = std::chrono::milliseconds(250);
+// Even, so that no rollout is left paused for good.
+constexpr std::uint32_t kMaxPauses = Progress::kMaxPauseCount - 1;
+constexpr const char* kExpiredReason = "no majority held to it within start_within_s";
+
+CommandFailure InProgressFailure(const Plan* plan) {
+  return {CommandError::kRolloutInProgress,
+          plan ? "the change '" + plan->name + "' is under way" : "a change is under way"};
 }
 
 }  // namespace
 
-Agent::Agent(Identity self, Lives lives, Counted counted)
-    : self_(std::move(self)),
-      lives_(std::move(lives)),
-      counted_(std::move(counted)),
-      running_(self_.version) {
-  failed_version_ = self_.failed_version;
-  failure_ = self_.failure;
-  known_ = Progress::Decode(self_.progress);
+Agent::Agent(Identity identity, Election::IsAlive is_alive, CollectReport collect_report)
+    : identity_(std::move(identity)),
+      collect_report_(std::move(collect_report)),
+      election_(std::move(is_alive)),
+      version_switch_(identity_.version, identity_.failed_version, identity_.failure),
+      known_progress_(Progress::Decode(identity_.progress)) {}
+
+MemberState Agent::state() const {
+  if (!rollout_) {
+    const bool in_progress = known_progress_.admitted_members > 0 && !known_progress_.ended();
+    return in_progress ? MemberState::kAwaitingPlan : MemberState::kIdle;
+  }
+  if (!progress_.ended()) return expired_ ? MemberState::kExpired : MemberState::kInProgress;
+  const bool upgraded = version_switch_.requested_version() == rollout_->plan.new_version;
+  return progress_.requires_rollback() && upgraded ? MemberState::kRollingBack : MemberState::kEnded;
+}
+
+bool Agent::busy() const {
+  switch (state()) {
+    case MemberState::kIdle:
+    case MemberState::kExpired:
+    case MemberState::kEnded:
+      return false;
+    case MemberState::kAwaitingPlan:
+    case MemberState::kInProgress:
+    case MemberState::kRollingBack:
+      return true;
+  }
+  return false;
 }
 
 bool Agent::AcceptsDocument(std::uint32_t topic, std::uint64_t version) const {
   if (!busy()) return true;
-  // Without its document yet, it is the change that the process before was in.
-  const std::uint64_t key = plan_ ? key_ : known_.rollout_id;
-  if (topic == kPlanTopic) return RolloutIdOf(version) == key;
+  const std::uint64_t own_id = rollout_ ? rollout_->id : known_progress_.rollout_id;
+  if (topic == kPlanTopic) return RolloutIdOf(version) == own_id;
   if (topic != kProgressTopic) return true;
-  // A later change that has begun has a majority: this one cannot go on any more.
-  const Progress mark = Progress::Decode(version);
-  return mark.rollout_id == key || (mark.rollout_id > key && mark.admitted_members > 0);
+  // A later rollout that has admitted members has a majority: this one cannot continue.
+  const Progress progress = Progress::Decode(version);
+  return progress.rollout_id == own_id || (progress.rollout_id > own_id && progress.admitted_members > 0);
 }
 
 void Agent::OnDocument(Time now, std::uint32_t topic, std::uint64_t version, const std::string& body) {
-  if (topic == kPlanTopic) return Hold(now, version, body);
-  if (topic == kProgressTopic || topic == kFinalProgressTopic) {
-    std::uint64_t& seen = topic == kProgressTopic ? seen_mark_ : seen_end_;
-    seen = std::max(seen, version);
-    const Progress mark = Progress::Decode(version);
-    last_epoch_ = std::max(last_epoch_, static_cast<std::uint32_t>(mark.rollout_id >> 12));
-    if (!plan_) {
-      const bool same = mark.rollout_id == known_.rollout_id && version > known_.Encode();
-      if (same || (mark.rollout_id > known_.rollout_id && mark.admitted_members > 0)) known_ = mark;
+  switch (topic) {
+    case kPlanTopic:
+      return JoinRollout(now, version, body);
+    case kProgressTopic:
+      received_progress_ = std::max(received_progress_, version);
+      return OnProgressDocument(now, Progress::Decode(version));
+    case kFinalProgressTopic:
+      received_final_progress_ = std::max(received_final_progress_, version);
+      return OnProgressDocument(now, Progress::Decode(version));
+    case kHistoryTopic:
+      return history_.OnDocument(version, body);
+    default:
       return;
-    }
-    if (mark.rollout_id == key_ && version > progress_.Encode()) {
-      SetProgress(now, mark);
-    } else if (mark.rollout_id > key_ && mark.admitted_members > 0 && busy()) {
-      // Superseded while this member was away. How it ended is not known here; what comes next is.
-      Progress ended = progress_;
-      ended.status = RolloutStatus::kStopped;
-      SetProgress(now, ended);
-    }
-    return;
   }
-  if (topic == kHistoryTopic && version > story_version_) {
-    story_version_ = version;
-    story_.ParseFromString(body);
+}
+
+void Agent::OnProgressDocument(Time now, const Progress& received) {
+  last_epoch_ = std::max(last_epoch_, EpochOfRollout(received.rollout_id));
+  const bool admits_members = received.admitted_members > 0;
+  if (!rollout_) {
+    const bool same_rollout = received.rollout_id == known_progress_.rollout_id;
+    if (same_rollout ? received.Encode() > known_progress_.Encode()
+                     : received.rollout_id > known_progress_.rollout_id && admits_members)
+      known_progress_ = received;
+  } else if (received.rollout_id == rollout_->id) {
+    if (received.Encode() > progress_.Encode()) SetProgress(now, received);
+  } else if (received.rollout_id > rollout_->id && admits_members && busy()) {
+    // This member was without contact when its rollout ended; how it ended is not known.
+    Progress stopped = progress_;
+    stopped.status = RolloutStatus::kStopped;
+    SetProgress(now, stopped);
   }
 }
 
-void Agent::Hold(Time now, std::uint64_t version, const std::string& body) {
-  wire::RolloutDocument change;
+void Agent::JoinRollout(Time now, std::uint64_t version, const std::string& body) {
+  wire::RolloutDocument document;
   last_epoch_ = std::max(last_epoch_, EpochOf(version));
-  if (version == version_ || !change.ParseFromString(body)) return;
-  auto plan = std::make_unique<Plan>();
+  if (version == document_version() || !document.ParseFromString(body)) return;
+  auto rollout = std::make_unique<Rollout>();
   try {
-    *plan = ParsePlan(change.plan(), "the change of " + change.started_by());
-  } catch (const config::BadFile&) {
-    // Of a program that knows more than this one. It takes no part, and so is not counted for a majority.
-    output_.events.push_back({"not_understood", "", "a plan that this program cannot read", 0});
+    rollout->plan = ParsePlan(document.plan(), "the change of " + document.started_by());
+  } catch (const InvalidPlan&) {
+    // Of a later version of the program. This member takes no part, and so does not count for a majority.
+    output_.events.push_back({EventKind::kPlanRejected, "", "a plan that this program cannot read", 0});
     return;
   }
   std::vector<MemberInfo> members;
-  for (const wire::Member& one : change.members()) members.push_back({one.name(), one.zone()});
+  for (const wire::Member& member : document.members()) members.push_back({member.name(), member.zone()});
+  rollout->document_version = version;
+  rollout->id = RolloutIdOf(version);
+  rollout->order = MakeUpgradeOrder(rollout->plan, std::move(members), rollout->id);
+  rollout->started_by = document.started_by();
+  rollout->rank = rollout->order.RankOf(identity_.name);
+  rollout->received_at = now;
+
   leader_.reset();
-  plan_ = std::move(plan);
-  version_ = version;
-  key_ = RolloutIdOf(version);
-  order_ = MakeUpgradeOrder(*plan_, std::move(members), key_);
-  by_ = change.started_by();
-  rank_ = order_.RankOf(self_.name);
-  lead_ranks_.clear();
-  for (const MemberInfo& one : order_.members)
-    lead_ranks_.push_back(XXH64(one.name.data(), one.name.size(), key_ + 1));
-  next_around_ = now;
-  held_since_ = majority_at_ = now;
-  back_at_ = Time{};
-  progress_ = Progress{key_, RolloutStatus::kInProgress, 0, 0};
-  // A process begun anew must not act on less than the one before it knew.
-  // Nor on less than came before its document.
-  for (const std::uint64_t seen : {known_.Encode(), seen_mark_, seen_end_})
-    if (Progress::Decode(seen).rollout_id == key_ && seen > progress_.Encode())
-      progress_ = Progress::Decode(seen);
+  rollout_ = std::move(rollout);
+  election_.Start(now, rollout_->order, rollout_->rank, rollout_->id);
+  version_switch_.OnRolloutStarted();
+  expired_ = false;
+  next_tick_at_ = now;
+  // Progress may have been received before the plan, or by the process before this one.
+  progress_ = Progress{rollout_->id, RolloutStatus::kInProgress, 0, 0};
+  for (const std::uint64_t known : {known_progress_.Encode(), received_progress_, received_final_progress_})
+    if (Progress::Decode(known).rollout_id == rollout_->id && known > progress_.Encode())
+      progress_ = Progress::Decode(known);
   PublishProgress();
-  majority_ = expired_ = false;
-  next_ = now;
-  Say("held", "begun at " + by_);
+  Emit(EventKind::kPlanReceived, "begun at " + rollout_->started_by);
 }
 
-void Agent::SetProgress(Time now, const Progress& mark) {
-  const Progress before = std::exchange(progress_, mark);
-  output_.progress = progress_.Encode();
-  next_ = now;
-  if (mark.ended() && !before.ended()) {
+void Agent::SetProgress(Time now, const Progress& progress) {
+  const Progress before = progress_;
+  StoreProgress(progress);
+  next_tick_at_ = now;
+  if (progress.ended() && !before.ended()) {
     leader_.reset();
-    Say(mark.status == RolloutStatus::kCompleted ? "done" : "ended", NameOf(mark.status));
-  } else if (mark.paused() != before.paused()) {
-    Say(mark.paused() ? "paused" : "resumed", "");
-  } else if (mark.admitted_members != before.admitted_members) {
-    Say("progress", "");
+    Emit(progress.status == RolloutStatus::kCompleted ? EventKind::kCompleted : EventKind::kEnded,
+         NameOf(progress.status));
+  } else if (progress.paused() != before.paused()) {
+    Emit(progress.paused() ? EventKind::kPaused : EventKind::kResumed, "");
+  } else if (progress.admitted_members != before.admitted_members) {
+    Emit(EventKind::kProgressed, "");
   }
 }
 
-// The end of a change that had begun is told apart from the marks of later ones, so that whoever was away
-// learns it.
-void Agent::PublishProgress() {
-  output_.documents.push_back({kProgressTopic, progress_.Encode(), ""});
-  if (progress_.ended() && progress_.admitted_members > 0)
-    output_.documents.push_back({kFinalProgressTopic, progress_.Encode(), ""});
+void Agent::StoreProgress(const Progress& progress) {
+  progress_ = progress;
+  output_.progress = progress.Encode();
 }
 
-void Agent::Say(const std::string& name, const std::string& why) {
-  output_.events.push_back({name, plan_ ? plan_->name : "", why, progress_.admitted_members});
+// The end of a rollout that has admitted members has a topic of its own, where the progress of later rollouts
+// does not replace it: members that were without contact have to receive it.
+void Agent::PublishProgress() {
+  const std::uint64_t encoded = progress_.Encode();
+  output_.documents.push_back({kProgressTopic, encoded, ""});
+  if (progress_.ended() && progress_.admitted_members > 0)
+    output_.documents.push_back({kFinalProgressTopic, encoded, ""});
 }
 
-void Agent::AddStep(Time now, const std::string& what, const std::string& why) {
-  if (EpochOf(story_version_) != EpochOf(version_)) story_.clear_steps();
-  if (story_.steps_size() >= kMostSteps) return;
-  wire::Step& step = *story_.add_steps();
-  step.set_event(what);
-  step.set_reason(why);
-  step.set_recorded_by(self_.name);
-  step.set_admitted_members(progress_.admitted_members);
-  step.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - held_since_).count() / 1000)));
-  // More steps go before fewer; of two that tell as many, the greater hash.
-  const std::string body = story_.SerializeAsString();
-  story_version_ = DocumentVersion(EpochOf(version_), static_cast<std::uint32_t>(story_.steps_size()) << 20 |
-                                                          (XXH32(body.data(), body.size(), 0) & 0xfffff));
-  output_.documents.push_back({kHistoryTopic, story_version_, body});
+void Agent::Emit(EventKind kind, const std::string& reason) {
+  output_.events.push_back({kind, rollout_ ? rollout_->plan.name : "", reason, progress_.admitted_members});
 }
 
-void Agent::Run(const std::string& version, const std::string& why) {
-  if (running_ == version) return;
-  running_ = version;
-  output_.requested_version = version;
-  Say("run", version + ": " + why);
+void Agent::Record(Time now, EventKind kind, const std::string& reason) {
+  auto document =
+      history_.Record(EpochOf(document_version()), {kind, reason, identity_.name, progress_.admitted_members,
+                                                    now - (rollout_ ? rollout_->received_at : Time{})});
+  if (document) output_.documents.push_back(std::move(*document));
 }
 
 wire::MemberReport Agent::Report() const {
-  wire::MemberReport report = counted_();
-  report.set_version(self_.version);
-  report.set_incarnation(self_.incarnation);
-  report.set_supervised(!self_.version.empty());
-  if (plan_ && failed_version_ == plan_->new_version) report.set_failure(failure_);
+  wire::MemberReport report = collect_report_();
+  report.set_version(identity_.version);
+  report.set_incarnation(identity_.incarnation);
+  report.set_supervised(!identity_.version.empty());
+  if (rollout_) report.set_failure(version_switch_.FailureOf(rollout_->plan.new_version));
   return report;
 }
 
-wire::AgentMessage Agent::Begin() const {
-  wire::AgentMessage letter;
-  letter.set_rollout_id(expired_ ? 0 : key_);
-  letter.set_progress(progress_.Encode());
-  return letter;
+wire::AgentMessage Agent::NewMessage() const {
+  wire::AgentMessage message;
+  message.set_rollout_id(expired_ ? 0 : rollout_id());
+  message.set_progress(progress_.Encode());
+  return message;
 }
 
 void Agent::OnMessage(Time now, const std::string& from, std::string_view body) {
-  wire::AgentMessage letter;
-  if (!letter.ParseFromArray(body.data(), static_cast<int>(body.size()))) return;
-  if (letter.has_request()) {
-    wire::AgentMessage answer = Begin();
+  wire::AgentMessage message;
+  if (!message.ParseFromArray(body.data(), static_cast<int>(body.size()))) return;
+  if (message.has_request()) {
+    wire::AgentMessage answer = NewMessage();
     *answer.mutable_report() = Report();
-    answer.set_request_number(letter.request().number());
+    answer.set_request_number(message.request().number());
     output_.messages.push_back({from, answer.SerializeAsString()});
   }
-  if (plan_ && letter.rollout_id() == key_ && letter.progress() > progress_.Encode()) {
-    SetProgress(now, Progress::Decode(letter.progress()));
+  if (rollout_ && message.rollout_id() == rollout_->id && message.progress() > progress_.Encode()) {
+    SetProgress(now, Progress::Decode(message.progress()));
     PublishProgress();
   }
-  if (letter.has_report() && leader_) {
-    // It counts from when it was asked for: what waited here while this process stood still is old.
-    const int rank = order_.RankOf(from);
-    const std::uint32_t before = asked_ - letter.request_number();
-    if (rank >= 0 && before < asked_at_.size())
-      leader_->OnReport(asked_at_[asked_at_.size() - 1 - before], rank, letter.rollout_id(), letter.report());
-  }
-}
-
-// Of the members of the change that live, the one whose hash with the change is the greatest leads.
-void Agent::LookAround(Time now) {
-  if (now < next_around_) return;
-  next_around_ = now + kAroundEvery;
-  living_ = rank_ >= 0;
-  first_ = rank_ >= 0;
-  for (std::size_t i = 0; i < order_.members.size(); ++i) {
-    if (static_cast<int>(i) == rank_ || !lives_(order_.members[i].name)) continue;
-    ++living_;
-    if (rank_ >= 0 && lead_ranks_[i] > lead_ranks_[static_cast<std::size_t>(rank_)]) first_ = false;
-  }
-  majority_ = 2 * living_ > static_cast<int>(order_.members.size());
-  if (majority_) majority_at_ = now;
+  if (!message.has_report() || !leader_) return;
+  const int rank = rollout_->order.RankOf(from);
+  const auto requested_at = report_requests_.RequestedAt(message.request_number());
+  if (rank != UpgradeOrder::kNotAMember && requested_at)
+    leader_->OnReport(*requested_at, rank, message.rollout_id(), message.report());
 }
 
 void Agent::OnTick(Time now) {
-  next_ = now + kTick;
-  if (!plan_) return;
-  LookAround(now);
-  if (!progress_.ended() && progress_.admitted_members == 0 &&
-      now - held_since_ > Seconds(plan_->start_timeout_s)) {
-    // It never began, as far as this member knows, and must not keep another from beginning. If it has begun
-    // after all, progress will tell; an end of its own would end it for those, too.
-    if (!std::exchange(expired_, true)) {
-      Say("expired", "no majority held to it within start_within_s");
-      AddStep(now, "expired", "no majority held to it within start_within_s");
-      leader_.reset();
-    }
-    return;
-  }
+  next_tick_at_ = now + kTick;
+  if (!rollout_) return;
+  election_.Update(now);
+  const bool started = progress_.ended() || progress_.admitted_members > 0;
+  if (!started && now - rollout_->received_at > FromSeconds(rollout_->plan.start_timeout_s))
+    return Expire(now);
   expired_ = false;
-  LookAtTurn(now);
-  LookAtLead(now);
+  UpdateVersion(now);
+  UpdateLeadership(now);
 }
 
-// What this member is to run, by what it knows alone.
-void Agent::LookAtTurn(Time now) {
-  if (rank_ < 0 || self_.version.empty()) return;
-  const bool is_new = running_ == plan_->new_version;
-  if (progress_.requires_rollback()) {
-    if (!is_new) return;
-    // A few at a time, the last to change first, without a word from anybody.
-    if (back_at_ == Time{}) {
-      const int behind = std::max(0, static_cast<int>(progress_.admitted_members) - 1 - rank_);
-      back_at_ = now + (behind / plan_->max_unavailable) * Seconds(plan_->rollback_interval_s);
-    }
-    if (now >= back_at_) Run(plan_->old_version, std::string("the change was ") + NameOf(progress_.status));
-    return;
-  }
-  if (is_new) {
-    const bool alone = now - majority_at_ > Seconds(plan_->isolation_timeout_s);
-    if (!progress_.ended() && plan_->isolation_timeout_s > 0 && alone)
-      Run(plan_->old_version, "no majority is heard");
-    return;
-  }
-  if (progress_.ended() && progress_.status != RolloutStatus::kCompleted) return;
-  // Only from the version that the plan names, only where it was not taken back before, and not out of a
-  // corner.
-  const bool turn = rank_ < static_cast<int>(progress_.admitted_members) && running_ == plan_->old_version;
-  if (turn && failed_version_ != plan_->new_version && majority_) Run(plan_->new_version, "its turn");
+// As far as this member knows the rollout has admitted nobody, and it must not keep another one from
+// starting. It does not end here: if it has admitted members after all, their progress will be received.
+void Agent::Expire(Time now) {
+  if (std::exchange(expired_, true)) return;
+  Emit(EventKind::kExpired, kExpiredReason);
+  Record(now, EventKind::kExpired, kExpiredReason);
+  leader_.reset();
 }
 
-void Agent::LookAtLead(Time now) {
-  if (progress_.ended() || !first_) {
+void Agent::UpdateVersion(Time now) {
+  const auto request = version_switch_.Update(
+      now, {rollout_->plan, progress_, rollout_->rank, election_.has_majority(), election_.majority_at()});
+  if (!request) return;
+  output_.requested_version = request->version;
+  Emit(EventKind::kVersionRequested, request->version + ": " + request->reason);
+}
+
+void Agent::UpdateLeadership(Time now) {
+  if (progress_.ended() || !election_.is_leader()) {
     leader_.reset();
     return;
   }
   if (!leader_) {
-    leader_ = std::make_unique<Leader>(*plan_, order_);
-    next_ask_ = now;
-    asked_at_.clear();
-    Say("leads", "");
-  }
-  if (now >= next_ask_) {
-    next_ask_ = now + kAskEvery;
-    wire::AgentMessage ask = Begin();
-    ask.mutable_request()->set_number(++asked_);
-    asked_at_.push_back(now);
-    if (asked_at_.size() > kMostAsked) asked_at_.pop_front();
-    const std::string body = ask.SerializeAsString();
-    for (const MemberInfo& one : order_.members)
-      if (one.name != self_.name) output_.messages.push_back({one.name, body});
-    leader_->OnReport(now, rank_, key_, Report());
+    leader_ = std::make_unique<Leader>(rollout_->plan, rollout_->order);
+    report_requests_.Restart(now);
+    Emit(EventKind::kLeaderElected, "");
   }
-  const auto decision = leader_->Look(now, progress_);
-  if (!decision) return;
-  if (decision->mark.Encode() > progress_.Encode()) {
-    progress_ = decision->mark;
-    output_.progress = progress_.Encode();
+  if (report_requests_.IsDue(now)) RequestReports(now);
+  if (const auto decision = leader_->Advance(now, progress_)) Apply(now, *decision);
+}
+
+void Agent::RequestReports(Time now) {
+  wire::AgentMessage message = NewMessage();
+  message.mutable_request()->set_number(report_requests_.Start(now));
+  const std::string body = message.SerializeAsString();
+  for (const MemberInfo& member : rollout_->order.members)
+    if (member.name != identity_.name) output_.messages.push_back({member.name, body});
+  leader_->OnReport(now, rollout_->rank, rollout_->id, Report());
+}
+
+void Agent::Apply(Time now, const Leader::Decision& decision) {
+  if (decision.progress.Encode() > progress_.Encode()) {
+    StoreProgress(decision.progress);
     PublishProgress();
   }
-  Say(decision->what, decision->why);
-  AddStep(now, decision->what, decision->why);
+  Emit(decision.event, decision.text);
+  Record(now, decision.event, decision.text);
   if (progress_.ended()) leader_.reset();
-  next_ = now;
+  next_tick_at_ = now;
 }
 
-void Agent::OnVersionFailed(const std::string& version, const std::string& why) {
-  failed_version_ = version;
-  failure_ = why;
-  running_ = self_.version;
-  Say("failed", version + ": " + why);
+void Agent::OnVersionFailed(const std::string& version, const std::string& failure) {
+  version_switch_.OnVersionFailed(version, failure);
+  Emit(EventKind::kVersionFailed, version + ": " + failure);
 }
 
-std::string Agent::Start(Time now, const Plan& plan, std::vector<MemberInfo> members) {
-  if (busy()) return plan_ ? "the change '" + plan_->name + "' is under way" : "a change is under way";
-  if (members.empty()) return "there are no members to change";
-  if (members.size() > 32767) return "more than 32,767 members";
-  wire::RolloutDocument change;
-  change.set_plan(FormatPlan(plan));
-  change.set_started_by(self_.name);
-  for (const MemberInfo& one : members) {
-    wire::Member& named = *change.add_members();
-    named.set_name(one.name);
-    named.set_zone(one.zone);
+std::optional<CommandFailure> Agent::Start(Time now, const Plan& plan,
+                                           const std::vector<MemberInfo>& members) {
+  if (busy()) return InProgressFailure(rollout_ ? &rollout_->plan : nullptr);
+  if (members.empty()) return CommandFailure{CommandError::kNoMembers, "there are no members to change"};
+  if (members.size() > Progress::kMaxAdmittedMembers)
+    return CommandFailure{CommandError::kTooManyMembers, "more than 32,767 members"};
+  wire::RolloutDocument document;
+  document.set_plan(FormatPlan(plan));
+  document.set_started_by(identity_.name);
+  for (const MemberInfo& member : members) {
+    wire::Member& added = *document.add_members();
+    added.set_name(member.name);
+    added.set_zone(member.zone);
   }
-  const std::string body = change.SerializeAsString();
+  const std::string body = document.SerializeAsString();
   const std::uint64_t version = DocumentVersion(last_epoch_ + 1, XXH32(body.data(), body.size(), 0));
-  Hold(now, version, body);
+  JoinRollout(now, version, body);
   output_.documents.push_back({kPlanTopic, version, body});
-  AddStep(
-      now, "begun",
+  Record(
+      now, EventKind::kStarted,
       fmt::format("{}: {} to {}, {} members", plan.name, plan.old_version, plan.new_version, members.size()));
-  return "";
+  return std::nullopt;
 }
 
-std::string Agent::Abort(Time now) {
-  if (!plan_ || progress_.status == RolloutStatus::kAborted) return "there is no change to abort";
+std::optional<CommandFailure> Agent::Abort(Time now) {
+  if (!rollout_ || progress_.status == RolloutStatus::kAborted)
+    return CommandFailure{CommandError::kNothingToAbort, "there is no change to abort"};
   Progress aborted = progress_;
   aborted.status = RolloutStatus::kAborted;
   SetProgress(now, aborted);
   PublishProgress();
-  AddStep(now, "aborted", "by an operator at " + self_.name);
-  return "";
+  Record(now, EventKind::kAborted, "by an operator at " + identity_.name);
+  return std::nullopt;
 }
 
-std::string Agent::Pause(Time now, bool pause) {
-  if (!plan_ || progress_.ended()) return "there is no change under way";
-  if (progress_.paused() == pause) return pause ? "it pauses already" : "it does not pause";
-  if (progress_.pause_count >= kMostPauses) return "it has paused too often";
+std::optional<CommandFailure> Agent::Pause(Time now) { return SetPaused(now, true); }
+
+std::optional<CommandFailure> Agent::Resume(Time now) { return SetPaused(now, false); }
+
+std::optional<CommandFailure> Agent::SetPaused(Time now, bool paused) {
+  if (!rollout_ || progress_.ended())
+    return CommandFailure{CommandError::kNoRolloutInProgress, "there is no change under way"};
+  if (progress_.paused() == paused)
+    return paused ? CommandFailure{CommandError::kAlreadyPaused, "it pauses already"}
+                  : CommandFailure{CommandError::kNotPaused, "it does not pause"};
+  if (progress_.pause_count >= kMaxPauses)
+    return CommandFailure{CommandError::kTooManyPauses, "it has paused too often"};
   Progress next = progress_;
   ++next.pause_count;
   SetProgress(now, next);
   PublishProgress();
-  AddStep(now, pause ? "paused" : "resumed", "by an operator at " + self_.name);
-  return "";
+  Record(now, paused ? EventKind::kPaused : EventKind::kResumed, "by an operator at " + identity_.name);
+  return std::nullopt;
 }
 
-std::string Agent::Status(Time now) const {
-  Json json{{"version", self_.version}};
-  if (!plan_) {
-    json["change"] = nullptr;
-    return json.dump();
-  }
-  json["change"] = {{"name", plan_->name},
-                    {"from", plan_->old_version},
-                    {"to", plan_->new_version},
-                    {"by", by_},
-                    {"course", expired_ ? "never began" : NameOf(progress_.status)},
-                    {"paused", progress_.paused()},
-                    {"members", order_.members.size()},
-                    {"may_have_changed", progress_.admitted_members},
-                    {"stages", order_.stage_ends},
-                    {"held_s", Of(now - held_since_)},
-                    {"majority_lives", majority_}};
-  json["leads"] = leader_ != nullptr;
-  if (!leader_) return json.dump();
-  json["phase"] = rollout::NameOf(leader_->phase());
-  json["phase_s"] = Of(now - leader_->phase_since());
-  json["heard"] = leader_->Heard(now, key_);
-  const auto cohort = [](const Comparison::Cohort& of) {
-    return Json{{"asked", of.asked},
-                {"missed", of.missed},
-                {"refused", of.refused},
-                {"failed", of.failed},
-                {"attempts", of.attempts}};
-  };
-  json["changed"] = cohort(leader_->comparison().changed());
-  json["others"] = cohort(leader_->comparison().others());
-  auto& members = json["cohorts"] = Json::array();
-  for (std::size_t i = 0; i < order_.members.size(); ++i) {
-    const Leader::Member& member = leader_->members()[i];
-    members.push_back({{"name", order_.members[i].name},
-                       {"zone", order_.members[i].zone},
-                       {"allowed", i < progress_.admitted_members},
-                       {"version", member.report.version()},
-                       {"ready", member.report.ready()},
-                       {"heard_s", member.ever ? Of(now - member.heard) : -1},
-                       {"crashes", member.crashes}});
-  }
-  return json.dump();
+std::string Agent::StatusJson(Time now) const {
+  if (!rollout_) return FormatStatus(identity_.version, nullptr, now);
+  const RolloutStatusView view{
+      rollout_->id,         rollout_->plan, rollout_->order,          progress_,
+      rollout_->started_by, expired_,       election_.has_majority(), now - rollout_->received_at,
+      leader_.get()};
+  return FormatStatus(identity_.version, &view, now);
 }
 
-std::string Agent::History(Time) const {
-  Json json = Json::array();
-  for (const wire::Step& step : story_.steps())
-    json.push_back({{"at_s", static_cast<double>(step.age_ms()) / 1000},
-                    {"what", step.event()},
-                    {"why", step.reason()},
-                    {"by", step.recorded_by()},
-                    {"prefix", step.admitted_members()}});
-  return json.dump();
-}
+std::string Agent::HistoryJson() const { return FormatHistory(history_.steps()); }
 
 Agent::Output Agent::TakeOutput() { return std::exchange(output_, {}); }
 
--- a/src/rollout/agent.h
+++ b/src/rollout/agent.h
@@ -1,14 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member's part in rolling changes (docs/rollout.md): holds the change and how far it has gone, changes
-// when it is this member's turn, goes back when the change was stopped, answers the leader, and leads where
-// it is the one. No I/O, no clock: time, letters and documents in, the same and commands out. A change of the
-// program or of the operator's file is one of the process, which the host has its keeper carry out.
+// A member's part in rollouts (docs/rollout.md): takes part in one rollout at a time, follows its progress,
+// answers its leader, and leads if it is elected. Without I/O and without a clock: time, documents and
+// messages come in with each call, and what is to be done is taken with TakeOutput.
 #ifndef COPPERPOINT_ROLLOUT_AGENT_H_
 #define COPPERPOINT_ROLLOUT_AGENT_H_
 
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -17,126 +15,144 @@
 #include <vector>
 
 #include "rollout.pb.h"
+#include "rollout/command_failure.h"
+#include "rollout/documents.h"
+#include "rollout/election.h"
+#include "rollout/event.h"
+#include "rollout/history.h"
 #include "rollout/leader.h"
 #include "rollout/plan.h"
 #include "rollout/progress.h"
+#include "rollout/report_requests.h"
+#include "rollout/upgrade_order.h"
+#include "rollout/version_switch.h"
 
 namespace copperpoint::rollout {
 
-// Topics of the view.
-constexpr std::uint32_t kPlanTopic = 1, kProgressTopic = 2, kHistoryTopic = 3, kMessageTopic = 4,
-                        kFinalProgressTopic = 5;  // the mark of the last change that began and has ended
-
-struct Event {
-  std::string name;  // as in the log, without "rollout_"
-  std::string change, why;
-  std::uint32_t admitted_members = 0;
+// The states of a member:
+//
+//   kIdle, kEnded, kExpired -- a plan is received or started here --> kInProgress
+//   kAwaitingPlan ------------ its plan is received ----------------> kInProgress
+//   kAwaitingPlan ------------ progress: it has ended --------------> kIdle
+//   kInProgress -------------- admits no member in time ------------> kExpired
+//   kExpired ----------------- progress: it admits members ---------> kInProgress
+//   kInProgress, kExpired ---- progress: it has ended --------------> kRollingBack if this member runs the
+//   new
+//                                                                     version and the end requires the old
+//                                                                     one, else kEnded
+//   kInProgress -------------- progress of a later rollout ---------> kEnded (stopped)
+//   kRollingBack ------------- the old version was requested -------> kEnded
+//
+// In kAwaitingPlan, kInProgress and kRollingBack the member is busy: it takes part in no other rollout.
+enum class MemberState {
+  kIdle,
+  kAwaitingPlan,  // the process before this one took part in a rollout whose plan has not been received yet
+  kInProgress,
+  kExpired,
+  kRollingBack,
+  kEnded,
 };
 
 class Agent {
  public:
   struct Identity {
     std::string name;
-    std::string
-        version;  // that this process is, as its keeper knows it; empty: no keeper, it cannot be changed
+    // That this process runs, as its supervisor names it. Empty: no supervisor; it cannot be upgraded.
+    std::string version;
     std::uint64_t incarnation = 0;
-    // What its keeper remembers of the processes before: the last mark that they held, and what it took back.
-    std::uint64_t progress = 0;
+    // What its supervisor has stored of the processes before this one.
+    std::uint64_t progress = 0;  // encoded
     std::string failed_version, failure;
   };
-  // Whether a member of that name lives, by the view.
-  using Lives = std::function<bool(const std::string& name)>;
-  // What this process has counted so far; version, life and keeper are filled in here.
-  using Counted = std::function<wire::MemberReport()>;
+  // What this process has counted so far. The agent adds version, incarnation and supervisor.
+  using CollectReport = std::function<wire::MemberReport()>;
 
-  Agent(Identity self, Lives lives, Counted counted);
+  Agent(Identity identity, Election::IsAlive is_alive, CollectReport collect_report);
 
-  // ---- what happens ----
-  // Before the view takes a later document from others: false while this member is busy with another change.
+  // ---- events ----
+  // Whether the membership may replace its document of that topic: not while this member is busy with another
+  // rollout.
   bool AcceptsDocument(std::uint32_t topic, std::uint64_t version) const;
   void OnDocument(Time now, std::uint32_t topic, std::uint64_t version, const std::string& body);
   void OnMessage(Time now, const std::string& from, std::string_view body);
   void OnTick(Time now);
-  // Never without a change: a fleet at rest is not woken for it.
-  Time next_tick_at() const { return plan_ ? next_ : Time::max() / 2; }
-  // Its keeper took a version back.
-  void OnVersionFailed(const std::string& version, const std::string& why);
-
-  // ---- what an operator says, at any member ----
-  // Begins a change of these members. Empty, or why not.
-  std::string Start(Time now, const Plan& plan, std::vector<MemberInfo> members);
-  std::string Abort(Time now);
-  std::string Pause(Time now, bool pause);
-  std::string Status(Time now) const;   // JSON
-  std::string History(Time now) const;  // JSON: the steps of the last change
+  // Without a rollout never, so that an idle process is not woken up.
+  Time next_tick_at() const { return rollout_ ? next_tick_at_ : Time::max() / 2; }
+  // The supervisor has rolled a version back.
+  void OnVersionFailed(const std::string& version, const std::string& failure);
+
+  // ---- commands of an operator, at any member; nothing: done ----
+  std::optional<CommandFailure> Start(Time now, const Plan& plan, const std::vector<MemberInfo>& members);
+  std::optional<CommandFailure> Abort(Time now);
+  std::optional<CommandFailure> Pause(Time now);
+  std::optional<CommandFailure> Resume(Time now);
+  std::string StatusJson(Time now) const;  // status.h
+  std::string HistoryJson() const;         // of the last rollout
 
   struct Output {
     struct Message {
-      std::string to, body;
-    };
-    struct Document {
-      std::uint32_t topic = 0;
-      std::uint64_t version = 0;
+      std::string to;  // a member's name
       std::string body;
     };
     std::vector<Message> messages;
     std::vector<Document> documents;
     std::vector<Event> events;
-    std::optional<std::string> requested_version;  // the version that this member is to be from now on
-    std::uint64_t progress = 0;                    // for its keeper to remember; 0: nothing new
+    std::optional<std::string> requested_version;  // for the supervisor to run from now on
+    std::uint64_t progress = 0;                    // encoded, for the supervisor to store; 0: nothing new
   };
   Output TakeOutput();
 
-  // For tests and the emulator.
+  MemberState state() const;
+  bool busy() const;
   const Progress& progress() const { return progress_; }
   bool is_leader() const { return leader_ != nullptr; }
-  // With a change that is under way, or that this member has still to go back from.
-  bool busy() const {
-    if (!plan_) return known_.admitted_members > 0 && !known_.ended();
-    return (!progress_.ended() && !expired_) ||
-           (progress_.requires_rollback() && running_ == plan_->new_version);
-  }
 
  private:
-  void Hold(Time now, std::uint64_t version, const std::string& body);
-  void SetProgress(Time now, const Progress& mark);
-  void PublishProgress();  // the mark
-  void Say(const std::string& name, const std::string& why);
-  void AddStep(Time now, const std::string& what, const std::string& why);
-  void LookAtTurn(Time now);
-  void LookAtLead(Time now);
-  void LookAround(Time now);  // who lives, and so who leads
+  // The rollout that this member takes part in, or took part in last.
+  struct Rollout {
+    Plan plan;
+    UpgradeOrder order;
+    std::uint64_t document_version = 0, id = 0;
+    std::string started_by;  // a member
+    int rank = UpgradeOrder::kNotAMember;
+    Time received_at{};
+  };
+
+  void JoinRollout(Time now, std::uint64_t document_version, const std::string& body);
+  void OnProgressDocument(Time now, const Progress& received);
+  void SetProgress(Time now, const Progress& progress);
+  void StoreProgress(const Progress& progress);
+  void PublishProgress();
+  void Expire(Time now);
+  void UpdateVersion(Time now);
+  void UpdateLeadership(Time now);
+  void RequestReports(Time now);
+  void Apply(Time now, const Leader::Decision& decision);
+  std::optional<CommandFailure> SetPaused(Time now, bool paused);
+  void Emit(EventKind kind, const std::string& reason);
+  void Record(Time now, EventKind kind, const std::string& reason);
   wire::MemberReport Report() const;
-  wire::AgentMessage Begin() const;
-  void Run(const std::string& version, const std::string& why);
-
-  Identity self_;
-  Lives lives_;
-  Counted counted_;
-  std::string failure_, failed_version_;
-  // The change that is held; plan_ is null without one.
-  std::unique_ptr<Plan> plan_;
-  UpgradeOrder order_;
-  std::uint64_t version_ = 0, key_ = 0;
+  wire::AgentMessage NewMessage() const;
+  std::uint64_t document_version() const { return rollout_ ? rollout_->document_version : 0; }
+  std::uint64_t rollout_id() const { return rollout_ ? rollout_->id : 0; }
+
+  const Identity identity_;
+  const CollectReport collect_report_;
+  Election election_;
+  VersionSwitch version_switch_;
+  History history_;
+  ReportRequests report_requests_;
+
+  std::unique_ptr<Rollout> rollout_;  // null before the first one
+  std::unique_ptr<Leader> leader_;    // if this member leads rollout_
+  Progress progress_;                 // of rollout_
+  bool expired_ = false;
+  // Without a rollout: what is known of the latest one, at first from the process before this one.
+  Progress known_progress_;
+  // The greatest that were received, of whichever rollout.
+  std::uint64_t received_progress_ = 0, received_final_progress_ = 0;
   std::uint32_t last_epoch_ = 0;
-  std::string by_;
-  int rank_ = -1;
-  Time held_since_{}, majority_at_{}, back_at_{}, next_around_{};
-  std::vector<std::uint64_t> lead_ranks_;  // of the members of the change
-  int living_ = 0;
-  bool expired_ = false;   // it had not begun in time, as far as this member knows
-  bool first_ = false;     // of those that live this one leads
-  bool majority_ = false;  // of the members of the change lives
-  std::string running_;    // that was asked for last
-  Progress progress_;
-  Progress known_;                              // by its keeper, from the process before
-  std::uint64_t seen_mark_ = 0, seen_end_ = 0;  // the greatest that came, of whichever change
-  std::unique_ptr<Leader> leader_;
-  wire::History story_;
-  std::uint64_t story_version_ = 0;
-  Time next_{}, next_ask_{};
-  std::uint32_t asked_ = 0;    // questions of this leader
-  std::deque<Time> asked_at_;  // of the last of them
+  Time next_tick_at_{};
   Output output_;
 };
 
--- /dev/null
+++ b/src/rollout/canary_analysis.h
@@ -0,0 +1,106 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Canary analysis of one stage: decides whether the upgraded members do worse than the others, at the same
+// time and on the same kind of traffic. It may be evaluated at any time; the probability of a false alarm
+// holds over all evaluations together.
+//
+// Counts are scored per stratum (mantel_haenszel.h) and window; the sums are compared with a boundary that
+// holds at all times (sequential_test.h), which is wider where members of one cohort differ from each other
+// (heterogeneity.h).
+#ifndef COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
+#define COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
+
+#include <compare>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "rollout.pb.h"
+#include "rollout/cohort.h"
+#include "rollout/heterogeneity.h"
+#include "rollout/latency_histogram.h"
+#include "rollout/mantel_haenszel.h"
+#include "rollout/measures.h"
+#include "rollout/plan.h"
+
+namespace copperpoint::rollout {
+
+// A measure by which the canaries are worse than the baseline, beyond chance and by more than MinDifference.
+struct Regression {
+  Measure measure = Measure::kMissed;
+  std::string segment;    // "all", "class 2", "zone a" or "account 7"
+  double difference = 0;  // canary minus baseline, events per request
+  double score = 0, boundary = 0;
+};
+
+// Owns the counts of the stage.
+class CanaryAnalysis {
+ public:
+  // Requests and their outcomes since the start of the stage.
+  struct CohortTotals {
+    double requests = 0, missed = 0, rejected = 0, failed = 0, attempts = 0;
+  };
+
+  // `members`: of the rollout, by rank. `guardrails` must outlive the analysis.
+  CanaryAnalysis(const Guardrails& guardrails, std::size_t stages, const std::vector<MemberInfo>& members);
+
+  // Drops all counts.
+  void StartStage();
+  // What a member of that rank has counted since it was last added.
+  void Add(int rank, Cohort cohort, const wire::Stratum& increase);
+  // Scores what was added since the window before.
+  void EndWindow();
+
+  // The one that exceeds its boundary by the greatest factor.
+  std::optional<Regression> FindRegression() const;
+  std::uint64_t canary_requests() const { return canary_requests_; }
+  const CohortTotals& totals(Cohort cohort) const { return totals_[cohort]; }
+
+ private:
+  // Requests that are compared by themselves.
+  enum class SegmentKind { kAll, kRequestClass, kZone, kTenant };
+  struct Segment {
+    SegmentKind kind = SegmentKind::kAll;
+    std::uint32_t id = 0;  // of the class or tenant; index of the zone
+    auto operator<=>(const Segment&) const = default;
+  };
+  struct StratumKey {
+    std::uint32_t zone = 0, request_class = 0, tenant = 0;
+    auto operator<=>(const StratumKey&) const = default;
+  };
+  struct Test {
+    StratumScore sum;
+    PerCohort<CountsByMember> members;
+  };
+  using CohortCounts = PerCohort<MeasureCounts>;
+
+  static std::vector<Segment> SegmentsOf(const StratumKey& stratum);
+  void Count(int rank, Cohort cohort, const StratumKey& stratum, const MeasureCounts& counts);
+  bool ZoneHasBothCohorts(std::uint32_t zone) const;
+  void Score(const CohortCounts& counts, const std::vector<Segment>& segments);
+  std::optional<Regression> Evaluate(const Segment& segment, Measure measure, const Test& test,
+                                     double alpha) const;
+  double AlphaOfTests() const;
+  std::string NameOf(const Segment& segment) const;
+
+  const Guardrails& guardrails_;
+  const std::size_t stages_;
+  std::vector<std::uint32_t> zone_of_rank_;  // index into zones_
+  std::vector<std::string> zones_;
+
+  PerCohort<CohortTotals> totals_;
+  std::uint64_t canary_requests_ = 0;
+  std::map<StratumKey, CohortCounts> window_;
+  // The baseline's latencies by request class, of earlier windows and of this one: a window is counted by the
+  // thresholds of those before it.
+  std::map<std::uint32_t, LatencyHistogram> latencies_, window_latencies_;
+  std::map<std::pair<Segment, Measure>, Test> tests_;
+};
+
+}  // namespace copperpoint::rollout
+
+#endif  // COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
--- /dev/null
+++ b/src/rollout/history.h
@@ -0,0 +1,43 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The history of a rollout: what was decided, by which member, when and why. Members share it as a document.
+#ifndef COPPERPOINT_ROLLOUT_HISTORY_H_
+#define COPPERPOINT_ROLLOUT_HISTORY_H_
+
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "rollout.pb.h"
+#include "rollout/documents.h"
+#include "rollout/event.h"
+#include "rollout/plan.h"
+
+namespace copperpoint::rollout {
+
+// Owns the steps of the last rollout that is known to this member.
+class History {
+ public:
+  struct Entry {
+    EventKind event = EventKind::kProgressed;
+    std::string reason, recorded_by;
+    std::uint32_t admitted_members = 0;
+    Time age{};  // of the rollout
+  };
+
+  // From another member. Does nothing if it is not later than this one's.
+  void OnDocument(std::uint64_t version, const std::string& body);
+  // Adds a step to the history of the rollout of that epoch, and drops those of any other. The document to
+  // share; nothing if the history is full.
+  std::optional<Document> Record(std::uint32_t epoch, const Entry& entry);
+
+  const wire::History& steps() const { return steps_; }
+
+ private:
+  wire::History steps_;
+  std::uint64_t version_ = 0;
+};
+
+}  // namespace copperpoint::rollout
+
+#endif  // COPPERPOINT_ROLLOUT_HISTORY_H_
--- a/src/rollout/leader.h
+++ b/src/rollout/leader.h
@@ -1,88 +1,103 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the member does that leads a change: asks all named members for what they count, lets them change in
-// their order, watches each stage, goes on or stops. It holds nothing that must not be lost: another member
-// takes up a change by its document and mark, and begins the watch of the stage anew.
+// The leader's side of a rollout: takes it from stage to stage, one decision at a time, and decides when it
+// completes or stops. Owns nothing that must not be lost: another member continues from the rollout's
+// document and progress, and starts the current stage's bake time anew.
 #ifndef COPPERPOINT_ROLLOUT_LEADER_H_
 #define COPPERPOINT_ROLLOUT_LEADER_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "rollout.pb.h"
-#include "rollout/compare.h"
+#include "rollout/canary_analysis.h"
+#include "rollout/event.h"
+#include "rollout/member_table.h"
 #include "rollout/plan.h"
 #include "rollout/progress.h"
+#include "rollout/stop_cause.h"
+#include "rollout/upgrade_order.h"
 
 namespace copperpoint::rollout {
 
+// The phases of each stage:
+//
+//   any ------------------ no majority has contact --------------------> kWaitingForMajority
+//   kWaitingForMajority -- a majority has contact ----------------------> kUpgrading
+//   any ------------------ a member is to upgrade, or is not ready -----> kUpgrading
+//   kUpgrading ----------- all of the stage are ready ------------------> kSettling
+//   kSettling ------------ settle time over ----------------------------> kBaking
+//   kBaking -------------- bake time over, no regression ---------------> kUpgrading of the next stage, or
+//   the
+//                                                                         rollout is completed
+//
+// In every phase with a majority a member's failure or the time limit stops the rollout, in kBaking a
+// regression too.
 class Leader {
  public:
-  // Both have to outlive it.
-  Leader(const Plan& plan, const UpgradeOrder& order);
-
-  // From the member of that rank, which holds to `change`; asked for at `asked_at`.
-  void OnReport(Time asked_at, int rank, std::uint64_t change, const wire::MemberReport& report);
+  enum class Phase { kWaitingForMajority, kUpgrading, kSettling, kBaking };
 
   struct Decision {
-    Progress mark;
-    std::string what, why;  // an event, where something was decided
+    Progress progress;  // from here on; the same one where only the phase has changed
+    EventKind event = EventKind::kProgressed;
+    std::string text;                       // for the log and the history
+    std::optional<StopReason> stop_reason;  // of EventKind::kStopped
   };
-  // What follows at `now` from a mark: the next one, where it changes.
-  std::optional<Decision> Look(Time now, const Progress& mark);
 
-  // Members that were heard lately and hold to this change, this one included.
-  int Heard(Time now, std::uint64_t change) const;
-  bool HasMajority(Time now, std::uint64_t change) const {
-    return 2 * Heard(now, change) > static_cast<int>(order_.members.size());
+  // Both must outlive the leader.
+  Leader(const Plan& plan, const UpgradeOrder& order);
+
+  void OnReport(Time requested_at, int rank, std::uint64_t rollout_id, const wire::MemberReport& report) {
+    members_.OnReport(requested_at, rank, rollout_id, report);
   }
+  // What follows at `now` from `progress`; nothing while there is nothing to decide. At most one decision at
+  // a time: call it again.
+  std::optional<Decision> Advance(Time now, const Progress& progress);
 
-  // ---- for status ----
-  enum class Phase { kGathering, kChanging, kSettling, kWatching };
+  // ---- for the status ----
   Phase phase() const { return phase_; }
   Time phase_since() const { return phase_since_; }
-  const Comparison& comparison() const { return comparison_; }
-  struct Member {
-    bool ever = false;  // heard by this leader
-    Time heard{};
-    std::uint64_t change = 0;
-    wire::MemberReport report;
-    std::vector<wire::Stratum> base;  // what was counted when it was last added
-    std::uint64_t base_life = 0;
-    Time allowed{};        // since when it may change; 0: not yet
-    bool was_new = false;  // heard as the new version, ready
-    std::uint32_t crashes_before = 0;
-    bool crashes_known = false;
-    std::uint32_t crashes = 0;  // of a changed one, of its version; of others, since this leader hears them
-    std::uint64_t cpu_base = 0, asked_base = 0, asked = 0, cpu = 0;
-  };
-  const std::vector<Member>& members() const { return members_; }
+  const MemberTable& members() const { return members_; }
+  const CanaryAnalysis& analysis() const { return analysis_; }
 
  private:
-  bool Fresh(Time now, const Member& member) const;
-  bool Changed(const Member& member) const;
+  // What one call of Advance works on.
+  struct Step {
+    Time now;
+    const Progress& progress;
+    std::size_t stage;              // index
+    std::uint32_t stage_end;        // members that are upgraded when it is over
+    std::uint32_t unavailable = 0;  // admitted members that are not ready at the new version
+    bool window_ended = false;
+  };
+
   void Enter(Time now, Phase phase);
-  Decision Stop(const Progress& mark, const std::string& why) const;
-  std::optional<std::string> Hard(Time now,
-                                  const Progress& mark) const;   // why it must stop whatever the counts say
-  std::optional<std::string> Costs(const Progress& mark) const;  // processor time and memory
-  void AddCounts(int rank, Member& member, bool changed);
+  bool UpdateMajority(const Step& step);
+  void UpdatePhase(const Step& step);
+  std::uint32_t CountUnavailable(const Step& step) const;
+  bool HasReadyPeerInZone(const Step& step, std::size_t rank) const;
+  Decision Stop(const Progress& progress, StopCause cause) const;
+  std::optional<StopCause> FindFailure(const Step& step) const;
+  std::optional<Decision> AdmitNextMember(const Step& step) const;
+  std::optional<Decision> StartBakeTime(const Step& step);
+  std::optional<Decision> EvaluateBakeTime(const Step& step);
+  void AddWindow(const Step& step);
+  Decision EndStage(const Step& step) const;
+  std::string FiguresOf(const Step& step) const;
 
   const Plan& plan_;
   const UpgradeOrder& order_;
-  std::vector<Member> members_;
-  Comparison comparison_;
-  Phase phase_ = Phase::kGathering;
-  Time phase_since_{}, began_{}, next_look_{};
-  Time majority_since_{},
-      majority_at_{};  // without a break; what was not heard before is no silence of others
-  int stage_ = -1;
+  MemberTable members_;
+  CanaryAnalysis analysis_;
+  std::optional<std::size_t> stage_;  // index; nothing before the first call of Advance
+  Phase phase_ = Phase::kWaitingForMajority;
+  Time phase_since_{}, started_at_{}, next_window_at_{};
+  // The majority has had contact without a break from the first to the second.
+  Time majority_since_{}, majority_at_{};
 };
 
-const char* NameOf(Leader::Phase phase);
-
 }  // namespace copperpoint::rollout
 
 #endif  // COPPERPOINT_ROLLOUT_LEADER_H_
--- /dev/null
+++ b/src/rollout/mantel_haenszel.cpp
@@ -0,0 +1,26 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "rollout/mantel_haenszel.h"
+
+namespace copperpoint::rollout {
+namespace {
+
+double HypergeometricVariance(double n, double x, double weight) {
+  return n > 1 ? x * (n - x) / n * weight / (n - 1) : 0;
+}
+
+}  // namespace
+
+StratumScore ScoreStratum(Measure measure, const PerCohort<MeasureCount>& counts) {
+  const MeasureCount &baseline = counts.baseline, &canary = counts.canary;
+  if (baseline.requests <= 0 || canary.requests <= 0) return {};
+  const double n = baseline.requests + canary.requests, x = baseline.events + canary.events;
+  StratumScore result;
+  result.score = (baseline.requests * canary.events - canary.requests * baseline.events) / n;
+  result.weight = baseline.requests * canary.requests / n;
+  // A request has at most one event of the other measures, but any number of further attempts.
+  result.variance =
+      measure == Measure::kAttempts ? x * result.weight / n : HypergeometricVariance(n, x, result.weight);
+  return result;
+}
+
+}  // namespace copperpoint::rollout
--- a/src/rollout/progress.h
+++ b/src/rollout/progress.h
@@ -20,15 +20,20 @@
   kAborted = 4,     // by an operator; all members return to the old version
 };
 
+// In the log, the status and the history.
+const char* NameOf(RolloutStatus status);
+
 // A rollout is identified by its epoch (24 bits) and 12 bits of the hash of its document (RolloutIdOf).
 //
 // Encoded, from the highest bit: rollout_id 36 bits, status 3, pause_count 10, admitted_members 15. These
 // bits are on the wire and in what the supervisor stores.
 struct Progress {
+  static constexpr std::uint32_t kMaxPauseCount = 1023, kMaxAdmittedMembers = 32767;
+
   std::uint64_t rollout_id = 0;
   RolloutStatus status = RolloutStatus::kInProgress;
-  std::uint32_t pause_count = 0;       // of pauses and resumptions, up to 1,023; odd: paused
-  std::uint32_t admitted_members = 0;  // the first so many of the order may upgrade; up to 32,767
+  std::uint32_t pause_count = 0;       // of pauses and resumptions; odd: paused
+  std::uint32_t admitted_members = 0;  // the first so many of the order may upgrade
 
   bool paused() const { return pause_count % 2 == 1; }
   bool ended() const { return status != RolloutStatus::kInProgress; }
@@ -38,11 +43,12 @@
 
   std::uint64_t Encode() const {
     return rollout_id << 28 | std::uint64_t{static_cast<std::uint8_t>(status)} << 25 |
-           std::uint64_t{pause_count & 1023} << 15 | (admitted_members & 32767);
+           std::uint64_t{pause_count & kMaxPauseCount} << 15 | (admitted_members & kMaxAdmittedMembers);
   }
   static Progress Decode(std::uint64_t encoded) {
     return {encoded >> 28, static_cast<RolloutStatus>(encoded >> 25 & 7),
-            static_cast<std::uint32_t>(encoded >> 15 & 1023), static_cast<std::uint32_t>(encoded & 32767)};
+            static_cast<std::uint32_t>(encoded >> 15 & kMaxPauseCount),
+            static_cast<std::uint32_t>(encoded & kMaxAdmittedMembers)};
   }
 };
 
@@ -53,6 +59,9 @@
 inline std::uint32_t EpochOf(std::uint64_t document_version) {
   return static_cast<std::uint32_t>(document_version >> 32);
 }
+inline std::uint32_t EpochOfRollout(std::uint64_t rollout_id) {
+  return static_cast<std::uint32_t>(rollout_id >> 12);
+}
 inline std::uint64_t RolloutIdOf(std::uint64_t document_version) {
   return (document_version >> 32 & 0xffffff) << 12 | (document_version >> 20 & 0xfff);
 }
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -12,6 +12,7 @@
 #include "config/read.h"
 #include "fault_testing/trial.h"
 #include "rollout/agent.h"
+#include "rollout/plan_parser.h"
 #include "simulation/core/random.h"
 #include "support/run_program.h"
 
@@ -149,18 +150,18 @@
   const Guardrails guardrails;
   std::vector<MemberInfo> all;
   for (int i = 0; i < members; ++i) all.push_back({std::string("p").append(std::to_string(i)), "a"});
-  Comparison comparison(guardrails, 1, all);
-  comparison.Begin();
+  CanaryAnalysis comparison(guardrails, 1, all);
+  comparison.StartStage();
   Draws draws(seed);
   std::vector<double> base;
   for (int i = 0; i < members; ++i) base.push_back(0.02 * draws.random.Lognormal(1, differ));
   for (int look = 0; look < looks; ++look) {
     const double factor = look % 40 > 25 ? trouble : 1;
     for (int i = 0; i < members; ++i)
-      comparison.Add(i, i == 0,
+      comparison.Add(i, i == 0 ? Cohort::kCanary : Cohort::kBaseline,
                      draws.Of(20, base[static_cast<std::size_t>(i)] * factor + (i == 0 ? more : 0)));
-    comparison.Close();
-    if (comparison.Worse()) return true;
+    comparison.EndWindow();
+    if (comparison.FindRegression()) return true;
   }
   return false;
 }
@@ -215,12 +216,13 @@
   bool side(const std::string& name) const { return cut.contains(name); }
 
   void Start() {
-    ASSERT_EQ(agents["p1"]->Start(now, plan, Nine()), "");
+    ASSERT_FALSE(agents["p1"]->Start(now, plan, Nine()));
     Take("p1");
   }
   void Take(const std::string& name) {
     auto output = agents[name]->TakeOutput();
-    for (const auto& event : output.events) events.push_back(name + " " + event.name + " " + event.why);
+    for (const auto& event : output.events)
+      events.push_back(name + " " + std::string(NameOf(event.kind)) + " " + event.reason);
     for (const auto& document : output.documents) Keep(name, document.topic, document.version, document.body);
     if (output.progress != 0) marks[name] = output.progress;
     for (const auto& letter : output.messages) {
@@ -374,24 +376,24 @@
   Fleet fleet;
   fleet.Start();
   fleet.Run(4);
-  EXPECT_EQ(fleet.agents["p7"]->Abort(fleet.now), "");
+  EXPECT_FALSE(fleet.agents["p7"]->Abort(fleet.now));
   fleet.Take("p7");
   fleet.Run(90);
   EXPECT_EQ(fleet.Running("v1"), 9);
   for (const auto& [name, agent] : fleet.agents)
     EXPECT_EQ(agent->progress().status, RolloutStatus::kAborted) << name;
-  EXPECT_NE(fleet.agents["p2"]->Abort(fleet.now), "");
+  EXPECT_TRUE(fleet.agents["p2"]->Abort(fleet.now));
 }
 
 TEST(Agent, APauseLetsNoFurtherMemberChange) {
   Fleet fleet;
   fleet.Start();
   fleet.Run(4);
-  EXPECT_EQ(fleet.agents["p3"]->Pause(fleet.now, true), "");
+  EXPECT_FALSE(fleet.agents["p3"]->Pause(fleet.now));
   fleet.Take("p3");
   fleet.Run(60);
   EXPECT_EQ(fleet.Running("v2"), 1);
-  EXPECT_EQ(fleet.agents["p5"]->Pause(fleet.now, false), "");
+  EXPECT_FALSE(fleet.agents["p5"]->Resume(fleet.now));
   fleet.Take("p5");
   fleet.Run(90);
   EXPECT_EQ(fleet.Running("v2"), 9);
@@ -401,12 +403,12 @@
   Fleet fleet;
   fleet.Start();
   fleet.Run(2);
-  EXPECT_NE(fleet.agents["p4"]->Start(fleet.now, fleet.plan, Nine()).find("'nine' is under way"),
+  EXPECT_NE(fleet.agents["p4"]->Start(fleet.now, fleet.plan, Nine())->text.find("'nine' is under way"),
             std::string::npos);
   fleet.Run(120);
   Plan back = fleet.plan;
   std::swap(back.old_version, back.new_version);
-  EXPECT_EQ(fleet.agents["p4"]->Start(fleet.now, back, Nine()), "");
+  EXPECT_FALSE(fleet.agents["p4"]->Start(fleet.now, back, Nine()));
   fleet.Take("p4");
   fleet.Run(120);
   EXPECT_EQ(fleet.Running("v1"), 9);
