--- a/src/cli/keep.cpp
+++ b/src/cli/keep.cpp
@@ -9,6 +9,7 @@
 #include "config/read.h"
 #include "log/log.h"
 #include "supervisor/settings.h"
+#include "supervisor/supervisor_host.h"
 
 namespace copperpoint::cli {
 
--- a/src/supervisor/settings.h
+++ b/src/supervisor/settings.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keeper's file.
+// The supervisor's file (`copperpoint supervise FILE`, deploy/keep.toml): the versions that it can run. Its
+// keys are mapped to the code's terms in settings.cpp and nowhere else.
 #ifndef COPPERPOINT_SUPERVISOR_SETTINGS_H_
 #define COPPERPOINT_SUPERVISOR_SETTINGS_H_
 
@@ -14,30 +15,28 @@
 
 // A program with the operator's file that it runs with.
 struct Version {
-  std::string name, program, settings;
-  std::string digest;  // of both (DigestOf); empty: whatever is there is run
+  std::string name, program;  // as a rollout's plan names it; its path
+  std::string settings;       // path of the operator's file; empty: none
+  std::string digest;         // of both (DigestOf); empty: not checked
 
   void Describe(config::Visitor& v);
 };
 
 struct Settings {
-  std::string first;  // the version to begin with
-  std::vector<std::string>
-      operators;  // operator's addresses, in turn: two processes serve side by side for a while
+  std::string first;                         // the version to start with
+  std::vector<std::string> admin_addresses;  // of its processes, in turn; none: as their files say
   Limits limits;
   bool json_log = false;
   std::vector<Version> versions;
 
   void Describe(config::Visitor& v);
+  // Null if there is none of that name.
   const Version* Find(const std::string& name) const;
 };
 
-// Of the program's and the file's bytes, in hexadecimal. Throws std::runtime_error if one cannot be read.
+// Of the program's and the file's bytes, in hexadecimal. Throws config::BadFile if one can't be read.
 std::string DigestOf(const Version& version);
 
-// Runs until the child has ended for good or a signal ends both; returns the exit status.
-int RunSupervisor(const Settings& settings);
-
 }  // namespace copperpoint::supervisor
 
 #endif  // COPPERPOINT_SUPERVISOR_SETTINGS_H_
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -4,136 +4,169 @@
 #include <algorithm>
 
 namespace copperpoint::supervisor {
+namespace {
+
+constexpr int kMaxDoublings = 16;  // of the backoff
+
+}  // namespace
+
+const char* NameOf(EventKind kind) {
+  switch (kind) {
+    case EventKind::kSuccessorStarted:
+      return "keep_begins";
+    case EventKind::kVersionServing:
+      return "keep_serves";
+    case EventKind::kVersionFailed:
+      return "keep_took_back";
+    case EventKind::kProcessExited:
+      return "keep_ended";
+    case EventKind::kGaveUp:
+      return "keep_gave_up";
+  }
+  return "unknown";
+}
 
 Supervisor::Supervisor(const Limits& limits, std::string version)
     : limits_(limits), version_(std::move(version)) {}
 
-Supervisor::Process Supervisor::Start(const std::string& version) {
-  output_.start.push_back({++last_process_, version});
+Supervisor::Process Supervisor::Start(Time now, const std::string& version) {
+  output_.starts.push_back({++last_process_, version});
+  ready_deadline_ = now + limits_.ready_timeout;
   return last_process_;
 }
 
-void Supervisor::OnStart(Time now) {
-  serving_ = Start(version_);
-  ready_deadline_ = now + limits_.ready_timeout;
-}
+void Supervisor::OnStart(Time now) { serving_ = Start(now, version_); }
 
 void Supervisor::OnReady(Time now, Process process) {
   if (process == serving_) {
     ready_ = true;
     ready_since_ = now;
     ready_deadline_.reset();
-    if (on_probation_ && !contact_deadline_ && limits_.contact_timeout.count() > 0)
-      contact_deadline_ = now + limits_.contact_timeout;
-    return;
+    if (!contact_deadline_) StartContactTimeout(now);
+  } else if (process == successor_) {
+    Replace(now, process);
   }
-  if (process != successor_) return;
-  // It has the listener; the one before finishes what it has.
-  output_.stop.emplace_back(serving_, true);
-  predecessor_ = serving_;
-  serving_ = std::exchange(successor_, 0);
+}
+
+// The successor has the listener; the process before it answers what is in flight.
+void Supervisor::Replace(Time now, Process process) {
+  output_.stops.push_back({serving_, StopMode::kGraceful});
+  predecessor_ = std::exchange(serving_, process);
+  successor_ = kNoProcess;
   previous_version_ = std::exchange(version_, successor_version_);
-  ready_ = true;
-  // What is gone back to is on no trial: there is nothing else to go back to.
   on_probation_ = previous_version_ != failed_version_;
+  ready_ = true;
   ready_since_ = now;
   exits_in_a_row_ = exits_of_version_ = 0;
   ready_deadline_.reset();
+  StartContactTimeout(now);
+  Emit(EventKind::kVersionServing, version_);
+}
+
+void Supervisor::StartContactTimeout(Time now) {
   if (on_probation_ && limits_.contact_timeout.count() > 0) contact_deadline_ = now + limits_.contact_timeout;
-  output_.events.emplace_back("keep_serves", version_);
 }
 
-void Supervisor::OnMembershipContact(Time, Process process) {
+void Supervisor::OnMembershipContact(Process process) {
   if (process != serving_) return;
   contact_deadline_.reset();
   on_probation_ = false;
 }
 
 void Supervisor::OnVersionRequested(Time now, Process process, const std::string& version) {
-  if (process != serving_ || successor_ != 0 || stopping_ || !ready_ || version == version_) return;
+  if (process != serving_ || successor_ != kNoProcess || stopping_ || !ready_ || version == version_) return;
   successor_version_ = version;
-  successor_ = Start(version);
-  ready_deadline_ = now + limits_.ready_timeout;
-  output_.events.emplace_back("keep_begins", version);
+  successor_ = Start(now, version);
+  Emit(EventKind::kSuccessorStarted, version);
 }
 
-void Supervisor::RecordFailure(const std::string& version, const std::string& why) {
+void Supervisor::OnProgress(Process process, std::uint64_t progress) {
+  if (process == serving_ || process == successor_) progress_ = progress;
+}
+
+void Supervisor::RecordFailure(const std::string& version, const std::string& failure) {
   failed_version_ = version;
-  failure_ = why;
-  output_.events.emplace_back("keep_took_back", version + ": " + why);
+  failure_ = failure;
+  Emit(EventKind::kVersionFailed, version + ": " + failure);
 }
 
-// The version that serves is given up for the one before it.
-void Supervisor::RollBack(Time now, const std::string& why) {
-  RecordFailure(version_, why);
-  if (serving_ != 0) {
-    // Brought up beside it, as any other.
+// The previous version replaces the one that serves, as a successor if that still runs.
+void Supervisor::RollBack(Time now, const std::string& failure) {
+  RecordFailure(version_, failure);
+  if (serving_ != kNoProcess) {
     successor_version_ = previous_version_;
-    if (successor_ == 0) successor_ = Start(previous_version_);
+    if (successor_ == kNoProcess) successor_ = Start(now, previous_version_);
     ready_deadline_ = now + limits_.ready_timeout;
   } else {
     version_ = previous_version_;
-    serving_ = Start(version_);
-    ready_deadline_ = now + limits_.ready_timeout;
-    output_.events.emplace_back("keep_serves", version_);
+    serving_ = Start(now, version_);
+    Emit(EventKind::kVersionServing, version_);
   }
   on_probation_ = false;
   contact_deadline_.reset();
   exits_in_a_row_ = exits_of_version_ = 0;
 }
 
-void Supervisor::OnExited(Time now, Process process, bool in_order) {
+void Supervisor::OnExited(Time now, Process process, bool success) {
   if (process == predecessor_) {
-    predecessor_ = 0;
+    predecessor_ = kNoProcess;
   } else if (process == successor_) {
-    successor_ = 0;
-    ready_deadline_.reset();
-    if (!stopping_) {
-      RecordFailure(successor_version_, "it ended before it served");
-      output_.lines.emplace_back(serving_, "failed " + successor_version_ + " it ended before it served");
-    }
+    OnSuccessorExited();
   } else if (process == serving_) {
-    serving_ = 0;
-    ready_ = false;
-    ready_deadline_.reset();
-    if (stopping_) {
-      output_.exit_status = in_order ? 0 : 1;
-    } else if (successor_ != 0) {
-      // The next one is on its way and takes its place when it serves.
-      serving_ = std::exchange(successor_, 0);
-      previous_version_ = std::exchange(version_, successor_version_);
-      on_probation_ = true;
-      exits_in_a_row_ = exits_of_version_ = 0;
-      ready_deadline_ = now + limits_.ready_timeout;
-      output_.events.emplace_back("keep_serves", version_);
-    } else {
-      ++exits_of_version_;
-      exits_in_a_row_ = now - ready_since_ > limits_.stable_after ? 1 : exits_in_a_row_ + 1;
-      output_.events.emplace_back("keep_ended", version_);
-      if (on_probation_ && exits_in_a_row_ >= limits_.max_exits_on_probation) {
-        RollBack(now, "it ended " + std::to_string(exits_in_a_row_) + " times before it was heard");
-      } else if (exits_in_a_row_ >= limits_.max_exits) {
-        output_.events.emplace_back("keep_gave_up", version_);
-        output_.exit_status = 1;
-        stopping_ = true;
-      } else {
-        restart_at_ = now + std::min(limits_.max_backoff,
-                                     limits_.initial_backoff * (1 << std::min(exits_in_a_row_ - 1, 16)));
-      }
-    }
+    OnServingExited(now, success);
+  }
+  FinishIfStopped();
+}
+
+void Supervisor::OnSuccessorExited() {
+  successor_ = kNoProcess;
+  ready_deadline_.reset();
+  if (stopping_) return;
+  RecordFailure(successor_version_, "it ended before it served");
+  output_.failure_notices.push_back({serving_, successor_version_, failure_});
+}
+
+void Supervisor::OnServingExited(Time now, bool success) {
+  serving_ = kNoProcess;
+  ready_ = false;
+  ready_deadline_.reset();
+  if (stopping_) {
+    output_.exit_status = success ? 0 : 1;
+    return;
+  }
+  if (successor_ == kNoProcess) return RestartOrGiveUp(now);
+  serving_ = std::exchange(successor_, kNoProcess);
+  previous_version_ = std::exchange(version_, successor_version_);
+  on_probation_ = true;
+  exits_in_a_row_ = exits_of_version_ = 0;
+  ready_deadline_ = now + limits_.ready_timeout;
+  Emit(EventKind::kVersionServing, version_);
+}
+
+void Supervisor::RestartOrGiveUp(Time now) {
+  ++exits_of_version_;
+  exits_in_a_row_ = now - ready_since_ > limits_.stable_after ? 1 : exits_in_a_row_ + 1;
+  Emit(EventKind::kProcessExited, version_);
+  if (on_probation_ && exits_in_a_row_ >= limits_.max_exits_on_probation) {
+    RollBack(now, "it ended " + std::to_string(exits_in_a_row_) + " times before it was heard");
+  } else if (exits_in_a_row_ >= limits_.max_exits) {
+    Emit(EventKind::kGaveUp, version_);
+    output_.exit_status = 1;
+    stopping_ = true;
+  } else {
+    const int doublings = std::min(exits_in_a_row_ - 1, kMaxDoublings);
+    restart_at_ = now + std::min(limits_.max_backoff, limits_.initial_backoff * (1 << doublings));
   }
-  if (stopping_ && serving_ == 0 && successor_ == 0 && predecessor_ == 0) output_.finished = true;
 }
 
 void Supervisor::OnTick(Time now) {
   if (restart_at_ && now >= *restart_at_ && !stopping_) {
     restart_at_.reset();
-    serving_ = Start(version_);
-    ready_deadline_ = now + limits_.ready_timeout;
+    serving_ = Start(now, version_);
   }
   if (ready_deadline_ && now >= *ready_deadline_) {
     ready_deadline_.reset();
-    output_.stop.emplace_back(successor_ != 0 ? successor_ : serving_, false);  // OnEnded says the rest
+    output_.stops.push_back({successor_ != kNoProcess ? successor_ : serving_, StopMode::kKill});
   }
   if (contact_deadline_ && now >= *contact_deadline_) {
     contact_deadline_.reset();
@@ -141,20 +174,25 @@
   }
 }
 
-void Supervisor::OnStopRequested(Time) {
+void Supervisor::OnStopRequested() {
   stopping_ = true;
   restart_at_.reset();
   contact_deadline_.reset();
   for (const Process process : {serving_, successor_})
-    if (process != 0) output_.stop.emplace_back(process, true);
-  if (serving_ == 0 && successor_ == 0 && predecessor_ == 0) output_.finished = true;
+    if (process != kNoProcess) output_.stops.push_back({process, StopMode::kGraceful});
+  FinishIfStopped();
+}
+
+void Supervisor::FinishIfStopped() {
+  const bool none_left = serving_ == kNoProcess && successor_ == kNoProcess && predecessor_ == kNoProcess;
+  if (stopping_ && none_left) output_.finished = true;
 }
 
 std::optional<Time> Supervisor::next_tick_at() const {
-  std::optional<Time> due;
-  for (const auto& one : {ready_deadline_, restart_at_, contact_deadline_})
-    if (one && (!due || *one < *due)) due = one;
-  return due;
+  std::optional<Time> next;
+  for (const auto& deadline : {ready_deadline_, restart_at_, contact_deadline_})
+    if (deadline && (!next || *deadline < *next)) next = deadline;
+  return next;
 }
 
 }  // namespace copperpoint::supervisor
--- a/src/supervisor/supervisor_host.cpp
+++ b/src/supervisor/supervisor_host.cpp
@@ -1,50 +1,69 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The keeper's processes, signals and lines, for the logic in supervisor.h.
-#include <fcntl.h>
-#include <fmt/format.h>
-#include <linux/close_range.h>
+#include "supervisor/supervisor_host.h"
+
 #include <signal.h>
-#include <sys/prctl.h>
-#include <sys/socket.h>
 #include <sys/wait.h>
-#include <unistd.h>
 
+#include <algorithm>
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/local/stream_protocol.hpp>
-#include <boost/asio/read_until.hpp>
+#include <boost/asio/post.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <boost/asio/streambuf.hpp>
-#include <boost/asio/write.hpp>
-#include <cerrno>
-#include <istream>
+#include <cstddef>
 #include <map>
 #include <memory>
+#include <optional>
+#include <string>
 #include <system_error>
+#include <utility>
+#include <vector>
 
 #include "log/log.h"
-#include "supervisor/settings.h"
-
-extern char** environ;
+#include "supervisor/child_process.h"
+#include "supervisor/child_protocol.h"
+#include "supervisor/supervisor.h"
 
 namespace copperpoint::supervisor {
 namespace {
 
 namespace asio = boost::asio;
-using Error = boost::system::error_code;
-using Local = asio::local::stream_protocol;
-
-struct Child {
-  Child(asio::io_context& io, int descriptor) : socket(io, Local(), descriptor) {}
-  pid_t pid = 0;
-  Local::socket socket;
-  asio::streambuf buffer{4096};
+using boost::system::error_code;
+
+enum class StartError { kUnknownVersion, kDigestMismatch, kUnreadable, kNoSocket };
+struct StartFailure {
+  StartError error;
+  std::string text;  // for the log
 };
 
-class Host {
+// Whether the files of a version are those that its settings name.
+std::optional<StartFailure> CheckVersion(const Version* version) {
+  if (!version) return StartFailure{StartError::kUnknownVersion, "no version of this name"};
+  if (version->digest.empty()) return std::nullopt;
+  try {
+    if (DigestOf(*version) == version->digest) return std::nullopt;
+    return StartFailure{StartError::kDigestMismatch, "its digest is another"};
+  } catch (const std::exception& error) {
+    return StartFailure{StartError::kUnreadable, error.what()};
+  }
+}
+
+std::unique_ptr<SocketPair> MakeSocketPair() {
+  try {
+    return std::make_unique<SocketPair>();
+  } catch (const std::system_error&) {
+    return nullptr;
+  }
+}
+
+std::vector<std::string> CommandOf(const Version& version) {
+  std::vector<std::string> command{version.program, "serve"};
+  if (!version.settings.empty()) command.insert(command.end(), {"--config", version.settings});
+  return command;
+}
+
+class SupervisorHost {
  public:
-  explicit Host(const Settings& settings)
+  explicit SupervisorHost(const Settings& settings)
       : settings_(settings),
         supervisor_(settings.limits, settings.first),
         timer_(io_),
@@ -53,176 +72,145 @@
         reload_signals_(io_, SIGHUP) {}
 
   int Run() {
-    AwaitSignals();
+    WaitForStopSignal();
+    WaitForChildSignal();
+    WaitForReloadSignal();
     supervisor_.OnStart(Now());
-    Carry();
+    CarryOut();
     io_.run();
-    return status_;
+    return exit_status_;
   }
 
  private:
+  using Process = Supervisor::Process;
+
   static Time Now() {
     return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch());
   }
 
-  void AwaitSignals() {
-    stop_signals_.async_wait([this](const Error& failed, int) {
+  // The first signal shuts down; later ones are passed on.
+  void WaitForStopSignal() {
+    stop_signals_.async_wait([this](const error_code& failed, int) {
       if (failed) return;
-      supervisor_.OnStopRequested(Now());
-      Carry();
-      AwaitEnds();
+      supervisor_.OnStopRequested();
+      CarryOut();
+      PassOnSignals(stop_signals_);
     });
-    AwaitChildren();
-    AwaitReloads();
   }
-  void AwaitEnds() {
-    stop_signals_.async_wait([this](const Error& failed, int signal) {
+  void WaitForReloadSignal() { PassOnSignals(reload_signals_); }
+  void PassOnSignals(asio::signal_set& signals) {
+    signals.async_wait([this, &signals](const error_code& failed, int signal) {
       if (failed) return;
-      for (auto& [number, child] : children_) ::kill(child->pid, signal);
-      AwaitEnds();
+      for (const auto& [process, child] : children_) child->Kill(signal);
+      PassOnSignals(signals);
     });
   }
-  void AwaitReloads() {
-    reload_signals_.async_wait([this](const Error& failed, int) {
+  void WaitForChildSignal() {
+    child_signals_.async_wait([this](const error_code& failed, int) {
       if (failed) return;
-      for (auto& [number, child] : children_) ::kill(child->pid, SIGHUP);
-      AwaitReloads();
+      ReapChildren();
+      CarryOut();
+      if (!finished_) WaitForChildSignal();
     });
   }
-  void AwaitChildren() {
-    child_signals_.async_wait([this](const Error& failed, int) {
-      if (failed) return;
-      int status = 0;
-      for (pid_t pid; (pid = ::waitpid(-1, &status, WNOHANG)) > 0;) {
-        for (auto at = children_.begin(); at != children_.end(); ++at) {
-          if (at->second->pid != pid) continue;
-          const int number = at->first;
-          children_.erase(at);
-          supervisor_.OnExited(Now(), number, WIFEXITED(status) && WEXITSTATUS(status) == 0);
-          break;
-        }
-      }
-      Carry();
-      if (!over_) AwaitChildren();
-    });
+
+  void ReapChildren() {
+    int status = 0;
+    for (pid_t pid = 0; (pid = ::waitpid(-1, &status, WNOHANG)) > 0;) {
+      const auto child = std::find_if(children_.begin(), children_.end(),
+                                      [&](const auto& entry) { return entry.second->pid() == pid; });
+      if (child == children_.end()) continue;
+      const Process process = child->first;
+      children_.erase(child);
+      supervisor_.OnExited(Now(), process, WIFEXITED(status) && WEXITSTATUS(status) == 0);
+    }
   }
 
-  void Start(int number, const std::string& name) {
+  void Start(Process process, const std::string& name) {
     const Version* version = settings_.Find(name);
-    std::string why = version ? "" : "no version of this name";
-    if (version && !version->digest.empty()) {
-      try {
-        if (DigestOf(*version) != version->digest) why = "its digest is another";
-      } catch (const std::exception& error) {
-        why = error.what();
-      }
-    }
-    int pair[2] = {-1, -1};
-    if (why.empty() && ::socketpair(AF_UNIX, SOCK_STREAM, 0, pair) != 0) why = "no socket for it";
-    if (!why.empty()) {
-      log::Global().Error("keep_cannot_begin", {{"version", name}, {"why", why}});
-      asio::post(io_, [this, number] {
-        supervisor_.OnExited(Now(), number, false);
-        Carry();
-      });
-      return;
-    }
-    std::map<std::string, std::string> more{{"COPPERPOINT_KEEPER", std::to_string(pair[1])},
-                                            {"COPPERPOINT_VERSION", name},
-                                            {"COPPERPOINT_MARK", fmt::format("{:x}", supervisor_.progress())},
-                                            {"COPPERPOINT_ENDS", std::to_string(supervisor_.exits())},
-                                            {"COPPERPOINT_FAILED", supervisor_.failed_version()},
-                                            {"COPPERPOINT_FAILURE", supervisor_.failure()}};
-    if (!settings_.operators.empty())
-      more["ROUTER_OPERATOR"] =
-          settings_.operators[static_cast<std::size_t>(number) % settings_.operators.size()];
-    std::vector<std::string> variables;
-    for (char** one = environ; *one; ++one) {
-      const std::string text = *one;
-      if (!more.contains(text.substr(0, text.find('=')))) variables.push_back(text);
-    }
-    for (const auto& [key, value] : more) variables.push_back(key + "=" + value);
-    std::vector<char*> envp, argv;
-    for (std::string& one : variables) envp.push_back(one.data());
-    envp.push_back(nullptr);
-    std::vector<std::string> words{version->program, "serve"};
-    if (!version->settings.empty()) words.insert(words.end(), {"--config", version->settings});
-    for (std::string& one : words) argv.push_back(one.data());
-    argv.push_back(nullptr);
-    const pid_t keeper = ::getpid();
-    const pid_t pid = ::fork();
-    if (pid == 0) {
-      // It ends with the keeper, however that ends; and must not hold the keeper's other descriptors.
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-      if (::getppid() != keeper) ::_exit(126);
-      sigset_t none;
-      sigemptyset(&none);
-      ::sigprocmask(SIG_SETMASK, &none, nullptr);
-      for (const int signal : {SIGTERM, SIGINT, SIGHUP, SIGCHLD}) ::signal(signal, SIG_DFL);
-      ::close_range(3, ~0u, CLOSE_RANGE_CLOEXEC);
-      ::fcntl(pair[1], F_SETFD, 0);
-      ::execve(argv[0], argv.data(), envp.data());
-      ::_exit(127);
-    }
-    ::close(pair[1]);
-    if (pid < 0) throw std::system_error(errno, std::generic_category(), "fork");
-    auto child = std::make_shared<Child>(io_, pair[0]);
-    child->pid = pid;
-    children_[number] = child;
-    log::Global().Info("keep_began", {{"version", name}, {"pid", pid}});
-    Read(number, child);
+    std::optional<StartFailure> failure = CheckVersion(version);
+    const std::unique_ptr<SocketPair> sockets = failure ? nullptr : MakeSocketPair();
+    if (!failure && !sockets) failure = StartFailure{StartError::kNoSocket, "no socket for it"};
+    if (failure) return OnStartFailed(process, name, *failure);
+    auto child = ChildProcess::Start(io_, *sockets, CommandOf(*version),
+                                     EncodeEnvironment(StartInfoFor(process, name, sockets->child_end())));
+    children_[process] = child;
+    log::Global().Info("keep_began", {{"version", name}, {"pid", child->pid()}});
+    child->ReadLines([this, process](const std::string& line) { OnLine(process, line); });
+  }
+
+  void OnStartFailed(Process process, const std::string& name, const StartFailure& failure) {
+    log::Global().Error("keep_cannot_begin", {{"version", name}, {"why", failure.text}});
+    asio::post(io_, [this, process] {
+      supervisor_.OnExited(Now(), process, /*success=*/false);
+      CarryOut();
+    });
   }
 
-  void Read(int number, const std::shared_ptr<Child>& child) {
-    asio::async_read_until(child->socket, child->buffer, '\n',
-                           [this, number, child](const Error& failed, std::size_t) {
-                             if (failed) return;
-                             std::istream in(&child->buffer);
-                             std::string line;
-                             std::getline(in, line);
-                             OnLine(number, line);
-                             Read(number, child);
-                           });
+  // Processes take the admin addresses in turn, as two of them run at the same time in a rollout.
+  ChildStartInfo StartInfoFor(Process process, const std::string& version, int descriptor) const {
+    ChildStartInfo info{descriptor,
+                        version,
+                        supervisor_.progress(),
+                        supervisor_.exits(),
+                        supervisor_.failed_version(),
+                        supervisor_.failure(),
+                        ""};
+    const std::vector<std::string>& addresses = settings_.admin_addresses;
+    if (!addresses.empty())
+      info.admin_address = addresses[static_cast<std::size_t>(process) % addresses.size()];
+    return info;
   }
 
-  void OnLine(int number, const std::string& line) {
-    const std::size_t space = line.find(' ');
-    const std::string what = line.substr(0, space),
-                      rest = space == std::string::npos ? "" : line.substr(space + 1);
-    if (what == "ready") supervisor_.OnReady(Now(), number);
-    if (what == "heard") supervisor_.OnMembershipContact(Now(), number);
-    if (what == "run") supervisor_.OnVersionRequested(Now(), number, rest);
-    if (what == "mark") supervisor_.OnProgress(number, std::strtoull(rest.c_str(), nullptr, 16));
-    Carry();
+  void OnLine(Process process, const std::string& line) {
+    if (const auto message = DecodeChildMessage(line)) OnMessage(process, *message);
+    CarryOut();
   }
 
-  void Carry() {
-    Supervisor::Output output = supervisor_.Take();
-    for (const auto& [name, text] : output.events) log::Global().Info(name, {{"version", text}});
-    for (const auto& [number, in_order] : output.stop)
-      if (const auto found = children_.find(number); found != children_.end())
-        ::kill(found->second->pid, in_order ? SIGTERM : SIGKILL);
-    for (const auto& [number, line] : output.lines)
-      if (const auto found = children_.find(number); found != children_.end()) {
-        Error ignored;
-        asio::write(found->second->socket, asio::buffer(line + "\n"), ignored);
-      }
-    for (const auto& begin : output.start) Start(begin.process, begin.version);
+  void OnMessage(Process process, const ChildMessage& message) {
+    switch (message.kind) {
+      case ChildMessage::Kind::kReady:
+        return supervisor_.OnReady(Now(), process);
+      case ChildMessage::Kind::kMembershipContact:
+        return supervisor_.OnMembershipContact(process);
+      case ChildMessage::Kind::kVersionRequested:
+        return supervisor_.OnVersionRequested(Now(), process, message.version);
+      case ChildMessage::Kind::kProgress:
+        return supervisor_.OnProgress(process, message.progress);
+    }
+  }
+
+  // Does what the supervisor has decided, and waits for its next deadline.
+  void CarryOut() {
+    const Supervisor::Output output = supervisor_.TakeOutput();
+    for (const Event& event : output.events)
+      log::Global().Info(NameOf(event.kind), {{"version", event.version}});
+    for (const auto& stop : output.stops)
+      if (const auto child = children_.find(stop.process); child != children_.end())
+        child->second->Kill(stop.mode == Supervisor::StopMode::kGraceful ? SIGTERM : SIGKILL);
+    for (const auto& notice : output.failure_notices)
+      if (const auto child = children_.find(notice.process); child != children_.end())
+        child->second->SendLine(EncodeFailureNotice(notice.version, notice.failure));
+    for (const auto& start : output.starts) Start(start.process, start.version);
     if (output.finished) {
-      over_ = true;
-      status_ = output.exit_status;
+      finished_ = true;
+      exit_status_ = output.exit_status;
       io_.stop();
       return;
     }
+    WaitForDeadline();
+  }
+
+  void WaitForDeadline() {
     timer_.cancel();
-    if (const auto next = supervisor_.next_tick_at()) {
-      timer_.expires_at(std::chrono::steady_clock::time_point(*next));
-      timer_.async_wait([this](const Error& cancelled) {
-        if (cancelled) return;
-        supervisor_.OnTick(Now());
-        Carry();
-      });
-    }
+    const std::optional<Time> next = supervisor_.next_tick_at();
+    if (!next) return;
+    timer_.expires_at(std::chrono::steady_clock::time_point(*next));
+    timer_.async_wait([this](const error_code& cancelled) {
+      if (cancelled) return;
+      supervisor_.OnTick(Now());
+      CarryOut();
+    });
   }
 
   const Settings& settings_;
@@ -230,13 +218,13 @@
   Supervisor supervisor_;
   asio::steady_timer timer_;
   asio::signal_set stop_signals_, child_signals_, reload_signals_;
-  std::map<int, std::shared_ptr<Child>> children_;
-  bool over_ = false;
-  int status_ = 0;
+  std::map<Process, std::shared_ptr<ChildProcess>> children_;
+  bool finished_ = false;
+  int exit_status_ = 0;
 };
 
 }  // namespace
 
-int RunSupervisor(const Settings& settings) { return Host(settings).Run(); }
+int RunSupervisor(const Settings& settings) { return SupervisorHost(settings).Run(); }
 
 }  // namespace copperpoint::supervisor
--- a/tests/fault_testing/change_test.cpp
+++ b/tests/fault_testing/change_test.cpp
@@ -82,9 +82,9 @@
     Take();
   }
   void Take() {
-    auto output = supervisor.Take();
-    for (const auto& begin : output.start) began.push_back(begin.version);
-    for (const auto& end : output.stop) ended.push_back(end.first);
+    auto output = supervisor.TakeOutput();
+    for (const auto& begin : output.starts) began.push_back(begin.version);
+    for (const auto& end : output.stops) ended.push_back(end.process);
     over |= output.finished;
   }
   void Pass(int ms) {
@@ -147,7 +147,7 @@
 
 TEST(Supervisor, ASignalEndsAllAndTheSupervisor) {
   Play play;
-  play.supervisor.OnStopRequested(play.now);
+  play.supervisor.OnStopRequested();
   play.Take();
   EXPECT_EQ(play.ended, (std::vector<int>{1}));
   EXPECT_FALSE(play.over);
