--- /dev/null
+++ b/tests/rollout/simulated_rollout_test.cpp
@@ -0,0 +1,51 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Complete rollouts in virtual time over many seeds, with faults in their middle.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <string>
+
+#include "fault_testing/trial.h"
+#include "rollout_testing.h"
+
+namespace copperpoint::rollout {
+namespace {
+
+fault_testing::TrialResult Play(fault_testing::TrialOptions options) {
+  options.members = 9;
+  options.classes = 2;
+  options.accounts = 1;
+  return fault_testing::TryChange(kPlan, "plan", options);
+}
+
+TEST(SimulatedRollout, GuaranteesHoldUnderRandomFaults) {
+  for (std::uint64_t seed = 1; seed <= 300; ++seed) {
+    fault_testing::TrialOptions options;
+    options.seed = seed;
+    options.faults = true;
+    options.length_s = 400;
+    const fault_testing::TrialResult result = Play(options);
+    std::string lines;
+    for (const std::string& line : result.story) lines += line + "\n";
+    EXPECT_TRUE(result.holds) << "seed " << seed << "\n" << lines;
+  }
+}
+
+TEST(SimulatedRollout, SevereFaultOfTheNewVersionStopsInTheFirstStage) {
+  for (const fault_testing::Harm harm :
+       {fault_testing::Harm::kNoStart, fault_testing::Harm::kEnds, fault_testing::Harm::kDeaf}) {
+    for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+      fault_testing::TrialOptions options;
+      options.seed = seed;
+      options.harm = harm;
+      options.amount = 5;
+      const fault_testing::TrialResult result = Play(options);
+      EXPECT_TRUE(result.stopped && !result.done) << static_cast<int>(harm) << " seed " << seed;
+      EXPECT_LE(result.ever, 1) << seed;
+    }
+  }
+}
+
+}  // namespace
+}  // namespace copperpoint::rollout
