--- a/src/rollout/agent.cpp
+++ b/src/rollout/agent.cpp
@@ -2,7 +2,6 @@
 #include "rollout/agent.h"
 
 #include <fmt/format.h>
-#include <xxhash.h>
 
 #include <algorithm>
 #include <chrono>
@@ -15,7 +14,7 @@
 namespace {
 
 constexpr Time kTick = std::chrono::milliseconds(250);
-// Even, so that no rollout is left paused for good.
+// Even, so that no rollout stays paused for good.
 constexpr std::uint32_t kMaxPauses = Progress::kMaxPauseCount - 1;
 constexpr const char* kExpiredReason = "no majority held to it within start_within_s";
 
@@ -103,29 +102,22 @@
 }
 
 void Agent::JoinRollout(Time now, std::uint64_t version, const std::string& body) {
-  wire::RolloutDocument document;
   last_epoch_ = std::max(last_epoch_, EpochOf(version));
-  if (version == document_version() || !document.ParseFromString(body)) return;
-  auto rollout = std::make_unique<Rollout>();
+  if (version == document_version()) return;
+  std::unique_ptr<Rollout> rollout;
   try {
-    rollout->plan = ParsePlan(document.plan(), "the change of " + document.started_by());
+    rollout = ReadRolloutDocument(version, body);
   } catch (const InvalidPlan&) {
-    // Of a later version of the program. This member takes no part, and so does not count for a majority.
+    // This member takes no part, and so does not count for a majority.
     output_.events.push_back({EventKind::kPlanRejected, "", "a plan that this program cannot read", 0});
     return;
   }
-  std::vector<MemberInfo> members;
-  for (const wire::Member& member : document.members()) members.push_back({member.name(), member.zone()});
-  rollout->document_version = version;
-  rollout->id = RolloutIdOf(version);
-  rollout->order = MakeUpgradeOrder(rollout->plan, std::move(members), rollout->id);
-  rollout->started_by = document.started_by();
-  rollout->rank = rollout->order.RankOf(identity_.name);
-  rollout->received_at = now;
-
+  if (!rollout) return;
+  own_rank_ = rollout->order.RankOf(identity_.name);
+  received_at_ = now;
   leader_.reset();
   rollout_ = std::move(rollout);
-  election_.Start(now, rollout_->order, rollout_->rank, rollout_->id);
+  election_.Start(now, rollout_->order, own_rank_, rollout_->id);
   version_switch_.OnRolloutStarted();
   expired_ = false;
   next_tick_at_ = now;
@@ -173,8 +165,8 @@
 
 void Agent::Record(Time now, EventKind kind, const std::string& reason) {
   auto document =
-      history_.Record(EpochOf(document_version()), {kind, reason, identity_.name, progress_.admitted_members,
-                                                    now - (rollout_ ? rollout_->received_at : Time{})});
+      history_.Record(EpochOf(document_version()),
+                      {kind, reason, identity_.name, progress_.admitted_members, now - received_at_});
   if (document) output_.documents.push_back(std::move(*document));
 }
 
@@ -219,14 +211,13 @@
   if (!rollout_) return;
   election_.Update(now);
   const bool started = progress_.ended() || progress_.admitted_members > 0;
-  if (!started && now - rollout_->received_at > FromSeconds(rollout_->plan.start_timeout_s))
-    return Expire(now);
+  if (!started && now - received_at_ > FromSeconds(rollout_->plan.start_timeout_s)) return Expire(now);
   expired_ = false;
   UpdateVersion(now);
   UpdateLeadership(now);
 }
 
-// As far as this member knows the rollout has admitted nobody, and it must not keep another one from
+// As far as this member knows the rollout has admitted nobody, and it must not prevent another one from
 // starting. It does not end here: if it has admitted members after all, their progress will be received.
 void Agent::Expire(Time now) {
   if (std::exchange(expired_, true)) return;
@@ -237,7 +228,7 @@
 
 void Agent::UpdateVersion(Time now) {
   const auto request = version_switch_.Update(
-      now, {rollout_->plan, progress_, rollout_->rank, election_.has_majority(), election_.majority_at()});
+      now, {rollout_->plan, progress_, own_rank_, election_.has_majority(), election_.majority_at()});
   if (!request) return;
   output_.requested_version = request->version;
   Emit(EventKind::kVersionRequested, request->version + ": " + request->reason);
@@ -263,7 +254,7 @@
   const std::string body = message.SerializeAsString();
   for (const MemberInfo& member : rollout_->order.members)
     if (member.name != identity_.name) output_.messages.push_back({member.name, body});
-  leader_->OnReport(now, rollout_->rank, rollout_->id, Report());
+  leader_->OnReport(now, own_rank_, rollout_->id, Report());
 }
 
 void Agent::Apply(Time now, const Leader::Decision& decision) {
@@ -288,18 +279,9 @@
   if (members.empty()) return CommandFailure{CommandError::kNoMembers, "there are no members to change"};
   if (members.size() > Progress::kMaxAdmittedMembers)
     return CommandFailure{CommandError::kTooManyMembers, "more than 32,767 members"};
-  wire::RolloutDocument document;
-  document.set_plan(FormatPlan(plan));
-  document.set_started_by(identity_.name);
-  for (const MemberInfo& member : members) {
-    wire::Member& added = *document.add_members();
-    added.set_name(member.name);
-    added.set_zone(member.zone);
-  }
-  const std::string body = document.SerializeAsString();
-  const std::uint64_t version = DocumentVersion(last_epoch_ + 1, XXH32(body.data(), body.size(), 0));
-  JoinRollout(now, version, body);
-  output_.documents.push_back({kPlanTopic, version, body});
+  Document document = MakeRolloutDocument(last_epoch_ + 1, plan, identity_.name, members);
+  JoinRollout(now, document.version, document.body);
+  output_.documents.push_back(std::move(document));
   Record(
       now, EventKind::kStarted,
       fmt::format("{}: {} to {}, {} members", plan.name, plan.old_version, plan.new_version, members.size()));
@@ -340,9 +322,8 @@
 std::string Agent::StatusJson(Time now) const {
   if (!rollout_) return FormatStatus(identity_.version, nullptr, now);
   const RolloutStatusView view{
-      rollout_->id,         rollout_->plan, rollout_->order,          progress_,
-      rollout_->started_by, expired_,       election_.has_majority(), now - rollout_->received_at,
-      leader_.get()};
+      rollout_->id, rollout_->plan,           rollout_->order,    progress_,    rollout_->started_by,
+      expired_,     election_.has_majority(), now - received_at_, leader_.get()};
   return FormatStatus(identity_.version, &view, now);
 }
 
--- a/src/rollout/agent.h
+++ b/src/rollout/agent.h
@@ -24,6 +24,7 @@
 #include "rollout/plan.h"
 #include "rollout/progress.h"
 #include "rollout/report_requests.h"
+#include "rollout/rollout_document.h"
 #include "rollout/upgrade_order.h"
 #include "rollout/version_switch.h"
 
@@ -108,16 +109,6 @@
   bool is_leader() const { return leader_ != nullptr; }
 
  private:
-  // The rollout that this member takes part in, or took part in last.
-  struct Rollout {
-    Plan plan;
-    UpgradeOrder order;
-    std::uint64_t document_version = 0, id = 0;
-    std::string started_by;  // a member
-    int rank = UpgradeOrder::kNotAMember;
-    Time received_at{};
-  };
-
   void JoinRollout(Time now, std::uint64_t document_version, const std::string& body);
   void OnProgressDocument(Time now, const Progress& received);
   void SetProgress(Time now, const Progress& progress);
@@ -143,10 +134,12 @@
   History history_;
   ReportRequests report_requests_;
 
-  std::unique_ptr<Rollout> rollout_;  // null before the first one
-  std::unique_ptr<Leader> leader_;    // if this member leads rollout_
-  Progress progress_;                 // of rollout_
-  bool expired_ = false;
+  std::unique_ptr<Rollout> rollout_;          // the latest that this member took part in; null before
+  int own_rank_ = UpgradeOrder::kNotAMember;  // in its order
+  Time received_at_{};
+  Progress progress_;               // of rollout_
+  bool expired_ = false;            // it has admitted nobody in time, as far as this member knows
+  std::unique_ptr<Leader> leader_;  // if this member leads it
   // Without a rollout: what is known of the latest one, at first from the process before this one.
   Progress known_progress_;
   // The greatest that were received, of whichever rollout.
--- a/src/rollout/event.h
+++ b/src/rollout/event.h
@@ -25,7 +25,7 @@
   kAborted,           // by an operator
   kCompleted,         // the leader's decision, or this member has received it
   kEnded,             // this member has received any other end
-  kVersionRequested,  // this member asks its supervisor for another version
+  kVersionRequested,  // this member requests another version from its supervisor
   kVersionFailed,     // its supervisor rolled a version back
 };
 
--- a/src/rollout/forecast.cpp
+++ b/src/rollout/forecast.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kAssumedSegments = 8;  // classes, zones and tenants that are compared by themselves
 constexpr double kUndetectableFraction = 2;  // above any fraction
 constexpr double kBakeTimeStep = 1.02;       // ratio of the bake times that are examined
-constexpr double kMaxBakeTime_s = 1e6;
+constexpr double kMaxBakeTimeS = 1e6;
 
 // What one stage detects, as a function of its bake time.
 class DetectableFraction {
@@ -41,9 +41,9 @@
 };
 
 double RequiredBakeTime(const DetectableFraction& detectable, double fraction) {
-  for (double seconds = 1; seconds < kMaxBakeTime_s; seconds *= kBakeTimeStep)
+  for (double seconds = 1; seconds < kMaxBakeTimeS; seconds *= kBakeTimeStep)
     if (detectable.After(seconds) <= fraction) return seconds;
-  return StageForecast::kUndetectable_s;
+  return StageForecast::kUndetectableS;
 }
 
 }  // namespace
@@ -66,7 +66,7 @@
     const double canary_per_s = member_requests_per_s * forecast.canary;
     const double bake_time_s = std::max(
         stage.bake_time_s, canary_per_s > 0 ? static_cast<double>(stage.min_canary_requests) / canary_per_s
-                                            : StageForecast::kUndetectable_s);
+                                            : StageForecast::kUndetectableS);
     forecast.canary_requests = canary_per_s * bake_time_s;
     const int waves = (forecast.canary - upgraded_before + plan.max_unavailable - 1) / plan.max_unavailable;
     forecast.max_duration_s = waves * plan.upgrade_timeout_s + plan.settle_time_s + stage.bake_time_s;
@@ -76,7 +76,7 @@
     forecast.detectable_fraction = detectable.After(bake_time_s);
     forecast.required_bake_time_s = forecast.baseline > 0
                                         ? RequiredBakeTime(detectable, plan.guardrails.missed_fraction)
-                                        : StageForecast::kUndetectable_s;
+                                        : StageForecast::kUndetectableS;
     forecasts.push_back(forecast);
   }
   return forecasts;
--- a/src/rollout/forecast.h
+++ b/src/rollout/forecast.h
@@ -18,8 +18,8 @@
   double max_duration_s = 0;        // upgrades, settling and bake time, without waiting for requests
   double detectable_fraction = 0;   // the least increase of missed requests that is detected with the plan's
                                     // power; above 1: none
-  double required_bake_time_s = 0;  // to detect Guardrails::missed_fraction; kUndetectable_s: never
-  static constexpr double kUndetectable_s = 1e9;
+  double required_bake_time_s = 0;  // to detect Guardrails::missed_fraction; kUndetectableS: never
+  static constexpr double kUndetectableS = 1e9;
 };
 
 // `requests_per_s`: over all members; `missed_fraction`: of these that are not served in time today.
--- a/src/rollout/latency_histogram.h
+++ b/src/rollout/latency_histogram.h
@@ -22,7 +22,7 @@
   void Add(const wire::Stratum& stratum);
   void Add(const LatencyHistogram& other);
 
-  // The first bucket with at most `fraction` of the requests above it; nothing while there are too few
+  // The first bucket with at most `fraction` of the requests above it; nothing while there are not enough
   // requests to tell.
   std::optional<int> BucketWithFractionAbove(double fraction) const;
 
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The types of a rollout's plan: its stages, what is compared, and what happens on a regression.
+// The types of a rollout's plan: its stages, what is compared, and the action on a regression.
 // plan_parser.h reads and writes it; upgrade_order.h derives from it which members upgrade in which stage.
 #ifndef COPPERPOINT_ROLLOUT_PLAN_H_
 #define COPPERPOINT_ROLLOUT_PLAN_H_
--- a/src/rollout/plan_parser.cpp
+++ b/src/rollout/plan_parser.cpp
@@ -22,9 +22,9 @@
 constexpr ConsistencyRule kConsistencyRules[] = {kEmptyStage, kMissingVersion, kSameVersion, kNoStages};
 
 const std::vector<std::pair<std::string, RegressionAction>>& RegressionActionNames() {
-  static const std::vector<std::pair<std::string, RegressionAction>> names{
+  static const std::vector<std::pair<std::string, RegressionAction>> kNames{
       {"stop", RegressionAction::kStop}, {"back", RegressionAction::kRollBack}};
-  return names;
+  return kNames;
 }
 
 void DescribeStage(config::Visitor& v, Stage& stage) {
--- a/src/rollout/resource_usage.cpp
+++ b/src/rollout/resource_usage.cpp
@@ -16,7 +16,7 @@
 constexpr double kMinRequests = 200;  // of a member, before its processor time is compared
 constexpr double kMinDeviations = 6;  // of the baseline's members, that the canaries must be above it
 // Differences below these do not count.
-constexpr double kMinMemoryDifference_kb = 16384, kMinProcessorDifference_us = 20;
+constexpr double kMinMemoryDifferenceKb = 16384, kMinProcessorDifferenceUs = 20;
 
 struct Sample {
   std::size_t size = 0;
@@ -70,11 +70,11 @@
     if (member.report.memory_kb() > 0) memory_kb[cohort].push_back(member.report.memory_kb());
   }
   if (const auto means =
-          FindIncrease(processor_us, {guardrails.processor_increase, kMinProcessorDifference_us}))
+          FindIncrease(processor_us, {guardrails.processor_increase, kMinProcessorDifferenceUs}))
     return StopCause{StopReason::kProcessorTime,
                      fmt::format("{:.0f} us of processor time a request, {:.0f} with the others",
                                  means->canary, means->baseline)};
-  if (const auto means = FindIncrease(memory_kb, {guardrails.memory_increase, kMinMemoryDifference_kb}))
+  if (const auto means = FindIncrease(memory_kb, {guardrails.memory_increase, kMinMemoryDifferenceKb}))
     return StopCause{StopReason::kMemory, fmt::format("{:.0f} kB of memory, {:.0f} with the others",
                                                       means->canary, means->baseline)};
   return std::nullopt;
--- a/src/rollout/status.cpp
+++ b/src/rollout/status.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr double kNeverReported_s = -1;
+constexpr double kNeverReportedS = -1;
 
 double ToSeconds(Time time) { return std::chrono::duration<double>(time).count(); }
 
@@ -44,14 +44,13 @@
   const MemberTable& members = rollout.leader->members();
   for (std::size_t rank = 0; rank < members.size(); ++rank) {
     const ObservedMember& member = members[rank];
-    json.push_back(
-        {{"name", rollout.order.members[rank].name},
-         {"zone", rollout.order.members[rank].zone},
-         {"allowed", rank < rollout.progress.admitted_members},
-         {"version", member.report.version()},
-         {"ready", member.report.ready()},
-         {"heard_s", member.has_reported ? ToSeconds(now - member.last_contact) : kNeverReported_s},
-         {"crashes", member.crashes}});
+    json.push_back({{"name", rollout.order.members[rank].name},
+                    {"zone", rollout.order.members[rank].zone},
+                    {"allowed", rank < rollout.progress.admitted_members},
+                    {"version", member.report.version()},
+                    {"ready", member.report.ready()},
+                    {"heard_s", member.has_reported ? ToSeconds(now - member.last_contact) : kNeverReportedS},
+                    {"crashes", member.crashes}});
   }
   return json;
 }
--- a/src/rollout/stop_cause.h
+++ b/src/rollout/stop_cause.h
@@ -17,7 +17,7 @@
   kRegression,      // a measure is worse (canary_analysis.h)
   kProcessorTime,   // a request takes more processor time
   kMemory,          // canaries take more memory
-  kTooFewRequests,  // a stage's canaries did not get enough requests to tell
+  kTooFewRequests,  // a stage's canaries did not receive enough requests
 };
 
 struct StopCause {
--- a/src/rollout/upgrade_order.cpp
+++ b/src/rollout/upgrade_order.cpp
@@ -74,7 +74,7 @@
   std::vector<Zone> zones = SortedZones(std::move(members), rollout_id);
   UpgradeOrder order;
   while (order.members.size() < count) {
-    // The first of the zones with the greatest fraction left.
+    // The first of the zones with the greatest remaining fraction.
     Zone* next = nullptr;
     for (Zone& zone : zones) {
       if (zone.taken == zone.members.size()) continue;
--- a/src/rollout/upgrade_order.h
+++ b/src/rollout/upgrade_order.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Decides in which order members upgrade and where each stage ends. It follows from the plan, the members and
-// the rollout's id alone, so that every member computes the same without being told.
+// the rollout's id alone, so that every member computes the same.
 #ifndef COPPERPOINT_ROLLOUT_UPGRADE_ORDER_H_
 #define COPPERPOINT_ROLLOUT_UPGRADE_ORDER_H_
 
--- a/src/supervisor/child_process.cpp
+++ b/src/supervisor/child_process.cpp
@@ -33,13 +33,15 @@
     std::string text = *variable;
     if (!variables.contains(text.substr(0, text.find('=')))) environment.push_back(std::move(text));
   }
-  for (const auto& [name, value] : variables) environment.push_back(name + "=" + value);
+  for (const auto& [name, value] : variables)
+    environment.push_back(std::string(name).append("=").append(value));
   return environment;
 }
 
 // As execve wants it; valid for as long as `texts`.
 std::vector<char*> PointersTo(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
+  pointers.reserve(texts.size() + 1);
   for (std::string& text : texts) pointers.push_back(text.data());
   pointers.push_back(nullptr);
   return pointers;
--- a/src/supervisor/supervisor.h
+++ b/src/supervisor/supervisor.h
@@ -2,7 +2,7 @@
 //
 // Decides which processes a supervisor runs (docs/rollout.md): one `serve` process, restarted with backoff
 // when it exits by itself, and replaced by one of another version on request. Without I/O and without a
-// clock: what happens comes in with each call, and what is to be done is taken with TakeOutput.
+// clock: events come in with each call, and what is to be done is taken with TakeOutput.
 #ifndef COPPERPOINT_SUPERVISOR_SUPERVISOR_H_
 #define COPPERPOINT_SUPERVISOR_SUPERVISOR_H_
 
@@ -66,7 +66,7 @@
   void OnStart(Time now);
   void OnReady(Time now, Process process);
   void OnMembershipContact(Process process);
-  // The rollout's agent in that process asks for another version in its place.
+  // The rollout's agent in that process requests another version in its place.
   void OnVersionRequested(Time now, Process process, const std::string& version);
   // A rollout's encoded progress, to be stored for later processes.
   void OnProgress(Process process, std::uint64_t progress);
--- a/tests/rollout/forecast_test.cpp
+++ b/tests/rollout/forecast_test.cpp
@@ -51,7 +51,7 @@
   const StageForecast last = ForecastOf(900)[2];
   EXPECT_EQ(last.baseline, 0);
   EXPECT_GT(last.detectable_fraction, 1);
-  EXPECT_EQ(last.required_bake_time_s, StageForecast::kUndetectable_s);
+  EXPECT_EQ(last.required_bake_time_s, StageForecast::kUndetectableS);
   EXPECT_GT(ForecastOf(0)[0].detectable_fraction, 1);
 }
 
--- a/tests/rollout/leader_test.cpp
+++ b/tests/rollout/leader_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The leader alone: phases and decisions of a rollout of four members in two zones, one at a time.
+// The leader by itself: phases and decisions of a rollout of four members in two zones, one at a time.
 #include "rollout/leader.h"
 
 #include <gtest/gtest.h>
