--- a/src/rollout/latency_histogram.h
+++ b/src/rollout/latency_histogram.h
@@ -22,8 +22,8 @@
   void Add(const wire::Stratum& stratum);
   void Add(const LatencyHistogram& other);
 
-  // The first bucket with at most `fraction` of the requests above it; nothing while there are not enough
-  // requests to tell.
+  // The first bucket with at most `fraction` of the requests above it; nothing below kMinRequests
+  // (latency_histogram.cpp) requests.
   std::optional<int> BucketWithFractionAbove(double fraction) const;
 
  private:
