--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -10,7 +10,7 @@
 #include "cli/rollout_options.h"
 #include "cli/subcommands.h"
 #include "config/read.h"
-#include "rollout/plan.h"
+#include "rollout/plan_parser.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -33,7 +33,7 @@
 // The plan is checked here first, so that its errors name the file.
 void Start(const StartOptions& options) {
   const std::string plan = config::Contents(options.plan_file);
-  rollout::ReadPlan(plan, options.plan_file);
+  rollout::ParsePlan(plan, options.plan_file);
   std::cout << CallAdmin(options.address, "/rollout/start", AdminMethod::kPost, plan);
 }
 
--- a/src/cli/rollout_plan_command.cpp
+++ b/src/cli/rollout_plan_command.cpp
@@ -20,7 +20,9 @@
 #include "cli/rollout_options.h"
 #include "cli/subcommands.h"
 #include "config/read.h"
-#include "rollout/plan.h"
+#include "rollout/forecast.h"
+#include "rollout/plan_parser.h"
+#include "rollout/upgrade_order.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -42,8 +44,8 @@
 };
 
 // As many members as asked for, dealt out to the zones in turn.
-std::vector<rollout::Named> HypotheticalMembers(int members, int zones) {
-  std::vector<rollout::Named> named;
+std::vector<rollout::MemberInfo> HypotheticalMembers(int members, int zones) {
+  std::vector<rollout::MemberInfo> named;
   for (int i = 0; i < members; ++i) {
     const char zone = static_cast<char>('a' + i % zones);
     named.push_back({fmt::format("p{}", i + 1), std::string(1, zone)});
@@ -51,8 +53,8 @@
   return named;
 }
 
-std::vector<rollout::Named> LiveMembers(const std::string& address) {
-  std::vector<rollout::Named> named;
+std::vector<rollout::MemberInfo> LiveMembers(const std::string& address) {
+  std::vector<rollout::MemberInfo> named;
   for (const Json& member : GetAdminJson(address, "/fleet")["members"]) {
     const std::string status = member.value("status", "");
     if (status == "alive" || status == "suspect")
@@ -61,7 +63,7 @@
   return named;
 }
 
-std::vector<rollout::Named> MembersOf(const PlanOptions& options) {
+std::vector<rollout::MemberInfo> MembersOf(const PlanOptions& options) {
   auto members = options.address.empty() ? HypotheticalMembers(options.members, options.zones)
                                          : LiveMembers(options.address);
   if (members.empty()) throw std::invalid_argument("whose change? --at ADDRESS, or --members N");
@@ -76,40 +78,43 @@
 }
 
 // The members that change in a stage: those of rank `first` to `end`, the first few by name.
-std::string MemberList(const rollout::Order& order, int first, int end) {
+std::string MemberList(const rollout::UpgradeOrder& order, int first, int end) {
   std::string list;
   for (int i = first; i < std::min(end, first + kMaxListedMembers); ++i)
     list += (list.empty() ? "" : " ") + order.members[static_cast<std::size_t>(i)].name;
   return end > first + kMaxListedMembers ? list + " ..." : list;
 }
 
-void PrintStage(std::size_t number, const rollout::Sight& sight, const std::string& members) {
-  const bool compares = sight.others > 0;
-  const std::string seen = compares ? fmt::format("{:.4f}", sight.seen_worth) : "-";
-  const std::string needed = sight.needed_s < kNeverSeconds ? fmt::format("{:.0f}", sight.needed_s) : "never";
-  std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", number, sight.changed,
-                           sight.others, sight.requests, sight.longest_s, seen, compares ? needed : "-",
-                           members);
+void PrintStage(std::size_t number, const rollout::StageForecast& forecast, const std::string& members) {
+  const bool compares = forecast.baseline > 0;
+  const std::string seen = compares ? fmt::format("{:.4f}", forecast.detectable_fraction) : "-";
+  const std::string needed = forecast.required_bake_time_s < kNeverSeconds
+                                 ? fmt::format("{:.0f}", forecast.required_bake_time_s)
+                                 : "never";
+  std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", number,
+                           forecast.canary, forecast.baseline, forecast.canary_requests,
+                           forecast.max_duration_s, seen, compares ? needed : "-", members);
 }
 
 // Prints an error if the stage can't detect the regression that the plan guards against; true if it can.
 bool CheckStage(const std::string& file, std::size_t number, const rollout::Plan& plan,
-                const rollout::Sight& sight) {
-  if (sight.others == 0 || sight.seen_worth <= plan.guard.worth) return true;
+                const rollout::StageForecast& forecast) {
+  if (forecast.baseline == 0 || forecast.detectable_fraction <= plan.guardrails.missed_fraction) return true;
   std::cerr << fmt::format(
       "copperpoint: {}: stage {}: guard.worth = {} cannot be seen here, only {:.4f}; watch_s = {:.0f} "
       "would do\n",
-      file, number, plan.guard.worth, sight.seen_worth, std::ceil(sight.needed_s));
+      file, number, plan.guardrails.missed_fraction, forecast.detectable_fraction,
+      std::ceil(forecast.required_bake_time_s));
   return false;
 }
 
 int ShowPlan(const PlanOptions& options) {
-  const rollout::Plan plan = rollout::ReadPlan(config::Contents(options.plan_file), options.plan_file);
+  const rollout::Plan plan = rollout::ParsePlan(config::Contents(options.plan_file), options.plan_file);
   const auto members = MembersOf(options);
   const double rate_per_s = RateOf(options, members.size());
-  const rollout::Order order = rollout::MakeOrder(plan, members, /*change=*/1);
+  const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*rollout_id=*/1);
   std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests a second, {:.2f}% missed today\n",
-                           plan.name, plan.from, plan.to, members.size(), rate_per_s,
+                           plan.name, plan.old_version, plan.new_version, members.size(), rate_per_s,
                            kPercent * options.missed_share);
   std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10} {:>11} {:>12} {:>14}  {}\n", "stage", "changed",
                            "others", "requests", "at_most_s", "sees_loss", "needs_watch_s", "who is new");
@@ -117,11 +122,12 @@
   int changed = 0;
   double longest_s = 0;
   bool detects = true;
-  for (const rollout::Sight& sight : rollout::Foresee(plan, order, rate_per_s, options.missed_share)) {
-    PrintStage(++number, sight, MemberList(order, changed, sight.changed));
-    changed = sight.changed;
-    longest_s += sight.longest_s;
-    detects &= CheckStage(options.plan_file, number, plan, sight);
+  for (const rollout::StageForecast& forecast :
+       rollout::ForecastStages(plan, order, rate_per_s, options.missed_share)) {
+    PrintStage(++number, forecast, MemberList(order, changed, forecast.canary));
+    changed = forecast.canary;
+    longest_s += forecast.max_duration_s;
+    detects &= CheckStage(options.plan_file, number, plan, forecast);
   }
   std::cout << fmt::format(
       "at most {:.0f} s, without waiting for requests; the others are compared with until the last stage\n",
--- a/src/cli/supervise_command.cpp
+++ b/src/cli/supervise_command.cpp
@@ -11,6 +11,7 @@
 #include "config/read.h"
 #include "log/log.h"
 #include "supervisor/settings.h"
+#include "supervisor/supervisor_host.h"
 
 namespace copperpoint::cli {
 namespace {
@@ -35,7 +36,7 @@
   }
   const log::Format format = settings.json_log ? log::Format::kJson : log::Format::kText;
   log::Global().Set({log::Level::kInfo, format, kLogLinesPerSecond});
-  return supervisor::Keep(settings);
+  return supervisor::RunSupervisor(settings);
 }
 
 }  // namespace
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -7,10 +7,10 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "config/read.h"
 #include "log/log.h"
 #include "proxy/config/config.h"
 #include "proxy/membership/clock.h"
+#include "rollout/plan_parser.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -62,12 +62,12 @@
   return record;
 }
 
-rollout::Agent::Self AgentOf(const membership::View& view, const SupervisorLink* keeper) {
-  rollout::Agent::Self self{view.self().name(), "", view.self().life(), 0, "", ""};
+rollout::Agent::Identity AgentOf(const membership::View& view, const SupervisorLink* keeper) {
+  rollout::Agent::Identity self{view.self().name(), "", view.self().life(), 0, "", ""};
   if (!keeper) return self;
   const SupervisorLink::Known& known = keeper->known();
   self.version = known.version;
-  self.mark = known.mark;
+  self.progress = known.mark;
   self.failed_version = known.failed_version;
   self.failure = known.failure;
   return self;
@@ -93,7 +93,7 @@
       on_ring_offset_(std::move(on_ring_offset)),
       keeper_(SupervisorLink::FromEnvironment(io,
                                               [this](const std::string& version, const std::string& why) {
-                                                agent_.OnFailed(version, why);
+                                                agent_.OnVersionFailed(version, why);
                                                 Flush();
                                               })),
       agent_(
@@ -103,15 +103,16 @@
             return at != membership::Members::kNone && view_.members()[at].living();
           },
           [this] {
-            rollout::wire::Report report = counts_.Report();
+            rollout::wire::MemberReport report = counts_.Report();
             report.set_ready(ready_ && !left_);
             if (keeper_) report.set_crashes(keeper_->known().ends);
             return report;
           }),
       began_(FleetNow()),
       timer_(io) {
-  view_.SetGate(
-      [this](membership::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
+  view_.SetGate([this](membership::Topic topic, std::uint64_t version) {
+    return agent_.AcceptsDocument(topic, version);
+  });
   Open();
 } catch (const std::invalid_argument& error) {
   throw ConfigError(std::string("fleet: ") + error.what());
@@ -152,10 +153,10 @@
 // What the view has for the parts that live on it, and what they have for the view.
 void FleetHost::LookAtParts() {
   for (bool more = true; more;) {
-    CarryOut(agent_.Take());
+    CarryOut(agent_.TakeOutput());
     const membership::Output output = view_.Take();
     for (const membership::Letter& letter : output.letters)
-      if (letter.topic == rollout::kLetterTopic) agent_.OnLetter(FleetNow(), letter.from, letter.body);
+      if (letter.topic == rollout::kMessageTopic) agent_.OnMessage(FleetNow(), letter.from, letter.body);
     for (const membership::Topic topic : output.documents) {
       const membership::Document* document = view_.document(topic);
       if (document) agent_.OnDocument(FleetNow(), topic, document->version, document->body);
@@ -169,13 +170,15 @@
   const membership::Time now = FleetNow();
   for (const auto& document : output.documents)
     view_.Put(now, document.topic, document.version, document.body);
-  for (auto& letter : output.letters)
-    view_.Mail(now, letter.to, rollout::kLetterTopic, std::move(letter.body));
+  for (auto& letter : output.messages)
+    view_.Mail(now, letter.to, rollout::kMessageTopic, std::move(letter.body));
   for (const rollout::Event& event : output.events)
-    log::Global().Info("rollout_" + event.name,
-                       {{"change", event.change}, {"why", event.why}, {"may_have_changed", event.prefix}});
-  if (keeper_ && output.mark != 0) keeper_->Say("mark " + log::Hex(output.mark));
-  if (keeper_ && output.run) keeper_->Say("run " + *output.run);
+    log::Global().Info(std::string("rollout_") + rollout::NameOf(event.kind),
+                       {{"change", event.rollout_name},
+                        {"why", event.reason},
+                        {"may_have_changed", event.admitted_members}});
+  if (keeper_ && output.progress != 0) keeper_->Say("mark " + log::Hex(output.progress));
+  if (keeper_ && output.requested_version) keeper_->Say("run " + *output.requested_version);
 }
 
 void FleetHost::Ready() {
@@ -183,8 +186,8 @@
   if (keeper_) keeper_->Say("ready");
 }
 
-std::vector<rollout::Named> FleetHost::Living() const {
-  std::vector<rollout::Named> members;
+std::vector<rollout::MemberInfo> FleetHost::Living() const {
+  std::vector<rollout::MemberInfo> members;
   for (const int at : view_.members().living()) {
     const membership::Record& record = *view_.members()[at].record;
     members.push_back({record.name(), record.zone()});
@@ -198,29 +201,31 @@
                                                                 const std::string& body) {
   const membership::Time now = FleetNow();
   if (!post) {
-    if (what == "/history") return AdminHandler::FleetCallResult{true, agent_.History(now)};
+    if (what == "/history") return AdminHandler::FleetCallResult{true, agent_.HistoryJson()};
     if (!what.empty()) return std::nullopt;
-    auto json = nlohmann::ordered_json::parse(agent_.Status(now));
+    auto json = nlohmann::ordered_json::parse(agent_.StatusJson(now));
     const double lived = std::chrono::duration<double>(now - began_).count();
     json["rate_per_s"] = static_cast<double>(counts_.asked()) / std::max(1.0, lived);
     return AdminHandler::FleetCallResult{true, json.dump()};
   }
-  std::string why;
+  std::optional<rollout::CommandFailure> failure;
   if (what == "/start") {
     try {
-      why = agent_.Start(now, rollout::ReadPlan(body, "plan"), Living());
-    } catch (const config::BadFile& error) {
-      why = error.what();
+      failure = agent_.Start(now, rollout::ParsePlan(body, "plan"), Living());
+    } catch (const rollout::InvalidPlan& error) {
+      failure = {rollout::CommandError::kInvalidPlan, error.what()};
     }
   } else if (what == "/abort") {
-    why = agent_.Abort(now);
-  } else if (what == "/pause" || what == "/resume") {
-    why = agent_.Pause(now, what == "/pause");
+    failure = agent_.Abort(now);
+  } else if (what == "/pause") {
+    failure = agent_.Pause(now);
+  } else if (what == "/resume") {
+    failure = agent_.Resume(now);
   } else {
     return std::nullopt;
   }
   Flush();
-  return AdminHandler::FleetCallResult{why.empty(), why.empty() ? "done" : why};
+  return AdminHandler::FleetCallResult{!failure, failure ? failure->text : "done"};
 }
 
 void FleetHost::Flush() {
@@ -258,11 +263,11 @@
 
 void FleetHost::Arm() {
   if (!transport_ || view_.silent()) return;
-  timer_.expires_at(ToSteady(std::min({view_.next(), positions_.next(), agent_.next()})));
+  timer_.expires_at(ToSteady(std::min({view_.next(), positions_.next(), agent_.next_tick_at()})));
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     view_.OnTick(FleetNow());
-    if (agent_.next() <= FleetNow()) agent_.OnTick(FleetNow());
+    if (agent_.next_tick_at() <= FleetNow()) agent_.OnTick(FleetNow());
     Flush();
   });
 }
