--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -10,10 +10,10 @@
 #include "fault_testing/conditions.h"
 #include "fault_testing/judge.h"
 #include "fault_testing/links.h"
-#include "membership/view.h"
+#include "membership/membership.h"
 #include "simulation/core/queue.h"
 #include "simulation/core/random.h"
-#include "subsetting/position.h"
+#include "subsetting/ring_position.h"
 
 namespace copperpoint::fault_testing {
 namespace {
--- a/src/membership/documents.h
+++ b/src/membership/document_store.h
@@ -4,8 +4,8 @@
 // alone. Each message names the versions that its sender holds; whoever holds an older one takes the mark, or
 // fetches the document from the sender. So a version is with all in about as many periods as the logarithm of
 // the members (epidemic pull: Demers and others, 1987), and costs each message a dozen bytes.
-#ifndef COPPERPOINT_MEMBERSHIP_DOCUMENTS_H_
-#define COPPERPOINT_MEMBERSHIP_DOCUMENTS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_DOCUMENT_STORE_H_
+#define COPPERPOINT_MEMBERSHIP_DOCUMENT_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -69,4 +69,4 @@
 
 }  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_MEMBERSHIP_DOCUMENTS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_DOCUMENT_STORE_H_
--- a/src/membership/news.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "membership/news.h"
+#include "membership/gossip_queue.h"
 
 #include <utility>
 #include <vector>
--- a/src/membership/news.h
+++ b/src/membership/gossip_queue.h
@@ -2,8 +2,8 @@
 //
 // What is still to be passed on, each claim a bounded number of times: those told least often go first, and
 // where there is no room the most told are left out. One claim a member: a newer one takes its place.
-#ifndef COPPERPOINT_MEMBERSHIP_NEWS_H_
-#define COPPERPOINT_MEMBERSHIP_NEWS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_GOSSIP_QUEUE_H_
+#define COPPERPOINT_MEMBERSHIP_GOSSIP_QUEUE_H_
 
 #include <cstddef>
 #include <map>
@@ -52,4 +52,4 @@
 
 }  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_MEMBERSHIP_NEWS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_GOSSIP_QUEUE_H_
--- a/src/membership/members.cpp
+++ b/src/membership/member_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "membership/members.h"
+#include "membership/member_table.h"
 
 #include <xxhash.h>
 
--- a/src/membership/members.h
+++ b/src/membership/member_table.h
@@ -5,8 +5,8 @@
 //   1. the later incarnation, in serial arithmetic, so that it has no end;
 //   2. of one incarnation in two lives, the greater life;
 //   3. of one life, dead or left before suspect before alive, and of records the later version.
-#ifndef COPPERPOINT_MEMBERSHIP_MEMBERS_H_
-#define COPPERPOINT_MEMBERSHIP_MEMBERS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_MEMBER_TABLE_H_
+#define COPPERPOINT_MEMBERSHIP_MEMBER_TABLE_H_
 
 #include <array>
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -112,4 +112,4 @@
 
 }  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_MEMBERSHIP_MEMBERS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_MEMBER_TABLE_H_
--- a/src/membership/view.cpp
+++ b/src/membership/membership.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member's own life: its start, its wakes, what it says of itself, its end.
-#include "membership/view.h"
+#include "membership/membership.h"
 
 #include <stdexcept>
 #include <utility>
--- a/src/membership/view.h
+++ b/src/membership/membership.h
@@ -7,8 +7,8 @@
 // Sources: SWIM (Das, Gupta, Motivala 2002) for probes, suspicion, incarnations and piggyback; Lifeguard
 // (Dadgar, Phillips, Currey 2018) for confirmations and telling a suspect first; push-pull
 // anti-entropy (Demers and others 1987), here by hashes of buckets.
-#ifndef COPPERPOINT_MEMBERSHIP_VIEW_H_
-#define COPPERPOINT_MEMBERSHIP_VIEW_H_
+#ifndef COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
+#define COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
 
 #include <array>
 #include <cstdint>
@@ -18,12 +18,12 @@
 #include <unordered_set>
 #include <vector>
 
-#include "membership/documents.h"
-#include "membership/members.h"
-#include "membership/news.h"
+#include "membership/document_store.h"
+#include "membership/gossip_queue.h"
+#include "membership/member_table.h"
 #include "membership/options.h"
-#include "membership/prober.h"
-#include "membership/suspicions.h"
+#include "membership/probes.h"
+#include "membership/suspicion_table.h"
 #include "peers/frame.h"
 
 namespace copperpoint::membership {
@@ -216,4 +216,4 @@
 
 }  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_MEMBERSHIP_VIEW_H_
+#endif  // COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
--- a/src/membership/prober.h
+++ b/src/membership/probes.h
@@ -4,8 +4,8 @@
 //
 // Turns: all in a shuffled order, then a new order, so that each is probed once in as many periods as there
 // are members and a dead one is met after 1.6 periods in the mean (SWIM).
-#ifndef COPPERPOINT_MEMBERSHIP_PROBER_H_
-#define COPPERPOINT_MEMBERSHIP_PROBER_H_
+#ifndef COPPERPOINT_MEMBERSHIP_PROBES_H_
+#define COPPERPOINT_MEMBERSHIP_PROBES_H_
 
 #include <algorithm>
 #include <boost/random/taus88.hpp>
@@ -79,4 +79,4 @@
 
 }  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_MEMBERSHIP_PROBER_H_
+#endif  // COPPERPOINT_MEMBERSHIP_PROBES_H_
--- a/src/membership/suspicions.h
+++ b/src/membership/suspicion_table.h
@@ -8,8 +8,8 @@
 //   dead at  max(since + least_suspicion, heard + silence, judge_since + 4 periods)  where two members
 //   accuse; dead at  max(since + longest * silence, the same)  where nobody confirms;
 // `heard` being the latest sign of life that anybody told of. What speaks is not declared dead.
-#ifndef COPPERPOINT_MEMBERSHIP_SUSPICIONS_H_
-#define COPPERPOINT_MEMBERSHIP_SUSPICIONS_H_
+#ifndef COPPERPOINT_MEMBERSHIP_SUSPICION_TABLE_H_
+#define COPPERPOINT_MEMBERSHIP_SUSPICION_TABLE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -84,4 +84,4 @@
 
 }  // namespace copperpoint::membership
 
-#endif  // COPPERPOINT_MEMBERSHIP_SUSPICIONS_H_
+#endif  // COPPERPOINT_MEMBERSHIP_SUSPICION_TABLE_H_
--- a/src/membership/view_claims.cpp
+++ b/src/membership/view_claims.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace copperpoint::membership {
 namespace {
--- a/src/membership/view_parts.cpp
+++ b/src/membership/view_parts.cpp
@@ -4,7 +4,7 @@
 // marks that all are to hold in their latest version.
 #include <utility>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace copperpoint::membership {
 
--- a/src/membership/view_probes.cpp
+++ b/src/membership/view_probes.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace copperpoint::membership {
 namespace {
--- a/src/membership/view_sync.cpp
+++ b/src/membership/view_sync.cpp
@@ -5,7 +5,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace copperpoint::membership {
 
--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/host.h
@@ -14,14 +14,14 @@
 #include <string>
 #include <vector>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 #include "peers/transport.h"
 #include "proxy/admin/admin_server.h"
 #include "proxy/membership/request_counts.h"
 #include "proxy/membership/settings.h"
 #include "proxy/membership/supervisor_link.h"
 #include "rollout/agent.h"
-#include "subsetting/position.h"
+#include "subsetting/ring_position.h"
 
 namespace copperpoint::proxy {
 
--- a/src/simulation/world/views.cpp
+++ b/src/simulation/world/views.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "subsetting/position.h"
+#include "subsetting/ring_position.h"
 
 namespace copperpoint::simulation {
 namespace {
--- a/src/subsetting/position.cpp
+++ b/src/subsetting/ring_position.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsetting/position.h"
+#include "subsetting/ring_position.h"
 
 #include <xxhash.h>
 
--- a/src/subsetting/position.h
+++ b/src/subsetting/ring_position.h
@@ -6,15 +6,15 @@
 //
 // What it rests on: positions only make connections even. Two proxies that disagree, or one that goes by an
 // old view, hold subsets as wide and as healthy as ever.
-#ifndef COPPERPOINT_SUBSETTING_POSITION_H_
-#define COPPERPOINT_SUBSETTING_POSITION_H_
+#ifndef COPPERPOINT_SUBSETTING_RING_POSITION_H_
+#define COPPERPOINT_SUBSETTING_RING_POSITION_H_
 
 #include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace copperpoint::subsetting {
 
@@ -64,4 +64,4 @@
 
 }  // namespace copperpoint::subsetting
 
-#endif  // COPPERPOINT_SUBSETTING_POSITION_H_
+#endif  // COPPERPOINT_SUBSETTING_RING_POSITION_H_
--- a/tests/membership/frame_test.cpp
+++ b/tests/membership/frame_test.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <random>
 
+#include "membership_testing.h"
 #include "support/run_program.h"
-#include "view_testing.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/membership/fuzz_frame.cpp
+++ b/tests/membership/fuzz_frame.cpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace {
 
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The view's rules one by one. Each test that a named defect would break says which.
-#include "membership/view.h"
+#include "membership/membership.h"
 
 #include <gtest/gtest.h>
 
-#include "view_testing.h"
+#include "membership_testing.h"
 
 namespace copperpoint::testing {
 namespace {
--- a/tests/membership/view_testing.h
+++ b/tests/membership/membership_testing.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A few views on a network without delay, moved by hand.
-#ifndef COPPERPOINT_TESTS_VIEW_VIEW_TESTING_H_
-#define COPPERPOINT_TESTS_VIEW_VIEW_TESTING_H_
+#ifndef COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
+#define COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/view.h"
+#include "membership/membership.h"
 
 namespace copperpoint::testing {
 
@@ -116,4 +116,4 @@
 
 }  // namespace copperpoint::testing
 
-#endif  // COPPERPOINT_TESTS_VIEW_VIEW_TESTING_H_
+#endif  // COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
--- a/tests/subsetting/position_test.cpp
+++ b/tests/subsetting/ring_position_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsetting/position.h"
+#include "subsetting/ring_position.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <map>
 
-#include "view_testing.h"
+#include "membership_testing.h"
 
 namespace copperpoint::testing {
 namespace {
