--- a/src/membership/document_store.h
+++ b/src/membership/document_store.h
@@ -26,14 +26,14 @@
   std::string body;           // empty: a mark
 };
 
-class Documents {
+class DocumentStore {
  public:
-  static constexpr std::size_t kMostTopics = 8, kMostBody = 64 * 1024;
+  static constexpr std::size_t kMaxTopics = 8, kMaxBodyBytes = 64 * 1024;
 
   // Asked before a later version is taken from others; without one all are taken. A part that is busy with
   // one document refuses the next.
-  using Gate = std::function<bool(Topic, std::uint64_t version)>;
-  void SetGate(Gate gate) { gate_ = std::move(gate); }
+  using Filter = std::function<bool(Topic, std::uint64_t version)>;
+  void SetFilter(Filter gate) { filter_ = std::move(gate); }
 
   const Document* Find(Topic topic) const {
     const auto found = held_.find(topic);
@@ -41,21 +41,21 @@
   }
   // False: what is held is as late, or it does not fit.
   bool Put(Topic topic, std::uint64_t version, std::string body) {
-    if (body.size() > kMostBody || (held_.size() >= kMostTopics && !held_.contains(topic))) return false;
+    if (body.size() > kMaxBodyBytes || (held_.size() >= kMaxTopics && !held_.contains(topic))) return false;
     Document& held = held_[topic];
     if (version <= held.version) return false;
     held = {version, std::move(body)};
     return true;
   }
-  bool Wants(Topic topic, std::uint64_t version) const {
+  bool Accepts(Topic topic, std::uint64_t version) const {
     const Document* held = Find(topic);
-    if (held ? version <= held->version : version == 0 || held_.size() >= kMostTopics) return false;
-    return !gate_ || gate_(topic, version);
+    if (held ? version <= held->version : version == 0 || held_.size() >= kMaxTopics) return false;
+    return !filter_ || filter_(topic, version);
   }
   void Name(wire::Message* message) const {
     for (const auto& [topic, document] : held_) {
       if (document.version == 0) continue;
-      wire::Head& head = *message->add_heads();
+      wire::DocumentVersion& head = *message->add_document_versions();
       head.set_topic(topic);
       head.set_version(document.version);
       head.set_bytes(static_cast<std::uint32_t>(document.body.size()));
@@ -64,7 +64,7 @@
 
  private:
   std::map<Topic, Document> held_;
-  Gate gate_;
+  Filter filter_;
 };
 
 }  // namespace copperpoint::membership
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -16,22 +16,22 @@
 
 }  // namespace
 
-void News::Put(Key key, Item item) {
+void GossipQueue::Put(Key key, Item item) {
   if (const auto found = items_.find(key); found != items_.end()) {
-    by_told_.erase({found->second.told, key});
+    by_transmissions_.erase({found->second.transmissions, key});
     items_.erase(found);
   }
   if (items_.size() >= most_) {
-    const auto last = std::prev(by_told_.end());
+    const auto last = std::prev(by_transmissions_.end());
     items_.erase(last->second);
-    by_told_.erase(last);
-    ++shed_;
+    by_transmissions_.erase(last);
+    ++dropped_;
   }
-  by_told_.insert({item.told, key});
+  by_transmissions_.insert({item.transmissions, key});
   items_.emplace(std::move(key), std::move(item));
 }
 
-void News::Tell(wire::Claim claim, Time now, int kind) {
+void GossipQueue::Add(wire::Claim claim, Time now, int kind) {
   const std::string name = claim.record().name();
   if (kind == kClaim) Forget(name);  // what was said before of it is old
   Item item;
@@ -41,27 +41,27 @@
   Put({name, kind}, std::move(item));
 }
 
-void News::Tell(wire::Heard heard, Time now) {
+void GossipQueue::Add(wire::LastContact heard, Time now) {
   const std::string name = heard.name();
   Item item;
   item.bytes = heard.ByteSizeLong() + kFieldBytes;
   item.heard = std::move(heard);
   item.at = now;
-  Put({name, kHeard}, std::move(item));
+  Put({name, kLastContact}, std::move(item));
 }
 
-void News::Forget(const std::string& name) {
+void GossipQueue::Forget(const std::string& name) {
   for (auto at = items_.lower_bound({name, 0}); at != items_.end() && at->first.first == name;) {
-    by_told_.erase({at->second.told, at->first});
+    by_transmissions_.erase({at->second.transmissions, at->first});
     at = items_.erase(at);
   }
 }
 
-std::size_t News::Fill(wire::Message* message, std::size_t most_bytes, int times, Time now) {
+std::size_t GossipQueue::Fill(wire::Message* message, std::size_t most_bytes, int times, Time now) {
   std::vector<Key> chosen;
   std::size_t used = 0;
   int passed_over = 0;
-  for (const auto& [told, key] : by_told_) {
+  for (const auto& [told, key] : by_transmissions_) {
     const Item& item = items_.at(key);
     if (used + item.bytes > most_bytes) {
       if (++passed_over > kMostPassedOver) break;
@@ -73,18 +73,18 @@
   for (const Key& key : chosen) {
     const auto found = items_.find(key);
     Item& item = found->second;
-    if (key.second == kHeard) {
-      wire::Heard& heard = *message->add_heard() = item.heard;
+    if (key.second == kLastContact) {
+      wire::LastContact& heard = *message->add_last_contacts() = item.heard;
       heard.set_age_ms(Aged(heard.age_ms(), now - item.at));
     } else {
       wire::Claim& claim = *message->add_claims() = item.claim;
       claim.set_age_ms(Aged(claim.age_ms(), now - item.at));
     }
-    by_told_.erase({item.told, key});
-    if (++item.told >= times) {
+    by_transmissions_.erase({item.transmissions, key});
+    if (++item.transmissions >= times) {
       items_.erase(found);
     } else {
-      by_told_.insert({item.told, key});
+      by_transmissions_.insert({item.transmissions, key});
     }
   }
   return used;
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -16,14 +16,14 @@
 
 namespace copperpoint::membership {
 
-class News {
+class GossipQueue {
  public:
-  explicit News(std::size_t most) : most_(most) {}
+  explicit GossipQueue(std::size_t most) : most_(most) {}
 
   // `kind` tells apart what may be said of one member at the same time.
-  enum Kind { kClaim, kHeard, kAccuser };  // kAccuser + n: the n-th accuser of a suspect
-  void Tell(wire::Claim claim, Time now, int kind = kClaim);
-  void Tell(wire::Heard heard, Time now);
+  enum Kind { kClaim, kLastContact, kAccuser };  // kAccuser + n: the n-th accuser of a suspect
+  void Add(wire::Claim claim, Time now, int kind = kClaim);
+  void Add(wire::LastContact heard, Time now);
   void Forget(const std::string& name);
 
   // Fills `message` up to `most_bytes` of claims; each counts as told once more, and goes after `times`. The
@@ -32,22 +32,22 @@
 
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
-  std::size_t shed() const { return shed_; }
+  std::size_t dropped() const { return dropped_; }
 
  private:
   using Key = std::pair<std::string, int>;
   struct Item {
     wire::Claim claim;
-    wire::Heard heard;
+    wire::LastContact heard;
     std::size_t bytes = 0;
-    int told = 0;
+    int transmissions = 0;
     Time at{};
   };
   void Put(Key key, Item item);
 
-  std::size_t most_, shed_ = 0;
+  std::size_t most_, dropped_ = 0;
   std::map<Key, Item> items_;
-  std::set<std::pair<int, Key>> by_told_;
+  std::set<std::pair<int, Key>> by_transmissions_;
 };
 
 }  // namespace copperpoint::membership
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -5,38 +5,38 @@
 
 namespace copperpoint::membership {
 
-const char* NameOf(State state) {
+const char* NameOf(MemberState state) {
   switch (state) {
-    case State::kStarting:
+    case MemberState::kStarting:
       return "starting";
-    case State::kServing:
+    case MemberState::kServing:
       return "serving";
-    case State::kDraining:
+    case MemberState::kDraining:
       return "draining";
-    case State::kLeaving:
+    case MemberState::kLeaving:
       return "leaving";
   }
   return "unknown";  // of a later version
 }
 
-const char* NameOf(Status status) {
+const char* NameOf(MemberStatus status) {
   switch (status) {
-    case Status::kAlive:
+    case MemberStatus::kAlive:
       return "alive";
-    case Status::kSuspect:
+    case MemberStatus::kSuspect:
       return "suspect";
-    case Status::kDead:
+    case MemberStatus::kDead:
       return "dead";
-    case Status::kLeft:
+    case MemberStatus::kLeft:
       return "left";
   }
   return "unknown";
 }
 
-bool Before(std::uint32_t incarnation_a, std::uint64_t life_a, std::uint32_t incarnation_b,
-            std::uint64_t life_b) {
-  if (incarnation_a != incarnation_b) return Later(incarnation_a, incarnation_b);
-  return life_a > life_b;
+bool Supersedes(std::uint32_t refutations_a, std::uint64_t incarnation_a, std::uint32_t refutations_b,
+                std::uint64_t incarnation_b) {
+  if (refutations_a != refutations_b) return IsLater(refutations_a, refutations_b);
+  return incarnation_a > incarnation_b;
 }
 
 namespace {
@@ -44,48 +44,50 @@
 std::uint64_t PlaceOf(std::string_view name) { return XXH64(name.data(), name.size(), 4); }
 
 std::uint64_t HashOf(const Record& record) {
-  const std::uint64_t numbers[] = {record.life(), record.incarnation(), record.version()};
+  const std::uint64_t numbers[] = {record.incarnation(), record.refutation_number(), record.version()};
   return XXH64(numbers, sizeof numbers, XXH64(record.name().data(), record.name().size(), 1));
 }
 
 }  // namespace
 
-std::size_t Members::BucketOf(std::string_view name) { return XXH64(name.data(), name.size(), 2) % kBuckets; }
+std::size_t MemberTable::BucketOf(std::string_view name) {
+  return XXH64(name.data(), name.size(), 2) % kBuckets;
+}
 
-std::shared_ptr<const Record> Records::Share(std::shared_ptr<const Record> record) {
+std::shared_ptr<const Record> RecordPool::Share(std::shared_ptr<const Record> record) {
   if (records_.size() >= sweep_at_) {
     std::erase_if(records_, [](const auto& entry) { return entry.second.expired(); });
     sweep_at_ = 2 * records_.size() + 1024;
   }
-  std::weak_ptr<const Record>& kept =
-      records_[{record->life(), record->incarnation(), record->version(), record->ByteSizeLong()}];
+  std::weak_ptr<const Record>& kept = records_[{record->incarnation(), record->refutation_number(),
+                                                record->version(), record->ByteSizeLong()}];
   if (auto same = kept.lock()) return same;
   kept = record;
   return record;
 }
 
-int Members::Find(std::string_view name) const {
+int MemberTable::Find(std::string_view name) const {
   const auto found = by_hash_.find(PlaceOf(name));
-  if (found == by_hash_.end()) return kNone;
+  if (found == by_hash_.end()) return kNotFound;
   if (entries_[static_cast<std::size_t>(found->second)].record->name() == name) return found->second;
   const auto by_name = by_name_.find(name);
-  return by_name == by_name_.end() ? kNone : by_name->second;
+  return by_name == by_name_.end() ? kNotFound : by_name->second;
 }
 
-void Members::Reserve(std::size_t members) {
+void MemberTable::Reserve(std::size_t members) {
   entries_.reserve(members);
   living_.reserve(members);
   by_hash_.reserve(members);
 }
 
-void Members::Count(const Entry& entry) {
+void MemberTable::Count(const Member& entry) {
   if (!entry.living()) return;
   const std::uint64_t hash = HashOf(*entry.record);
   hash_ ^= hash;
   buckets_[BucketOf(entry.record->name())] ^= hash;
 }
 
-int Members::Add(std::shared_ptr<const Record> record, Status status, Time now) {
+int MemberTable::Add(std::shared_ptr<const Record> record, MemberStatus status, Time now) {
   int at;
   if (free_.empty()) {
     at = static_cast<int>(entries_.size());
@@ -98,39 +100,39 @@
   if (!by_hash_.emplace(PlaceOf(name), at).second) by_name_[name] = at;
   ++size_;
   if (shared_) record = shared_->Share(std::move(record));
-  Entry& entry = Mutable(at);
-  entry = Entry{std::move(record), status, now, now};
+  Member& entry = Mutable(at);
+  entry = Member{std::move(record), status, now, now};
   if (entry.living()) {
-    entry.place = living_.size();
+    entry.living_index = living_.size();
     living_.push_back(at);
   }
   Count(entry);
   return at;
 }
 
-void Members::Set(int at, std::shared_ptr<const Record> record, Status status, Time now) {
-  Entry& entry = Mutable(at);
+void MemberTable::Set(int at, std::shared_ptr<const Record> record, MemberStatus status, Time now) {
+  Member& entry = Mutable(at);
   Count(entry);
   const bool was = entry.living();
-  if (entry.record->life() != record->life()) entry.last_sequence = 0, entry.seen = 0;
-  if (entry.status != status) entry.since = now;
+  if (entry.record->incarnation() != record->incarnation()) entry.last_sequence = 0, entry.seen_sequences = 0;
+  if (entry.status != status) entry.status_since = now;
   entry.record = shared_ ? shared_->Share(std::move(record)) : std::move(record);
   entry.status = status;
   if (was && !entry.living()) {
-    Mutable(living_.back()).place = entry.place;
-    living_[entry.place] = living_.back();
+    Mutable(living_.back()).living_index = entry.living_index;
+    living_[entry.living_index] = living_.back();
     living_.pop_back();
   } else if (!was && entry.living()) {
-    entry.place = living_.size();
+    entry.living_index = living_.size();
     living_.push_back(at);
-    entry.heard = now;
+    entry.last_contact = now;
   }
   Count(entry);
 }
 
-void Members::Remove(int at) {
+void MemberTable::Remove(int at) {
   const auto record = (*this)[at].record;
-  Set(at, record, Status::kDead, Time{});
+  Set(at, record, MemberStatus::kDead, Time{});
   const auto found = by_hash_.find(PlaceOf(record->name()));
   if (found->second == at) {
     by_hash_.erase(found);
@@ -152,15 +154,15 @@
 std::shared_ptr<const Record> Bare(const Record& record) {
   auto bare = std::make_shared<Record>();
   bare->set_name(record.name());
-  bare->set_life(record.life());
   bare->set_incarnation(record.incarnation());
+  bare->set_refutation_number(record.refutation_number());
   bare->set_address(record.address());
   return bare;
 }
 
-std::shared_ptr<const Record> WithIncarnation(const Record& record, std::uint32_t incarnation) {
+std::shared_ptr<const Record> WithRefutationNumber(const Record& record, std::uint32_t refutation_number) {
   auto next = std::make_shared<Record>(record);
-  next->set_incarnation(incarnation);
+  next->set_refutation_number(refutation_number);
   return next;
 }
 
--- a/src/membership/probes.h
+++ b/src/membership/probes.h
@@ -18,9 +18,10 @@
 
 namespace copperpoint::membership {
 
-class Draw {
+class RandomSource {
  public:
-  explicit Draw(std::uint64_t seed) : engine_(static_cast<std::uint32_t>(seed ^ (seed >> 32)) | 4096) {}
+  explicit RandomSource(std::uint64_t seed)
+      : engine_(static_cast<std::uint32_t>(seed ^ (seed >> 32)) | 4096) {}
   std::size_t Below(std::size_t n) {
     return boost::random::uniform_int_distribution<std::size_t>(0, n - 1)(engine_);
   }
@@ -32,10 +33,10 @@
 struct Probe {
   std::uint32_t id = 0;
   std::string target;
-  std::uint32_t incarnation = 0;
+  std::uint32_t refutation_number = 0;
   Time sent{};
-  bool judging = false;  // of a suspect: it goes straight, again and again
-  bool helped = false;
+  bool confirming = false;  // of a suspect: it goes straight, again and again
+  bool indirect_sent = false;
 };
 
 class Prober {
@@ -43,7 +44,7 @@
   // The next of the places that `places` gives whose turn it is; they are asked for when an order is used up.
   // Below 0: there are none. Who stands at a place may have changed since: another has that turn then.
   template <typename Places>
-  int Next(Places places, Draw& draw) {
+  int Next(Places places, RandomSource& draw) {
     if (order_.empty()) {
       order_ = places();
       for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[draw.Below(i)]);
@@ -54,8 +55,8 @@
     return place;
   }
 
-  Probe& Start(std::string target, std::uint32_t incarnation, Time now, bool judging) {
-    out_.push_back({++last_id_, std::move(target), incarnation, now, judging, false});
+  Probe& Start(std::string target, std::uint32_t refutation_number, Time now, bool confirming) {
+    out_.push_back({++last_id_, std::move(target), refutation_number, now, confirming, false});
     return out_.back();
   }
   std::vector<Probe>& out() { return out_; }
--- a/src/membership/view_messages.cpp
+++ b/src/membership/view_messages.cpp
@@ -22,115 +22,116 @@
 
 }  // namespace
 
-wire::Message View::Begin(wire::Kind kind) {
+wire::Message Membership::Begin(wire::Kind kind) {
   wire::Message message;
   message.set_kind(kind);
   message.set_from(self().name());
-  message.set_life(life_);
-  message.set_incarnation(self().incarnation());
+  message.set_incarnation(incarnation_);
+  message.set_refutation_number(self().refutation_number());
   message.set_sequence(++sequence_);
-  message.set_view_hash(members_.hash());
+  message.set_membership_hash(members_.hash());
   documents_.Name(&message);
   return message;
 }
 
 // To the member at `at`, where it is known. One that is suspected or thought dead is told so before all else.
-void View::Send(wire::Message message, const std::string& to, int at, Time now) {
-  if (at != Members::kNone) {
-    const Entry& entry = members_[at];
-    message.set_to_life(entry.record->life());
-    if (entry.status != Status::kAlive) *message.add_claims() = ClaimOf(at, now);
+void Membership::Send(wire::Message message, const std::string& to, int at, Time now) {
+  if (at != MemberTable::kNotFound) {
+    const Member& entry = members_[at];
+    message.set_to_incarnation(entry.record->incarnation());
+    if (entry.status != MemberStatus::kAlive) *message.add_claims() = ClaimOf(at, now);
   }
-  const std::size_t used = peers::kHeader + message.ByteSizeLong() + kReserve;
-  if (used < peers::kMostDatagram && message.to_life() != 0 && !news_.empty())
-    allowance_ -=
-        static_cast<double>(news_.Fill(&message, std::min(peers::kMostDatagram - used, Allowance(now)),
-                                       Retransmissions(members_.living().size(), options_.retransmit), now));
-  std::string bytes = seal_.Close(message);
+  const std::size_t used = peers::kHeaderBytes + message.ByteSizeLong() + kReserve;
+  if (used < peers::kMaxDatagramBytes && message.to_incarnation() != 0 && !queue_.empty())
+    allowance_ -= static_cast<double>(
+        queue_.Fill(&message, std::min(peers::kMaxDatagramBytes - used, Allowance(now)),
+                    Retransmissions(members_.living().size(), options_.retransmit_factor), now));
+  std::string bytes = codec_.Encode(message);
   ++counters_.sent;
   counters_.sent_bytes += bytes.size();
   output_.datagrams.push_back({to, std::move(bytes)});
 }
 
 // A storm of events, as when all restart at once, is told at a bounded rate. Probes and answers go on.
-std::size_t View::Allowance(Time now) {
-  const auto rate = static_cast<double>(options_.most_told);
+std::size_t Membership::Allowance(Time now) {
+  const auto rate = static_cast<double>(options_.max_gossip_bytes_per_s);
   allowance_ = std::min(rate, allowance_ + rate * std::chrono::duration<double>(now - allowed_at_).count());
   allowed_at_ = now;
   return static_cast<std::size_t>(std::max(0.0, allowance_));
 }
 
-void View::Gossip(Time now) {
-  next_gossip_ = now + options_.gossip;
+void Membership::Gossip(Time now) {
+  next_gossip_ = now + options_.gossip_period;
   const auto& living = members_.living();
   std::vector<int> told{me_};
-  for (int i = 0; i < options_.fanout && told.size() < living.size() && !news_.empty(); ++i) {
-    int at = living[draw_.Below(living.size())];
-    while (std::find(told.begin(), told.end(), at) != told.end()) at = living[draw_.Below(living.size())];
+  for (int i = 0; i < options_.fanout && told.size() < living.size() && !queue_.empty(); ++i) {
+    int at = living[random_.Below(living.size())];
+    while (std::find(told.begin(), told.end(), at) != told.end()) at = living[random_.Below(living.size())];
     told.push_back(at);
     Send(Begin(wire::KIND_GOSSIP), members_[at].record->address(), at, now);
   }
 }
 
-peers::Refusal View::Open(std::string_view bytes, wire::Message* message) {
-  const peers::Refusal refusal = seal_.Open(bytes, message);
-  if (refusal != peers::Refusal::kNone) ++counters_.refused[static_cast<std::size_t>(refusal)];
-  return refusal;
+peers::FrameError Membership::Open(std::string_view bytes, wire::Message* message) {
+  const peers::FrameError error = codec_.Decode(bytes, message);
+  if (error != peers::FrameError::kNone) ++counters_.rejected[static_cast<std::size_t>(error)];
+  return error;
 }
 
-void View::OnDatagram(Time now, const std::string& from, std::string_view bytes) {
-  if (silent_) return;
+void Membership::OnDatagram(Time now, const std::string& from, std::string_view bytes) {
+  if (stopped_) return;
   now = Enter(now);
   ++counters_.received;
   counters_.received_bytes += bytes.size();
-  if (bytes.size() > peers::kMostDatagram) {
+  if (bytes.size() > peers::kMaxDatagramBytes) {
     ++counters_.oversized;
     return;
   }
   wire::Message message;
-  const peers::Refusal refusal = Open(bytes, &message);
-  if (refusal != peers::Refusal::kNone) {
-    if (refusal == peers::Refusal::kTooNew && now >= next_refusal_) {
+  const peers::FrameError error = Open(bytes, &message);
+  if (error != peers::FrameError::kNone) {
+    if (error == peers::FrameError::kTooNew && now >= next_refusal_) {
       next_refusal_ = now + kRefusals;
       wire::Message answer = Begin(wire::KIND_TOO_NEW);
-      answer.set_speaks(peers::kVersion);
-      Send(std::move(answer), from, Members::kNone, now);
-      Tell(Happened::Kind::kTooNew, from);
+      answer.set_newest_readable_version(peers::kFormatVersion);
+      Send(std::move(answer), from, MemberTable::kNotFound, now);
+      Tell(Event::Kind::kTooNew, from);
     }
     return;
   }
   if (Admit(message, from, now)) OnMessage(message, from, now);
 }
 
-// Nothing is taken from an older life, nothing twice, and nothing about others that was said to an older life
-// of this member.
-bool View::Admit(const wire::Message& message, const std::string& from, Time now) {
+// Nothing is taken from an older incarnation, nothing twice, and nothing about others that was said to an
+// older incarnation of this member.
+bool Membership::Admit(const wire::Message& message, const std::string& from, Time now) {
   if (message.from() == self().name()) {
-    if (message.life() != life_) OnRival(message, from, now);
+    if (message.incarnation() != incarnation_) OnRival(message, from, now);
     return false;
   }
   const int at = members_.Find(message.from());
-  const bool retired = retired_.contains(message.life());
-  if (retired && at == Members::kNone) {
+  const bool retired = ended_.contains(message.incarnation());
+  if (retired && at == MemberTable::kNotFound) {
     ++counters_.replays;
     return false;
   }
-  if (at == Members::kNone) {
+  if (at == MemberTable::kNotFound) {
     if (now >= next_sync_ && message.kind() == wire::KIND_PING) Sync(from, now);
     return true;
   }
-  Entry& entry = members_.Mutable(at);
-  if (entry.record->life() != message.life()) {
-    if (!Before(message.incarnation(), message.life(), entry.record->incarnation(), entry.record->life())) {
+  Member& entry = members_.Mutable(at);
+  if (entry.record->incarnation() != message.incarnation()) {
+    if (!Supersedes(message.refutation_number(), message.incarnation(), entry.record->refutation_number(),
+                    entry.record->incarnation())) {
       if (message.kind() == wire::KIND_SYNC)
         return true;  // one that has just started: it is told what to go above
-      ++counters_.older_lives;
+      ++counters_.older_incarnations;
       if (now >= next_refusal_) {  // a living one learns that its name is another's
         next_refusal_ = now + kRefusals;
         wire::Message answer = Begin(wire::KIND_GOSSIP);
         *answer.add_claims() = ClaimOf(at, now);
-        answer.set_to_life(message.life());
-        Send(std::move(answer), from, Members::kNone, now);
+        answer.set_to_incarnation(message.incarnation());
+        Send(std::move(answer), from, MemberTable::kNotFound, now);
       }
       return false;
     }
@@ -139,20 +140,20 @@
   }
   const auto ahead = static_cast<std::int32_t>(message.sequence() - entry.last_sequence);
   if (ahead > 0) {
-    entry.seen = ahead >= 64 ? 0 : entry.seen << ahead;
-    entry.seen |= 1;
+    entry.seen_sequences = ahead >= 64 ? 0 : entry.seen_sequences << ahead;
+    entry.seen_sequences |= 1;
     entry.last_sequence = message.sequence();
-  } else if (ahead <= -64 || (entry.seen >> -ahead & 1) != 0) {
+  } else if (ahead <= -64 || (entry.seen_sequences >> -ahead & 1) != 0) {
     ++counters_.replays;
     return false;
   } else {
-    entry.seen |= std::uint64_t{1} << -ahead;
+    entry.seen_sequences |= std::uint64_t{1} << -ahead;
   }
   if (entry.living()) {
-    if (Later(message.incarnation(), entry.record->incarnation()))
-      Revive(at, WithIncarnation(*entry.record, message.incarnation()), now);
+    if (IsLater(message.refutation_number(), entry.record->refutation_number()))
+      Revive(at, WithRefutationNumber(*entry.record, message.refutation_number()), now);
     Heard(at, now, now);
-  } else if (entry.status == Status::kDead && now >= next_sync_) {
+  } else if (entry.status == MemberStatus::kDead && now >= next_sync_) {
     Sync(entry.record->address(), now);  // it lives: what each of us missed is told at once
   }
   return true;
@@ -160,26 +161,28 @@
 
 // Another process under this member's name. The one whose claim goes before keeps it; one that has only just
 // started takes it over, as after a restart.
-void View::OnRival(const wire::Message& message, const std::string& from, Time now) {
-  if (Before(message.incarnation(), message.life(), self().incarnation(), life_)) {
-    if (!established_) return Refute(message.incarnation(), now);
-    Tell(Happened::Kind::kNameTaken, self().name(), from);
-    return GoSilent();
+void Membership::OnRival(const wire::Message& message, const std::string& from, Time now) {
+  if (Supersedes(message.refutation_number(), message.incarnation(), self().refutation_number(),
+                 incarnation_)) {
+    if (!established_) return Refute(message.refutation_number(), now);
+    Tell(Event::Kind::kNameTaken, self().name(), from);
+    return Stop();
   }
   if (now < next_refusal_) return;
   next_refusal_ = now + kRefusals;
-  Send(Begin(wire::KIND_PING), from, Members::kNone, now);
+  Send(Begin(wire::KIND_PING), from, MemberTable::kNotFound, now);
 }
 
-void View::OnMessage(const wire::Message& message, const std::string& from, Time now) {
-  const bool to_me = message.to_life() == life_;
-  if (!to_me && message.to_life() != 0) ++counters_.misaddressed;
+void Membership::OnMessage(const wire::Message& message, const std::string& from, Time now) {
+  const bool to_me = message.to_incarnation() == incarnation_;
+  if (!to_me && message.to_incarnation() != 0) ++counters_.misaddressed;
   const int at = members_.Find(message.from());
-  // Of others only a member may speak, and only to this life.
-  if (to_me && at != Members::kNone && members_[at].record->life() == message.life())
+  // Of others only a member may speak, and only to this incarnation.
+  if (to_me && at != MemberTable::kNotFound && members_[at].record->incarnation() == message.incarnation())
     TakeClaims(message, /*whole=*/false, now);
-  const std::string& address = at == Members::kNone ? from : members_[at].record->address();
-  const bool of_member = to_me && at != Members::kNone && members_[at].record->life() == message.life();
+  const std::string& address = at == MemberTable::kNotFound ? from : members_[at].record->address();
+  const bool of_member =
+      to_me && at != MemberTable::kNotFound && members_[at].record->incarnation() == message.incarnation();
   if (of_member) TakeHeads(message, address, now);
   switch (message.kind()) {
     case wire::KIND_PING: {
@@ -191,20 +194,20 @@
     case wire::KIND_ACK:
       OnAck(message, now);
       break;
-    case wire::KIND_PING_FOR:
+    case wire::KIND_INDIRECT_PING:
       if (to_me) OnPingFor(message, address, now);
       break;
-    case wire::KIND_MAIL:
-      if (of_member && message.body().size() <= options_.most_letter)
-        output_.letters.push_back({message.from(), message.topic(), message.body()});
+    case wire::KIND_APPLICATION:
+      if (of_member && message.body().size() <= options_.max_message_bytes)
+        output_.messages.push_back({message.from(), message.topic(), message.body()});
       break;
     default:
       break;
   }
-  if (!silent_ && at != Members::kNone) Compare(message, at, now);
+  if (!stopped_ && at != MemberTable::kNotFound) Compare(message, at, now);
 }
 
-void View::OnAck(const wire::Message& message, Time now) {
+void Membership::OnAck(const wire::Message& message, Time now) {
   if (const auto relay = std::find_if(relays_.begin(), relays_.end(),
                                       [&](const Relay& r) { return r.id == message.probe(); });
       relay != relays_.end() && relay->target == message.from()) {
@@ -220,39 +223,41 @@
   if (probe.target.empty()) return;
   // Through another: the target spoke to it, not to us.
   if (!message.target().empty() && message.target() == probe.target) {
-    if (const int at = members_.Find(probe.target); at != Members::kNone && members_[at].living())
+    if (const int at = members_.Find(probe.target); at != MemberTable::kNotFound && members_[at].living())
       Heard(at, now, now);
   }
 }
 
-void View::OnPingFor(const wire::Message& message, const std::string& from, Time now) {
+void Membership::OnPingFor(const wire::Message& message, const std::string& from, Time now) {
   const int at = members_.Find(message.target());
-  if (at == Members::kNone || at == me_ || relays_.size() >= kMostRelays) return;
+  if (at == MemberTable::kNotFound || at == me_ || relays_.size() >= kMostRelays) return;
   // What this member knows goes back at once; what the target says, when it does.
   wire::Message nack = Begin(wire::KIND_NACK);
   nack.set_probe(message.probe());
-  if (const Entry& entry = members_[at]; entry.living() && now - entry.heard < options_.silence)
-    *nack.add_heard() = HeardOf(at, entry.heard, now);
+  if (const Member& entry = members_[at];
+      entry.living() && now - entry.last_contact < options_.contact_timeout)
+    *nack.add_last_contacts() = HeardOf(at, entry.last_contact, now);
   Send(std::move(nack), from, members_.Find(message.from()), now);
   const std::uint32_t id = prober_.NewId();
-  relays_.push_back({id, message.probe(), message.from(), from, message.target(), now + options_.direct});
+  relays_.push_back(
+      {id, message.probe(), message.from(), from, message.target(), now + options_.direct_probe_timeout});
   wire::Message ping = Begin(wire::KIND_PING);
   ping.set_probe(id);
   Send(std::move(ping), members_[at].record->address(), at, now);
 }
 
 // Whoever differs for a while without news is asked for all that differs.
-void View::Compare(const wire::Message& message, int at, Time now) {
-  if (!members_[at].living() || message.view_hash() == 0) return;
-  if (message.view_hash() == members_.hash()) {
+void Membership::Compare(const wire::Message& message, int at, Time now) {
+  if (!members_[at].living() || message.membership_hash() == 0) return;
+  if (message.membership_hash() == members_.hash()) {
     agreed_ = std::min(4, agreed_ + 1);
     last_agreed_ = now;
     return;
   }
   agreed_ = 0;
   // Where news never cease, a member that agrees with nobody for a while has missed some.
-  const bool lost = now - last_agreed_ >= 5 * options_.quiet;
-  if ((lost || now - changed_ >= options_.quiet) && now >= next_sync_)
+  const bool lost = now - last_agreed_ >= 5 * options_.sync_delay;
+  if ((lost || now - changed_ >= options_.sync_delay) && now >= next_sync_)
     Sync(members_[at].record->address(), now);
 }
 
--- a/src/peers/frame.h
+++ b/src/peers/frame.h
@@ -22,36 +22,36 @@
 
 namespace copperpoint::peers {
 
-extern const std::uint8_t kVersion;       // that this program writes, and the newest that it reads
-extern const std::uint8_t kLeastVersion;  // that a reader of our messages has to know
-inline constexpr std::size_t kHeader = 24;
-inline constexpr std::size_t kMostDatagram = 1200;  // bytes, header and all
-inline constexpr std::size_t kMostFrame = std::size_t{8} * 1024 * 1024;
+extern const std::uint8_t kFormatVersion;     // that this program writes, and the newest that it reads
+extern const std::uint8_t kMinReaderVersion;  // that a reader of our messages has to know
+inline constexpr std::size_t kHeaderBytes = 24;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;  // bytes, header and all
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{8} * 1024 * 1024;
 
 // Why a message was not taken.
-enum class Refusal {
+enum class FrameError {
   kNone,
   kMalformed,  // too short, no magic, or no message behind a good digest
   kOtherCluster,
   kForged,  // the digest is not ours
   kTooNew,  // a good digest, and a format that we cannot read
 };
-inline constexpr int kRefusals = 5;
-const char* NameOf(Refusal refusal);
+inline constexpr int kFrameErrors = 5;
+const char* NameOf(FrameError error);
 
 // The secret that makes a message one of this fleet's.
-class Seal {
+class FrameCodec {
  public:
-  static constexpr std::size_t kLeastKey = 16, kMostKey = 64;  // bytes
+  static constexpr std::size_t kMinKeyBytes = 16, kMaxKeyBytes = 64;  // bytes
 
   // Throws std::invalid_argument unless `key` is 16 to 64 bytes long.
-  Seal(std::string_view cluster, std::string_view key);
+  FrameCodec(std::string_view cluster, std::string_view key);
 
-  std::string Close(const wire::Message& message) const { return Close(message.SerializeAsString()); }
+  std::string Encode(const wire::Message& message) const { return Encode(message.SerializeAsString()); }
   // `body` is a serialized message; the versions are for tests of what is to come.
-  std::string Close(std::string_view body) const { return Close(body, kVersion, kLeastVersion); }
-  std::string Close(std::string_view body, std::uint8_t version, std::uint8_t least) const;
-  Refusal Open(std::string_view bytes, wire::Message* message) const;
+  std::string Encode(std::string_view body) const { return Encode(body, kFormatVersion, kMinReaderVersion); }
+  std::string Encode(std::string_view body, std::uint8_t version, std::uint8_t least) const;
+  FrameError Decode(std::string_view bytes, wire::Message* message) const;
 
  private:
   std::array<unsigned char, 16> Digest(std::string_view bytes) const;
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -17,8 +17,8 @@
 using Udp = asio::ip::udp;
 using Error = boost::system::error_code;
 
-constexpr int kPortsTried = 16;
-constexpr std::chrono::milliseconds kPause{50};  // after a failed accept
+constexpr int kMaxBindAttempts = 16;
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // after a failed accept
 
 }  // namespace
 
@@ -38,22 +38,22 @@
   return true;
 }
 
-std::string TextOf(const Udp::endpoint& address) {
+std::string FormatAddress(const Udp::endpoint& address) {
   const std::string host = address.address().to_string();
   const std::string port = ':' + std::to_string(address.port());
   return address.address().is_v6() ? '[' + host + ']' + port : host + port;
 }
 
 // One exchange: four bytes of length (big end first) and a frame, each way. An empty frame is the end of one.
-class Transport::Conversation : public std::enable_shared_from_this<Conversation> {
+class Transport::Session : public std::enable_shared_from_this<Session> {
  public:
-  explicit Conversation(Transport& owner, Tcp::socket socket)
+  explicit Session(Transport& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
 
   void Ask(const Tcp::endpoint& to, std::string frame) {
     Limit();
     out_ = std::move(frame);
-    asks_ = true;
+    is_client_ = true;
     Error failed;
     socket_.open(to.protocol(), failed);
     // From the address that datagrams come from too: so the other knows who asks.
@@ -71,7 +71,7 @@
     Read();
   }
 
-  void Orphan() {
+  void Detach() {
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
@@ -80,7 +80,7 @@
 
  private:
   void Limit() {
-    timer_.expires_after(owner_->limits_.exchange);
+    timer_.expires_after(owner_->limits_.exchange_timeout);
     timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
       if (!cancelled && self->owner_) self->Close(false);
     });
@@ -92,7 +92,7 @@
     const std::array<asio::const_buffer, 2> both{asio::buffer(length_), asio::buffer(out_)};
     asio::async_write(socket_, both, [self = shared_from_this()](const Error& error, std::size_t) {
       if (!self->owner_) return;
-      if (error || !self->asks_) return self->Close(!error);
+      if (error || !self->is_client_) return self->Close(!error);
       self->Read();
     });
   }
@@ -103,7 +103,7 @@
                        if (!self->owner_) return;
                        std::size_t size = 0;
                        for (const unsigned char byte : self->length_) size = size << 8 | byte;
-                       if (error || size > kMostFrame) return self->Close(false);
+                       if (error || size > kMaxFrameBytes) return self->Close(false);
                        if (size == 0) return self->Close(true);
                        self->ReadBody(size);
                      });
@@ -124,19 +124,19 @@
   }
 
   void OnFrame() {
-    if (asks_) {
-      const auto handlers = owner_->handlers_.answered;
+    if (is_client_) {
+      const auto handlers = owner_->handlers_.on_response;
       Close(true);
       return handlers(in_);
     }
-    out_ = owner_->handlers_.asked(in_);
+    out_ = owner_->handlers_.on_request(in_);
     if (owner_) Write();
   }
 
   void Close(bool well) {
     Transport* owner = std::exchange(owner_, nullptr);
     if (!owner) return;
-    owner->counters_.failed += asks_ && !well;
+    owner->counters_.failed += is_client_ && !well;
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
@@ -148,11 +148,16 @@
   asio::steady_timer timer_;
   std::array<unsigned char, 4> length_{};
   std::string in_, out_;
-  bool asks_ = false;
+  bool is_client_ = false;
 };
 
 Transport::Transport(asio::io_context& io, const Udp::endpoint& bind, Handlers handlers, Limits limits)
-    : io_(io), handlers_(std::move(handlers)), limits_(limits), udp_(io), acceptor_(io), pause_(io) {
+    : io_(io),
+      handlers_(std::move(handlers)),
+      limits_(limits),
+      udp_(io),
+      acceptor_(io),
+      accept_retry_timer_(io) {
   Bind(bind);
   udp_.non_blocking(true);
   acceptor_.listen();
@@ -171,14 +176,14 @@
     Error failed;
     acceptor_.bind(same, failed);
     if (!failed) return;
-    if (bind.port() != 0 || tried == kPortsTried) throw boost::system::system_error(failed, "bind");
+    if (bind.port() != 0 || tried == kMaxBindAttempts) throw boost::system::system_error(failed, "bind");
     udp_.close();
     acceptor_.close();
   }
 }
 
 Transport::~Transport() {
-  for (const auto& conversation : open_) conversation->Orphan();
+  for (const auto& session : open_) session->Detach();
 }
 
 void Transport::Receive() {
@@ -190,12 +195,12 @@
 }
 
 void Transport::ReceiveAll() {
-  for (int i = 0; i < limits_.datagrams_at_once; ++i) {
+  for (int i = 0; i < limits_.max_datagrams_per_wakeup; ++i) {
     Error failed;
     const std::size_t size = udp_.receive_from(asio::buffer(buffer_), from_, 0, failed);
     if (failed == asio::error::would_block) return;
-    if (failed) continue;  // such as an earlier datagram's refusal
-    handlers_.datagram(TextOf(from_), {buffer_.data(), size});
+    if (failed) continue;  // such as an earlier datagram's error
+    handlers_.on_datagram(FormatAddress(from_), {buffer_.data(), size});
   }
 }
 
@@ -203,18 +208,18 @@
   acceptor_.async_accept([this](const Error& failed, Tcp::socket socket) {
     if (failed == asio::error::operation_aborted) return;
     if (failed) {
-      pause_.expires_after(kPause);
-      pause_.async_wait([this](const Error& cancelled) {
+      accept_retry_timer_.expires_after(kAcceptRetryDelay);
+      accept_retry_timer_.async_wait([this](const Error& cancelled) {
         if (!cancelled) Accept();
       });
       return;
     }
-    if (open_.size() >= limits_.exchanges) {
-      ++counters_.turned_away;
+    if (open_.size() >= limits_.max_exchanges) {
+      ++counters_.rejected;
     } else {
-      const auto conversation = std::make_shared<Conversation>(*this, std::move(socket));
-      open_.insert(conversation);
-      conversation->Answer();
+      const auto session = std::make_shared<Session>(*this, std::move(socket));
+      open_.insert(session);
+      session->Answer();
     }
     Accept();
   });
@@ -229,13 +234,13 @@
 
 void Transport::Exchange(const std::string& to, std::string frame) {
   Udp::endpoint address;
-  if (!ParseAddress(to, &address) || open_.size() >= limits_.exchanges) {
+  if (!ParseAddress(to, &address) || open_.size() >= limits_.max_exchanges) {
     ++counters_.failed;
     return;
   }
-  const auto conversation = std::make_shared<Conversation>(*this, Tcp::socket(io_));
-  open_.insert(conversation);
-  conversation->Ask({address.address(), address.port()}, std::move(frame));
+  const auto session = std::make_shared<Session>(*this, Tcp::socket(io_));
+  open_.insert(session);
+  session->Ask({address.address(), address.port()}, std::move(frame));
 }
 
 }  // namespace copperpoint::peers
--- a/src/peers/transport.h
+++ b/src/peers/transport.h
@@ -23,19 +23,19 @@
 class Transport {
  public:
   struct Handlers {
-    std::function<void(const std::string& from, std::string_view bytes)> datagram;
-    std::function<std::string(std::string_view frame)> asked;  // its answer; empty: none
-    std::function<void(std::string_view frame)> answered;
+    std::function<void(const std::string& from, std::string_view bytes)> on_datagram;
+    std::function<std::string(std::string_view frame)> on_request;  // its answer; empty: none
+    std::function<void(std::string_view frame)> on_response;
   };
   struct Limits {
-    std::size_t exchanges = 16;                // at a time, begun here and come in together
-    std::chrono::milliseconds exchange{3000};  // for one, from its connection to its end
-    int datagrams_at_once = 64;                // before whatever else waits gets its turn
+    std::size_t max_exchanges = 16;                    // at a time, begun here and come in together
+    std::chrono::milliseconds exchange_timeout{3000};  // for one, from its connection to its end
+    int max_datagrams_per_wakeup = 64;                 // before whatever else waits gets its turn
   };
   struct Counters {
-    std::uint64_t unsent = 0;       // datagrams that the socket did not take, or with no address
-    std::uint64_t turned_away = 0;  // exchanges over the limit
-    std::uint64_t failed = 0;       // exchanges begun here that came to nothing
+    std::uint64_t unsent = 0;    // datagrams that the socket did not take, or with no address
+    std::uint64_t rejected = 0;  // exchanges over the limit
+    std::uint64_t failed = 0;    // exchanges begun here that came to nothing
   };
 
   // Binds both sockets; the port may be 0. Throws boost::system::system_error if it cannot.
@@ -55,8 +55,8 @@
   const Counters& counters() const { return counters_; }
 
  private:
-  class Conversation;
-  friend class Conversation;
+  class Session;
+  friend class Session;
 
   void Bind(const boost::asio::ip::udp::endpoint& bind);
   void Receive();
@@ -68,16 +68,16 @@
   Limits limits_;
   boost::asio::ip::udp::socket udp_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer accept_retry_timer_;
   boost::asio::ip::udp::endpoint from_;
   std::array<char, 2048> buffer_;
-  std::unordered_set<std::shared_ptr<Conversation>> open_;
+  std::unordered_set<std::shared_ptr<Session>> open_;
   Counters counters_;
 };
 
 // "a.b.c.d:port" or "[v6]:port", with numbers alone. False if it is none.
 bool ParseAddress(std::string_view text, boost::asio::ip::udp::endpoint* address);
-std::string TextOf(const boost::asio::ip::udp::endpoint& address);
+std::string FormatAddress(const boost::asio::ip::udp::endpoint& address);
 
 }  // namespace copperpoint::peers
 
--- a/src/subsetting/ring_position.cpp
+++ b/src/subsetting/ring_position.cpp
@@ -9,7 +9,7 @@
 
 namespace copperpoint::subsetting {
 
-std::optional<double> TurnAmong(const std::vector<Peer>& peers, const std::string& name) {
+std::optional<double> RingOffsetAmong(const std::vector<Peer>& peers, const std::string& name) {
   const auto me = std::find_if(peers.begin(), peers.end(), [&](const Peer& p) { return p.name == name; });
   if (me == peers.end()) return std::nullopt;
   // Names break ties, so that all rank alike.
@@ -30,43 +30,44 @@
   return (rank + zone / static_cast<double>(zones.size())) / of_zone;
 }
 
-bool Positions::Serves(const membership::Members& members, int at) {
+bool RingPosition::Serves(const membership::MemberTable& members, int at) {
   // One that drains takes no more clients: it keeps its place like one that went.
-  return at != membership::Members::kNone && members[at].living() &&
-         members[at].record->state() <= static_cast<std::uint32_t>(membership::State::kServing);
+  return at != membership::MemberTable::kNotFound && members[at].living() &&
+         members[at].record->state() <= static_cast<std::uint32_t>(membership::MemberState::kServing);
 }
 
-std::optional<double> Positions::Look(const membership::View& view, membership::Time now) {
+std::optional<double> RingPosition::Update(const membership::Membership& view, membership::Time now) {
   const bool changed = view.members().hash() != seen_;
-  if (!view.established() || view.silent() || (!changed && now < next_)) return std::nullopt;
+  if (!view.established() || view.stopped() || (!changed && now < next_)) return std::nullopt;
   seen_ = view.members().hash();
   if (!std::exchange(pending_, true)) changed_ = now;
   CountPlaces(view.members(), now);
   // In doubt it stays where it is. The first position is taken at once: nothing moves by it yet.
-  const bool free = !turn_ || now >= moved_ + options_.hold;
-  const bool sure = view.settled() || now >= changed_ + options_.patience;
+  const bool free = !ring_offset_ || now >= moved_ + options_.min_hold;
+  const bool sure = view.converged() || now >= changed_ + options_.max_unconverged_wait;
   if (!free || !sure) {
-    next_ = std::min(next_, free ? now + options_.hold / 4 : moved_ + options_.hold);
+    next_ = std::min(next_, free ? now + options_.min_hold / 4 : moved_ + options_.min_hold);
     return std::nullopt;
   }
   pending_ = false;
   std::vector<Peer> peers;
   peers.reserve(places_.size());
   for (const auto& [name, place] : places_) peers.push_back({name, place.zone});
-  const std::optional<double> turn = TurnAmong(peers, view.self().name());
-  if (!turn || turn == turn_) return std::nullopt;
+  const std::optional<double> turn = RingOffsetAmong(peers, view.self().name());
+  if (!turn || turn == ring_offset_) return std::nullopt;
   moved_ = now;
-  return turn_ = turn;
+  return ring_offset_ = turn;
 }
 
-void Positions::CountPlaces(const membership::Members& members, membership::Time now) {
+void RingPosition::CountPlaces(const membership::MemberTable& members, membership::Time now) {
   for (const int at : members.living()) {
     if (Serves(members, at)) places_[members[at].record->name()] = {members[at].record->zone(), kHere};
   }
   next_ = membership::Time::max();
   for (auto of = places_.begin(); of != places_.end();) {
     auto& [name, place] = *of;
-    if (place.until == kHere && !Serves(members, members.Find(name))) place.until = now + options_.keep;
+    if (place.until == kHere && !Serves(members, members.Find(name)))
+      place.until = now + options_.departed_retention;
     if (place.until > now) next_ = std::min(next_, place.until);
     of = place.until > now ? std::next(of) : places_.erase(of);
   }
--- a/src/subsetting/ring_position.h
+++ b/src/subsetting/ring_position.h
@@ -25,24 +25,25 @@
 // From 0 to below 1: (rank + zone's rank / zones) / peers of the zone, ranks by a hash of names, so that one
 // that joins or goes moves each other one by less than 1 / peers. Zones stand between each other's steps.
 // nullopt: nobody of this name is among them.
-std::optional<double> TurnAmong(const std::vector<Peer>& peers, const std::string& name);
+std::optional<double> RingOffsetAmong(const std::vector<Peer>& peers, const std::string& name);
 
 // Follows one proxy's view, and says when its position is another one.
-class Positions {
+class RingPosition {
  public:
   struct Options {
-    membership::Time hold = std::chrono::seconds(2);       // between two moves
-    membership::Time patience = std::chrono::seconds(10);  // a view that will not settle is taken as it is
+    membership::Time min_hold = std::chrono::seconds(2);  // between two moves
+    membership::Time max_unconverged_wait =
+        std::chrono::seconds(10);  // a view that will not settle is taken as it is
     // One that went keeps its place for so long: a restart, as in a rolling change, moves nobody.
-    membership::Time keep = std::chrono::seconds(10);
+    membership::Time departed_retention = std::chrono::seconds(10);
   };
 
-  Positions() = default;
-  explicit Positions(const Options& options) : options_(options) {}
+  RingPosition() = default;
+  explicit RingPosition(const Options& options) : options_(options) {}
 
   // The new position, if it is another one than was said last. To be called after anything happened to the
   // view, and at next(). `now` is the host's.
-  std::optional<double> Look(const membership::View& view, membership::Time now);
+  std::optional<double> Update(const membership::Membership& view, membership::Time now);
   membership::Time next() const { return next_; }
 
  private:
@@ -51,15 +52,15 @@
     std::string zone;
     membership::Time until = kHere;  // of one that went: it is given up then
   };
-  static bool Serves(const membership::Members& members, int at);
-  void CountPlaces(const membership::Members& members, membership::Time now);
+  static bool Serves(const membership::MemberTable& members, int at);
+  void CountPlaces(const membership::MemberTable& members, membership::Time now);
 
   Options options_;
   std::unordered_map<std::string, Place> places_;
   std::uint64_t seen_ = 0;  // the view's hash at the last look
   bool pending_ = false;    // something changed, and the position was not looked at anew since
   membership::Time changed_{}, moved_{}, next_ = membership::Time::max();
-  std::optional<double> turn_;
+  std::optional<double> ring_offset_;
 };
 
 }  // namespace copperpoint::subsetting
--- a/tests/membership/frame_test.cpp
+++ b/tests/membership/frame_test.cpp
@@ -14,88 +14,89 @@
 namespace copperpoint::testing {
 namespace {
 
-using peers::Refusal;
-using peers::Seal;
+using peers::FrameCodec;
+using peers::FrameError;
 
 wire::Message Sample() {
   wire::Message message;
   message.set_kind(wire::KIND_PING);
   message.set_from("p1");
-  message.set_life(77);
+  message.set_incarnation(77);
   message.set_sequence(3);
   return message;
 }
 
 TEST(Frame, OnlyTheSameClusterAndKeyAreTaken) {
-  const Seal ours("c", kKey);
+  const FrameCodec ours("c", kKey);
   wire::Message read;
-  EXPECT_EQ(ours.Open(ours.Close(Sample()), &read), Refusal::kNone);
+  EXPECT_EQ(ours.Decode(ours.Encode(Sample()), &read), FrameError::kNone);
   EXPECT_EQ(read.from(), "p1");
-  EXPECT_EQ(ours.Open(Seal("other", kKey).Close(Sample()), &read), Refusal::kOtherCluster);
-  EXPECT_EQ(ours.Open(Seal("c", "another key of its own").Close(Sample()), &read), Refusal::kForged);
-  EXPECT_EQ(ours.Open("hello", &read), Refusal::kMalformed);
-  EXPECT_EQ(ours.Open("", &read), Refusal::kMalformed);
-  EXPECT_THROW(Seal("c", "short"), std::invalid_argument);
+  EXPECT_EQ(ours.Decode(FrameCodec("other", kKey).Encode(Sample()), &read), FrameError::kOtherCluster);
+  EXPECT_EQ(ours.Decode(FrameCodec("c", "another key of its own").Encode(Sample()), &read),
+            FrameError::kForged);
+  EXPECT_EQ(ours.Decode("hello", &read), FrameError::kMalformed);
+  EXPECT_EQ(ours.Decode("", &read), FrameError::kMalformed);
+  EXPECT_THROW(FrameCodec("c", "short"), std::invalid_argument);
 }
 
 // Mutant: the digest is not checked.
 TEST(Frame, NoBitMayTurn) {
-  const Seal ours("c", kKey);
-  const std::string good = ours.Close(Sample());
+  const FrameCodec ours("c", kKey);
+  const std::string good = ours.Encode(Sample());
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
     std::string bad = good;
     bad[bit / 8] = static_cast<char>(bad[bit / 8] ^ (1 << bit % 8));
     wire::Message read;
-    EXPECT_NE(ours.Open(bad, &read), Refusal::kNone) << bit;
+    EXPECT_NE(ours.Decode(bad, &read), FrameError::kNone) << bit;
   }
   for (std::size_t size = 0; size < good.size(); ++size) {
     wire::Message read;
-    EXPECT_NE(ours.Open(good.substr(0, size), &read), Refusal::kNone) << size;
+    EXPECT_NE(ours.Decode(good.substr(0, size), &read), FrameError::kNone) << size;
   }
 }
 
 TEST(Frame, AFormatThatIsTooNewIsToldFromAForgery) {
-  const Seal ours("c", kKey);
+  const FrameCodec ours("c", kKey);
   wire::Message read;
-  EXPECT_EQ(ours.Open(ours.Close(Sample().SerializeAsString(), 9, 2), &read), Refusal::kTooNew);
+  EXPECT_EQ(ours.Decode(ours.Encode(Sample().SerializeAsString(), 9, 2), &read), FrameError::kTooNew);
   // A newer one that an older reader may read.
-  EXPECT_EQ(ours.Open(ours.Close(Sample().SerializeAsString(), 9, 1), &read), Refusal::kNone);
+  EXPECT_EQ(ours.Decode(ours.Encode(Sample().SerializeAsString(), 9, 1), &read), FrameError::kNone);
 }
 
 TEST(Frame, AMemberAnswersWhatItCannotReadOnceASecond) {
-  Net net;
-  View& a = net.Add("a", {});
-  const std::string newer = Seal("c", kKey).Close(Sample().SerializeAsString(), 9, 2);
+  TestNetwork net;
+  Membership& a = net.Add("a", {});
+  const std::string newer = FrameCodec("c", kKey).Encode(Sample().SerializeAsString(), 9, 2);
   for (int i = 0; i < 100; ++i) a.OnDatagram(net.now, "stranger", newer);
   const membership::Output output = a.Take();
   EXPECT_EQ(output.datagrams.size(), 1u);
-  EXPECT_EQ(a.counters().refused[static_cast<std::size_t>(Refusal::kTooNew)], 100u);
+  EXPECT_EQ(a.counters().rejected[static_cast<std::size_t>(FrameError::kTooNew)], 100u);
   ASSERT_EQ(output.events.size(), 1u);
-  EXPECT_EQ(output.events[0].kind, Happened::Kind::kTooNew);
+  EXPECT_EQ(output.events[0].kind, Event::Kind::kTooNew);
 }
 
 // A field that this version does not know goes on with the record that holds it.
 TEST(Frame, UnknownFieldsPassThrough) {
-  Net net;
+  TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
   net.Run(1000);
   wire::Claim claim;
   auto* record = claim.mutable_record();
   record->set_name("newer");
   record->set_address("nowhere");
-  record->set_life(5);
-  record->set_incarnation(1);
+  record->set_incarnation(5);
+  record->set_refutation_number(1);
   // Field 99, of a later version, as text.
   std::string bytes = record->SerializeAsString() +
                       "\x9a\x06\x03"
                       "abc";
   ASSERT_TRUE(record->ParseFromString(bytes));
-  wire::Message message =
-      MessageOf(*net.views["b"], wire::KIND_GOSSIP, net.views["a"]->self().life(), net.sequences["b"] + 1);
+  wire::Message message = MessageOf(*net.nodes["b"], wire::KIND_GOSSIP, net.nodes["a"]->self().incarnation(),
+                                    net.sequences["b"] + 1);
   *message.add_claims() = claim;
   net.Deliver("a", message);
   net.Run(500);
-  const auto& members = net.views["c"]->members();
+  const auto& members = net.nodes["c"]->members();
   ASSERT_GE(members.Find("newer"), 0);
   EXPECT_NE(members[members.Find("newer")].record->SerializeAsString().find("abc"), std::string::npos);
 }
@@ -104,7 +105,7 @@
 TEST(Frame, RecordedDatagramsOfVersionOneAreRead) {
   std::ifstream file(std::string(SOURCE_DIR) + "/tests/membership/datagrams_v1.txt");
   ASSERT_TRUE(file.is_open());
-  const Seal seal("recorded", "the key of the recording");
+  const FrameCodec codec("recorded", "the key of the recording");
   int read = 0;
   for (std::string line; std::getline(file, line);) {
     if (line.empty() || line.front() == '#') continue;
@@ -112,9 +113,9 @@
     for (std::size_t i = 0; i + 1 < line.size(); i += 2)
       bytes += static_cast<char>(std::stoi(line.substr(i, 2), nullptr, 16));
     wire::Message message;
-    ASSERT_EQ(seal.Open(bytes, &message), Refusal::kNone) << line;
+    ASSERT_EQ(codec.Decode(bytes, &message), FrameError::kNone) << line;
     EXPECT_EQ(message.from(), "p1");
-    EXPECT_EQ(seal.Close(message), bytes);
+    EXPECT_EQ(codec.Encode(message), bytes);
     ++read;
   }
   EXPECT_GE(read, 4);
@@ -122,24 +123,24 @@
 
 // Whatever comes, sealed or not, a member neither falls nor forgets who it is.
 TEST(Frame, NoiseChangesNothing) {
-  Net net;
+  TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
   net.Run(1000);
-  const auto hash = net.views["a"]->members().hash();
+  const auto hash = net.nodes["a"]->members().hash();
   std::mt19937_64 random(7);
-  const Seal seal("c", kKey);
-  const std::string good = seal.Close(Sample());
+  const FrameCodec codec("c", kKey);
+  const std::string good = codec.Encode(Sample());
   for (int i = 0; i < 20000; ++i) {
     std::string noise(random() % 200, '\0');
     for (char& c : noise) c = static_cast<char>(random());
     if (i % 3 == 0) noise = good.substr(0, random() % good.size()) + noise;
-    if (i % 3 == 1) noise = seal.Close(std::string_view(noise));  // a good digest over nonsense
-    net.views["a"]->OnDatagram(net.now, "x", noise);
-    if (i % 5 == 0) net.views["a"]->OnExchange(net.now, noise);
-    net.views["a"]->Take();
+    if (i % 3 == 1) noise = codec.Encode(std::string_view(noise));  // a good digest over nonsense
+    net.nodes["a"]->OnDatagram(net.now, "x", noise);
+    if (i % 5 == 0) net.nodes["a"]->OnExchange(net.now, noise);
+    net.nodes["a"]->Take();
   }
-  EXPECT_EQ(net.views["a"]->members().hash(), hash);
-  EXPECT_FALSE(net.views["a"]->silent());
+  EXPECT_EQ(net.nodes["a"]->members().hash(), hash);
+  EXPECT_FALSE(net.nodes["a"]->stopped());
 }
 
 }  // namespace
--- a/tests/membership/fuzz_frame.cpp
+++ b/tests/membership/fuzz_frame.cpp
@@ -13,19 +13,19 @@
 
 namespace {
 
+using copperpoint::membership::Membership;
 using copperpoint::membership::Record;
 using copperpoint::membership::Time;
-using copperpoint::membership::View;
-using copperpoint::peers::Seal;
+using copperpoint::peers::FrameCodec;
 
 constexpr char kKey[] = "sixteen bytes or more";
 
-std::unique_ptr<View> Member(const std::string& name) {
+std::unique_ptr<Membership> Member(const std::string& name) {
   Record self;
   self.set_name(name);
   self.set_address(name);
-  return std::make_unique<View>(copperpoint::membership::Options(), Seal("c", kKey), self, 7,
-                                Time(1'000'000));
+  return std::make_unique<Membership>(copperpoint::membership::Options(), FrameCodec("c", kKey), self, 7,
+                                      Time(1'000'000));
 }
 
 void Require(bool holds) {
@@ -51,17 +51,17 @@
     a->OnDatagram(later, "x", bytes);
     Require(a->members().hash() == before);  // nobody has the key
   } else if (how == 1) {
-    a->OnDatagram(later, "x", Seal("c", kKey).Close(std::string_view(bytes)));
+    a->OnDatagram(later, "x", FrameCodec("c", kKey).Encode(std::string_view(bytes)));
   } else if (how == 2) {
-    a->OnExchange(later, Seal("c", kKey).Close(std::string_view(bytes)));
+    a->OnExchange(later, FrameCodec("c", kKey).Encode(std::string_view(bytes)));
   } else {
-    a->OnReply(later, Seal("c", kKey).Close(std::string_view(bytes)));
+    a->OnReply(later, FrameCodec("c", kKey).Encode(std::string_view(bytes)));
   }
   a->Take();
   for (int i = 1; i < 20; ++i) {
     a->OnTick(later + Time(100'000) * i);
     for (const auto& datagram : a->Take().datagrams)
-      Require(datagram.bytes.size() <= copperpoint::peers::kMostDatagram);
+      Require(datagram.bytes.size() <= copperpoint::peers::kMaxDatagramBytes);
   }
   Require(a->self().name() == "a");
   return 0;
--- a/tests/membership/membership_testing.h
+++ b/tests/membership/membership_testing.h
@@ -14,31 +14,33 @@
 
 namespace copperpoint::testing {
 
-using membership::Happened;
-using membership::Status;
+using membership::Event;
+using membership::Membership;
+using membership::MemberStatus;
 using membership::Time;
-using membership::View;
 using std::chrono::milliseconds;
 
 inline const char kKey[] = "sixteen bytes or more";
 
-class Net {
+class TestNetwork {
  public:
-  explicit Net(membership::Options options = {}) : options(options) {}
+  explicit TestNetwork(membership::Options options = {}) : options(options) {}
 
-  View& Add(const std::string& name, const std::vector<std::string>& seeds = {"a"}, std::uint64_t seed = 0) {
+  Membership& Add(const std::string& name, const std::vector<std::string>& seeds = {"a"},
+                  std::uint64_t seed = 0) {
     membership::Record self;
     self.set_name(name);
     self.set_address(name);
-    views[name] = std::make_unique<View>(options, peers::Seal("c", kKey), self, seed ? seed : ++seeds_, now);
-    views[name]->Join(now, seeds);
+    nodes[name] = std::make_unique<Membership>(options, peers::FrameCodec("c", kKey), self,
+                                               seed ? seed : ++seeds_, now);
+    nodes[name]->Join(now, seeds);
     Flush(name);
-    return *views[name];
+    return *nodes[name];
   }
   // Runs until `ms` have passed, in steps of 10 ms.
   void Run(int ms) {
     for (const Time until = now + milliseconds(ms); now < until; now += milliseconds(10)) {
-      for (auto& [name, v] : views) {
+      for (auto& [name, v] : nodes) {
         if (stopped[name] || v->next() > now) continue;
         v->OnTick(now);
         Flush(name);
@@ -46,54 +48,54 @@
     }
   }
   void Flush(const std::string& name) {
-    membership::Output output = views[name]->Take();
-    for (const auto& event : output.events) happened[name].push_back(event);
+    membership::Output output = nodes[name]->Take();
+    for (const auto& event : output.events) events[name].push_back(event);
     for (const auto& d : output.datagrams) {
       if (tap) tap(name, d.to, d.bytes);
       wire::Message said;
-      if (peers::Seal("c", kKey).Open(d.bytes, &said) == peers::Refusal::kNone)
+      if (peers::FrameCodec("c", kKey).Decode(d.bytes, &said) == peers::FrameError::kNone)
         sequences[name] = said.sequence();
-      if (!views.contains(d.to) || stopped[d.to] || (passes && !passes(name, d.to))) continue;
-      views[d.to]->OnDatagram(now, name, d.bytes);
+      if (!nodes.contains(d.to) || stopped[d.to] || (passes && !passes(name, d.to))) continue;
+      nodes[d.to]->OnDatagram(now, name, d.bytes);
       Flush(d.to);
     }
     for (const auto& e : output.exchanges) {
-      if (!views.contains(e.to) || stopped[e.to] || (passes && !passes(name, e.to))) continue;
-      const std::string answer = views[e.to]->OnExchange(now, e.bytes);
+      if (!nodes.contains(e.to) || stopped[e.to] || (passes && !passes(name, e.to))) continue;
+      const std::string answer = nodes[e.to]->OnExchange(now, e.bytes);
       Flush(e.to);
-      if (!answer.empty()) views[name]->OnReply(now, answer);
+      if (!answer.empty()) nodes[name]->OnReply(now, answer);
       Flush(name);
     }
   }
   // What `of` says to `to` now, as the network would carry it.
   void Deliver(const std::string& to, const wire::Message& message) {
-    views[to]->OnDatagram(now, message.from(), peers::Seal("c", kKey).Close(message));
+    nodes[to]->OnDatagram(now, message.from(), peers::FrameCodec("c", kKey).Encode(message));
     Flush(to);
   }
-  Status StatusAt(const std::string& observer, const std::string& of) {
-    const auto& members = views[observer]->members();
+  MemberStatus StatusAt(const std::string& observer, const std::string& of) {
+    const auto& members = nodes[observer]->members();
     const int at = members.Find(of);
-    return at < 0 ? Status::kLeft : members[at].status;
+    return at < 0 ? MemberStatus::kLeft : members[at].status;
   }
-  int Count(const std::string& observer, Happened::Kind kind, const std::string& of) {
+  int Count(const std::string& observer, Event::Kind kind, const std::string& of) {
     int n = 0;
-    for (const auto& event : happened[observer]) n += event.kind == kind && event.name == of;
+    for (const auto& event : events[observer]) n += event.kind == kind && event.name == of;
     return n;
   }
-  bool OneView() {
-    for (const auto& [name, v] : views)
-      if (v->members().hash() != views.begin()->second->members().hash() ||
-          v->members().living().size() != views.size())
+  bool Converged() {
+    for (const auto& [name, v] : nodes)
+      if (v->members().hash() != nodes.begin()->second->members().hash() ||
+          v->members().living().size() != nodes.size())
         return false;
     return true;
   }
 
   membership::Options options;
   Time now{milliseconds(1000)};
-  std::map<std::string, std::unique_ptr<View>> views;
+  std::map<std::string, std::unique_ptr<Membership>> nodes;
   std::map<std::string, bool> stopped;
   std::map<std::string, std::uint32_t> sequences;  // of the last message that each has said
-  std::map<std::string, std::vector<Happened>> happened;
+  std::map<std::string, std::vector<Event>> events;
   std::function<bool(const std::string&, const std::string&)> passes;
   std::function<void(const std::string&, const std::string&, const std::string&)> tap;
 
@@ -102,15 +104,15 @@
 };
 
 // A message as `of` would say it, with a sequence above all that it has said.
-inline wire::Message MessageOf(const View& of, wire::Kind kind, std::uint64_t to_life,
+inline wire::Message MessageOf(const Membership& of, wire::Kind kind, std::uint64_t to_incarnation,
                                std::uint32_t sequence) {
   wire::Message message;
   message.set_kind(kind);
   message.set_from(of.self().name());
-  message.set_life(of.self().life());
   message.set_incarnation(of.self().incarnation());
+  message.set_refutation_number(of.self().refutation_number());
   message.set_sequence(sequence);
-  message.set_to_life(to_life);
+  message.set_to_incarnation(to_incarnation);
   return message;
 }
 
--- a/tests/subsetting/ring_position_test.cpp
+++ b/tests/subsetting/ring_position_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 using subsetting::Peer;
-using subsetting::Positions;
-using subsetting::TurnAmong;
+using subsetting::RingOffsetAmong;
+using subsetting::RingPosition;
 
 std::vector<Peer> Fleet(int proxies, int zones) {
   std::vector<Peer> peers;
@@ -27,13 +27,13 @@
 std::vector<int> Holders(const std::vector<Peer>& peers, int servers, int width) {
   std::vector<int> held(static_cast<std::size_t>(servers));
   for (const Peer& peer : peers) {
-    const auto start = static_cast<int>(*TurnAmong(peers, peer.name) * servers);
+    const auto start = static_cast<int>(*RingOffsetAmong(peers, peer.name) * servers);
     for (int k = 0; k < width; ++k) ++held[static_cast<std::size_t>((start + k) % servers)];
   }
   return held;
 }
 
-TEST(Positions, EachServerIsHeldByAsManyProxiesToOne) {
+TEST(RingPosition, EachServerIsHeldByAsManyProxiesToOne) {
   for (const auto& [proxies, zones, servers] : std::vector<std::tuple<int, int, int>>{
            {300, 1, 200}, {300, 6, 200}, {24, 3, 12}, {50, 1, 200}, {7, 2, 31}, {1, 1, 5}}) {
     const auto held = Holders(Fleet(proxies, zones), servers, std::min(8, servers));
@@ -44,25 +44,25 @@
   }
 }
 
-TEST(Positions, OneThatJoinsMovesEachOtherByLessThanAStep) {
+TEST(RingPosition, OneThatJoinsMovesEachOtherByLessThanAStep) {
   std::vector<Peer> fleet = Fleet(40, 1);
   for (int joins = 0; joins < 20; ++joins) {
     std::vector<Peer> more = fleet;
     more.push_back({std::string("new").append(std::to_string(joins)), "a"});
     for (const Peer& peer : fleet) {
-      const double moved = std::abs(*TurnAmong(more, peer.name) - *TurnAmong(fleet, peer.name));
+      const double moved = std::abs(*RingOffsetAmong(more, peer.name) - *RingOffsetAmong(fleet, peer.name));
       EXPECT_LT(moved, 1.0 / static_cast<double>(fleet.size()) + 1e-9);
     }
     fleet = more;
   }
 }
 
-TEST(Positions, AnotherZoneMovesNobodyByMoreThanAStepAndAStrangerHasNone) {
+TEST(RingPosition, AnotherZoneMovesNobodyByMoreThanAStepAndAStrangerHasNone) {
   std::vector<Peer> fleet = Fleet(20, 2);
-  EXPECT_FALSE(TurnAmong(fleet, "stranger").has_value());
-  const double before = *TurnAmong(fleet, "p0");
+  EXPECT_FALSE(RingOffsetAmong(fleet, "stranger").has_value());
+  const double before = *RingOffsetAmong(fleet, "p0");
   fleet.push_back({"elsewhere", "c"});
-  EXPECT_NEAR(*TurnAmong(fleet, "p0"), before, 1.0 / 10);
+  EXPECT_NEAR(*RingOffsetAmong(fleet, "p0"), before, 1.0 / 10);
 }
 
 // Five members whose positions are followed as the proxy does, all in one zone.
@@ -70,14 +70,15 @@
  public:
   Followed() {
     for (const char* name : {"a", "b", "c", "d", "e"}) net.Add(name);
-    for (auto& [name, v] : net.views) v->SetState(net.now, membership::State::kServing), net.Flush(name);
+    for (auto& [name, v] : net.nodes)
+      v->SetState(net.now, membership::MemberState::kServing), net.Flush(name);
   }
   void Run(int ms) {
     for (int passed = 0; passed < ms; passed += 50) {
       net.Run(50);
-      for (auto& [name, v] : net.views) {
+      for (auto& [name, v] : net.nodes) {
         if (net.stopped[name]) continue;
-        if (const auto turn = positions[name].Look(*v, net.now)) turns[name] = *turn, ++moves[name];
+        if (const auto turn = positions[name].Update(*v, net.now)) turns[name] = *turn, ++moves[name];
       }
     }
   }
@@ -93,13 +94,13 @@
     for (const auto& [name, n] : moves) all += n;
     return all;
   }
-  Net net;
-  std::map<std::string, Positions> positions;
+  TestNetwork net;
+  std::map<std::string, RingPosition> positions;
   std::map<std::string, double> turns;
   std::map<std::string, int> moves;
 };
 
-TEST(Positions, MembersOfOneViewStandEvenly) {
+TEST(RingPosition, MembersOfOneViewStandEvenly) {
   Followed f;
   f.Run(8000);
   const std::vector<double> all = f.Turns();
@@ -108,19 +109,19 @@
 }
 
 // Mutant: a place that is given up at once. A rolling restart must cost no connection.
-TEST(Positions, OneThatRestartsMovesNobody) {
+TEST(RingPosition, OneThatRestartsMovesNobody) {
   Followed f;
   f.Run(8000);
   const int before = f.Moves();
   for (const std::string name : {"b", "c", "d"}) {
-    f.net.views[name]->Leave(f.net.now);
+    f.net.nodes[name]->Leave(f.net.now);
     f.net.Flush(name);
     f.Run(3000);
-    f.net.views.erase(name);
+    f.net.nodes.erase(name);
     f.net.Add(name);
-    f.net.views[name]->SetState(f.net.now, membership::State::kServing);
+    f.net.nodes[name]->SetState(f.net.now, membership::MemberState::kServing);
     f.net.Flush(name);
-    f.positions[name] = Positions();
+    f.positions[name] = RingPosition();
     f.turns.erase(name);
     f.Run(5000);
   }
@@ -128,7 +129,7 @@
   EXPECT_EQ(f.Moves(), before + 3);  // of the restarted, to where they stood
 }
 
-TEST(Positions, TheOthersCloseTheGapOfOneThatStaysAway) {
+TEST(RingPosition, TheOthersCloseTheGapOfOneThatStaysAway) {
   Followed f;
   f.Run(8000);
   f.net.stopped["c"] = true;
@@ -143,7 +144,7 @@
 
 // Whoever hears of nobody any more knows nothing: it stays where it was while in doubt, and at most until
 // `patience` and `keep` are over.
-TEST(Positions, ACutMovesNobodyForAsLongAsPlacesAreKept) {
+TEST(RingPosition, ACutMovesNobodyForAsLongAsPlacesAreKept) {
   Followed f;
   f.Run(8000);
   const auto before = f.turns;
