--- a/src/cli/rig.cpp
+++ b/src/cli/rig.cpp
@@ -32,9 +32,9 @@
 
 void Switch(const std::string& part, membership::Options* options) {
   if (part == "suspicion") options->with_suspicion = false;
-  if (part == "own_time") options->with_own_time = false;
-  if (part == "helpers") options->with_helpers = false;
-  if (part == "sync") options->with_sync = false;
+  if (part == "own_time") options->with_delayed_wakeups = false;
+  if (part == "helpers") options->with_indirect_probes = false;
+  if (part == "sync") options->with_anti_entropy = false;
 }
 
 std::string Replay(const RigOptions& options, std::uint64_t seed) {
--- a/src/fault_testing/processes/directory.cpp
+++ b/src/fault_testing/processes/directory.cpp
@@ -180,14 +180,15 @@
     if (entry.changed <= revision) continue;
     told->push_back(static_cast<int>(i));
     if (revision == 0 && entry.phase == Phase::kTerminated) continue;
-    line["members"].push_back({{"id", fmt::format("b{}", i + 1)},
-                               {"host_port", peers::TextOf({addresses[i].address(), addresses[i].port()})},
-                               {"locality", ZoneName(plan_, static_cast<int>(i))},
-                               {"flavor", "m"},
-                               {"cell", 0},
-                               {"phase", Word(entry.phase)},
-                               {"size", 1.0},
-                               {"up_since_ms", entry.up_since_unix_ms}});
+    line["members"].push_back(
+        {{"id", fmt::format("b{}", i + 1)},
+         {"host_port", peers::FormatAddress({addresses[i].address(), addresses[i].port()})},
+         {"locality", ZoneName(plan_, static_cast<int>(i))},
+         {"flavor", "m"},
+         {"cell", 0},
+         {"phase", Word(entry.phase)},
+         {"size", 1.0},
+         {"up_since_ms", entry.up_since_unix_ms}});
   }
   return line.dump();
 }
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -44,7 +44,7 @@
 constexpr std::chrono::milliseconds kLookAnswer{400};  // for one proxy's answer
 constexpr std::chrono::milliseconds kMostLate{300};    // of the rig's own timers
 
-inline std::string TextOf(const Tcp::endpoint& e) { return peers::TextOf({e.address(), e.port()}); }
+inline std::string TextOf(const Tcp::endpoint& e) { return peers::FormatAddress({e.address(), e.port()}); }
 
 // A folder that goes with the run.
 class Folder {
@@ -70,7 +70,7 @@
         links_(plan, options.seed),
         conditions_(plan),
         troubles_(plan, options.seed),
-        judge_(plan, options.seed, static_cast<double>(membership::Options().silence.count()) / 1e6),
+        judge_(plan, options.seed, static_cast<double>(membership::Options().contact_timeout.count()) / 1e6),
         observer_(kDrainGraceMs),
         look_(io_),
         signals_(io_, SIGINT, SIGTERM),
--- a/src/fault_testing/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -26,14 +26,14 @@
   std::ofstream(base + "/config.json") << config.dump();
   std::string seeds;
   for (int i = 0; i < std::min(plan_.seeds, plan_.members); ++i)
-    seeds += fmt::format("{}\"{}\"", i ? ", " : "", peers::TextOf(At(i).outside));
+    seeds += fmt::format("{}\"{}\"", i ? ", " : "", peers::FormatAddress(At(i).outside));
   std::ofstream file(base + "/operator.toml");
   file << "[log]\nformat = \"json\"\nlines_per_s = 1000000\n";
   if (options_.sharing)
     file << fmt::format(
         "[fleet]\ncluster = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = "
         "\"{}/key\"\n",
-        peers::TextOf(member.inside), peers::TextOf(member.outside), seeds, folder_.path);
+        peers::FormatAddress(member.inside), peers::FormatAddress(member.outside), seeds, folder_.path);
 }
 
 void ProcessFleet::WriteKeeper(int number) {
--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -39,7 +39,7 @@
         random_(options.seed, "network"),
         links_(plan, options.seed),
         conditions_(plan),
-        judge_(plan, options.seed, static_cast<double>(options.view.silence.count()) / 1e6),
+        judge_(plan, options.seed, static_cast<double>(options.view.contact_timeout.count()) / 1e6),
         nodes_(static_cast<std::size_t>(plan.members)) {}
 
   Outcome Play();
@@ -63,13 +63,13 @@
     std::string bytes;
   };
   struct Node {
-    std::unique_ptr<membership::View> view;
+    std::unique_ptr<membership::Membership> view;
     std::uint64_t life = 0;  // counts processes
     bool stopped = false;
     std::deque<std::pair<Kind, std::uint64_t>> waiting;  // what came while it stood still
     Micros wake = simulation::kNeverMicros;
     Micros ahead = 0;  // its clock, of virtual time
-    subsetting::Positions positions;
+    subsetting::RingPosition positions;
     int first = -1;  // backend of its subset; below 0: not known yet
     std::uint64_t hash = 0;
     bool counted = false;  // in `hashes_`
@@ -111,7 +111,7 @@
   std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // in force
   simulation::Queue queue_;
   Judge judge_;
-  membership::Records records_;
+  membership::RecordPool records_;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, int> addresses_;
   std::vector<std::string> seeds_;
@@ -154,13 +154,13 @@
   self.set_address(MemberName(member) + ":1");
   self.set_zone(ZoneName(plan_, member));
   self.set_program("0.1.0");
-  self.set_state(static_cast<std::uint32_t>(membership::State::kServing));
+  self.set_state(static_cast<std::uint32_t>(membership::MemberState::kServing));
   simulation::Random draw(options_.seed, "member", static_cast<std::uint64_t>(member) << 20 | node.life);
-  node.view = std::make_unique<membership::View>(options_.view, peers::Seal(kCluster, kKey), std::move(self),
-                                                 draw.Bits(), Clock(node), &records_);
+  node.view = std::make_unique<membership::Membership>(options_.view, peers::FrameCodec(kCluster, kKey),
+                                                       std::move(self), draw.Bits(), Clock(node), &records_);
   node.stopped = false;
   node.wake = simulation::kNeverMicros;
-  node.positions = subsetting::Positions();
+  node.positions = subsetting::RingPosition();
   node.first = -1;
   ++up_;
   judge_.Started(Seconds(queue_.now()), member);
@@ -195,7 +195,7 @@
   node.received += counters.received;
   node.sent_bytes += counters.sent_bytes;
   node.received_bytes += counters.received_bytes;
-  for (std::size_t i = 1; i < counters.refused.size(); ++i) judge_.Refusals(counters.refused[i]);
+  for (std::size_t i = 1; i < counters.rejected.size(); ++i) judge_.Refusals(counters.rejected[i]);
   node.view.reset();
   for (const auto& [kind, message] : node.waiting) free_.push_back(message);
   node.waiting.clear();
@@ -229,13 +229,13 @@
   membership::Output output = node.view->Take();
   for (auto& datagram : output.datagrams) Datagram(member, datagram.to, std::move(datagram.bytes));
   for (auto& exchange : output.exchanges) Exchange(member, exchange.to, std::move(exchange.bytes));
-  for (const membership::Happened& event : output.events) {
+  for (const membership::Event& event : output.events) {
     ++events_;
-    suspicions_ += event.kind == membership::Happened::Kind::kSuspected;
-    refutations_ += event.kind == membership::Happened::Kind::kRefuted;
-    healed_ += event.kind == membership::Happened::Kind::kHealed;
+    suspicions_ += event.kind == membership::Event::Kind::kSuspected;
+    refutations_ += event.kind == membership::Event::Kind::kRefuted;
+    healed_ += event.kind == membership::Event::Kind::kHealed;
     Meet(std::string("fleet_") + membership::NameOf(event.kind), event.name);
-    if (event.kind == membership::Happened::Kind::kDead)
+    if (event.kind == membership::Event::Kind::kDead)
       judge_.SaidDead(Seconds(queue_.now()), member, MemberAt(event.name + ":1"));
   }
   Recount(member);
@@ -248,7 +248,7 @@
 }
 
 void VirtualFleet::Place(Node& node) {
-  const std::optional<double> turn = node.positions.Look(*node.view, Clock(node));
+  const std::optional<double> turn = node.positions.Update(*node.view, Clock(node));
   if (!turn) return;
   const int backends = plan_.service.backends;
   const int before = std::exchange(node.first, static_cast<int>(*turn * backends));
@@ -466,21 +466,22 @@
     if (!node.view) continue;
     std::string wrong;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      const membership::Members& members = node.view->members();
+      const membership::MemberTable& members = node.view->members();
       const std::string name = MemberName(static_cast<int>(i));
       const int at = members.Find(name);
       const bool thinks = at >= 0 && members[at].living(), lives = nodes_[i].view != nullptr;
       if (thinks != lives) {
         wrong += " " + name + (lives ? (at < 0 ? " is unknown," : " is gone,") : " lives,");
-      } else if (lives && members[at].record->life() != nodes_[i].view->self().life()) {
-        wrong += " " + name + " is an older process,";
       } else if (lives && members[at].record->incarnation() != nodes_[i].view->self().incarnation()) {
+        wrong += " " + name + " is an older process,";
+      } else if (lives &&
+                 members[at].record->refutation_number() != nodes_[i].view->self().refutation_number()) {
         wrong += " " + name + " has another incarnation,";
       }
     }
     if (wrong.empty()) continue;
     wrong.pop_back();
-    lines.push_back("to " + node.view->self().name() + (node.view->silent() ? " (silent)" : "") + wrong);
+    lines.push_back("to " + node.view->self().name() + (node.view->stopped() ? " (silent)" : "") + wrong);
     if (lines.size() >= kMostLines) break;
   }
   return lines;
@@ -529,8 +530,8 @@
   std::uint64_t shed = 0;
   for (const Node& node : nodes_) {
     if (!node.view) continue;
-    shed += node.view->news_shed();
-    const auto& refused = node.view->counters().refused;
+    shed += node.view->gossip_dropped();
+    const auto& refused = node.view->counters().rejected;
     for (std::size_t i = 1; i < refused.size(); ++i) judge_.Refusals(refused[i]);
   }
   if (divides_) judge_.Holders(Holders());
--- a/src/proxy/core/membership_publisher.cpp
+++ b/src/proxy/core/membership_publisher.cpp
@@ -21,13 +21,13 @@
   if (!host_) return;
   switch (state) {
     case Lifecycle::State::kStarting:
-      return host_->SetState(membership::State::kStarting);
+      return host_->SetState(membership::MemberState::kStarting);
     case Lifecycle::State::kReady:
       host_->Ready();
-      return host_->SetState(membership::State::kServing);
+      return host_->SetState(membership::MemberState::kServing);
     case Lifecycle::State::kDrainingNotStarted:
     case Lifecycle::State::kDraining:
-      return host_->SetState(membership::State::kDraining);
+      return host_->SetState(membership::MemberState::kDraining);
     case Lifecycle::State::kShuttingDown:
       return;  // it has left
   }
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::milliseconds kAddressAgain{200};
 
-peers::Seal SealOf(const FleetSettings& settings) {
+peers::FrameCodec CodecOf(const FleetSettings& settings) {
   struct stat about {};
   if (::stat(settings.key_file.c_str(), &about) != 0)
     throw ConfigError(settings.key_file + ": fleet.key_file cannot be read");
@@ -26,7 +26,7 @@
   std::string key = config::Contents(settings.key_file);
   while (!key.empty() && (key.back() == '\n' || key.back() == '\r')) key.pop_back();
   try {
-    return peers::Seal(settings.cluster, key);
+    return peers::FrameCodec(settings.cluster, key);
   } catch (const std::invalid_argument& error) {
     throw ConfigError(settings.key_file + ": fleet.key_file: " + error.what());
   }
@@ -62,8 +62,8 @@
   return record;
 }
 
-rollout::Agent::Self AgentOf(const membership::View& view, const SupervisorLink* keeper) {
-  rollout::Agent::Self self{view.self().name(), "", view.self().life(), 0, "", ""};
+rollout::Agent::Self AgentOf(const membership::Membership& view, const SupervisorLink* keeper) {
+  rollout::Agent::Self self{view.self().name(), "", view.self().incarnation(), 0, "", ""};
   if (!keeper) return self;
   const SupervisorLink::Known& known = keeper->known();
   self.version = known.version;
@@ -88,7 +88,7 @@
       listen_(Listen(settings)),
       cluster_(settings.cluster),
       seeds_(SeedsOf(settings)),
-      view_(membership::Options(), SealOf(settings), RecordOf(settings, self), seed, FleetNow()),
+      view_(membership::Options(), CodecOf(settings), RecordOf(settings, self), seed, FleetNow()),
       subsets_(settings.subsets),
       on_ring_offset_(std::move(on_ring_offset)),
       keeper_(SupervisorLink::FromEnvironment(io,
@@ -100,7 +100,7 @@
           AgentOf(view_, keeper_.get()),
           [this](const std::string& name) {
             const int at = view_.members().Find(name);
-            return at != membership::Members::kNone && view_.members()[at].living();
+            return at != membership::MemberTable::kNotFound && view_.members()[at].living();
           },
           [this] {
             rollout::wire::Report report = counts_.Report();
@@ -110,7 +110,7 @@
           }),
       began_(FleetNow()),
       timer_(io) {
-  view_.SetGate(
+  view_.SetDocumentFilter(
       [this](membership::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
   Open();
 } catch (const std::invalid_argument& error) {
@@ -119,16 +119,16 @@
 
 void FleetHost::Open() {
   peers::Transport::Handlers handlers;
-  handlers.datagram = [this](const std::string& from, std::string_view bytes) {
+  handlers.on_datagram = [this](const std::string& from, std::string_view bytes) {
     view_.OnDatagram(FleetNow(), from, bytes);
     Flush();
   };
-  handlers.asked = [this](std::string_view frame) {
+  handlers.on_request = [this](std::string_view frame) {
     std::string answer = view_.OnExchange(FleetNow(), frame);
     Flush();
     return answer;
   };
-  handlers.answered = [this](std::string_view frame) {
+  handlers.on_response = [this](std::string_view frame) {
     view_.OnReply(FleetNow(), frame);
     Flush();
   };
@@ -137,7 +137,7 @@
   } catch (const boost::system::system_error& error) {
     if (error.code() != boost::asio::error::address_in_use) throw;
     if (!std::exchange(told_waiting_, true))
-      log::Global().Info("fleet_waits_for_address", {{"address", peers::TextOf(listen_)}});
+      log::Global().Info("fleet_waits_for_address", {{"address", peers::FormatAddress(listen_)}});
     timer_.expires_after(kAddressAgain);
     timer_.async_wait([this](const boost::system::error_code& cancelled) {
       if (!cancelled) Open();
@@ -154,23 +154,23 @@
   for (bool more = true; more;) {
     CarryOut(agent_.Take());
     const membership::Output output = view_.Take();
-    for (const membership::Letter& letter : output.letters)
+    for (const membership::ApplicationMessage& letter : output.messages)
       if (letter.topic == rollout::kLetterTopic) agent_.OnLetter(FleetNow(), letter.from, letter.body);
     for (const membership::Topic topic : output.documents) {
       const membership::Document* document = view_.document(topic);
       if (document) agent_.OnDocument(FleetNow(), topic, document->version, document->body);
     }
     Send(output);
-    more = !output.letters.empty() || !output.documents.empty();  // the agent may have answered
+    more = !output.messages.empty() || !output.documents.empty();  // the agent may have answered
   }
 }
 
 void FleetHost::CarryOut(rollout::Agent::Output output) {
   const membership::Time now = FleetNow();
   for (const auto& document : output.documents)
-    view_.Put(now, document.topic, document.version, document.body);
+    view_.PublishDocument(now, document.topic, document.version, document.body);
   for (auto& letter : output.letters)
-    view_.Mail(now, letter.to, rollout::kLetterTopic, std::move(letter.body));
+    view_.SendMessage(now, letter.to, rollout::kLetterTopic, std::move(letter.body));
   for (const rollout::Event& event : output.events)
     log::Global().Info("rollout_" + event.name,
                        {{"change", event.change}, {"why", event.why}, {"may_have_changed", event.prefix}});
@@ -230,7 +230,7 @@
     keeper_->Say("heard");
   }
   if (subsets_) {
-    if (const std::optional<double> turn = positions_.Look(view_, FleetNow())) {
+    if (const std::optional<double> turn = positions_.Update(view_, FleetNow())) {
       log::Global().Info("fleet_position", {{"turn", *turn}});
       turn_ = turn;
       on_ring_offset_(*turn);
@@ -241,23 +241,23 @@
 
 void FleetHost::Send(const membership::Output& output) {
   if (transport_) {
-    for (const membership::Outgoing& datagram : output.datagrams)
+    for (const membership::OutgoingFrame& datagram : output.datagrams)
       transport_->Send(datagram.to, datagram.bytes);
-    for (const membership::Outgoing& exchange : output.exchanges)
+    for (const membership::OutgoingFrame& exchange : output.exchanges)
       transport_->Exchange(exchange.to, exchange.bytes);
   }
-  for (const membership::Happened& event : output.events) {
+  for (const membership::Event& event : output.events) {
     const std::string name = std::string("fleet_") + membership::NameOf(event.kind);
-    const bool grave = event.kind == membership::Happened::Kind::kNameTaken;
+    const bool grave = event.kind == membership::Event::Kind::kNameTaken;
     log::Global().Write(grave ? log::Level::kError : log::Level::kInfo, name,
                         {{"member", event.name},
-                         {"by", event.by},
-                         {"silent_ms", static_cast<double>(event.silent.count()) / 1000}});
+                         {"by", event.reported_by},
+                         {"silent_ms", static_cast<double>(event.time_since_contact.count()) / 1000}});
   }
 }
 
 void FleetHost::Arm() {
-  if (!transport_ || view_.silent()) return;
+  if (!transport_ || view_.stopped()) return;
   timer_.expires_at(ToSteady(std::min({view_.next(), positions_.next(), agent_.next()})));
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
@@ -267,7 +267,7 @@
   });
 }
 
-void FleetHost::SetState(membership::State state) {
+void FleetHost::SetState(membership::MemberState state) {
   view_.SetState(FleetNow(), state);
   Flush();
 }
@@ -282,24 +282,29 @@
 
 std::string FleetHost::Json() const {
   const membership::Record& self = view_.self();
-  const membership::Time now = view_.own(FleetNow());
+  const membership::Time now = view_.ToLocalTime(FleetNow());
   const auto millis = [](membership::Time time) { return time.count() / 1000; };
-  nlohmann::ordered_json json{{"cluster", cluster_},           {"name", self.name()},
-                              {"address", self.address()},     {"incarnation", self.incarnation()},
-                              {"life", log::Hex(self.life())}, {"speaks", transport_ && !view_.silent()},
-                              {"settled", view_.settled()},    {"view", log::Hex(view_.members().hash())}};
+  nlohmann::ordered_json json{{"cluster", cluster_},
+                              {"name", self.name()},
+                              {"address", self.address()},
+                              {"incarnation", self.refutation_number()},
+                              {"life", log::Hex(self.incarnation())},
+                              {"speaks", transport_ && !view_.stopped()},
+                              {"settled", view_.converged()},
+                              {"view", log::Hex(view_.members().hash())}};
   if (turn_) json["position"] = *turn_;
   auto& members = json["members"] = nlohmann::ordered_json::array();
-  view_.members().Each([&](int at, const membership::Entry& entry) {
+  view_.members().ForEach([&](int at, const membership::Member& entry) {
     const membership::Record& record = *entry.record;
-    nlohmann::ordered_json member{{"name", record.name()},
-                                  {"status", membership::NameOf(entry.status)},
-                                  {"status_ms", millis(now - entry.since)},
-                                  {"heard_ms", record.name() == self.name() ? 0 : millis(now - entry.heard)},
-                                  {"incarnation", record.incarnation()},
-                                  {"address", record.address()}};
+    nlohmann::ordered_json member{
+        {"name", record.name()},
+        {"status", membership::NameOf(entry.status)},
+        {"status_ms", millis(now - entry.status_since)},
+        {"heard_ms", record.name() == self.name() ? 0 : millis(now - entry.last_contact)},
+        {"incarnation", record.refutation_number()},
+        {"address", record.address()}};
     if (entry.living()) {
-      member["state"] = membership::NameOf(static_cast<membership::State>(record.state()));
+      member["state"] = membership::NameOf(static_cast<membership::MemberState>(record.state()));
       member["zone"] = record.zone();
       member["program"] = record.program();
       member["settings"] = record.settings();
@@ -316,17 +321,17 @@
                                                          {"exchanges", counters.exchanges},
                                                          {"exchanged_bytes", counters.exchanged_bytes},
                                                          {"replays", counters.replays},
-                                                         {"older_lives", counters.older_lives},
+                                                         {"older_lives", counters.older_incarnations},
                                                          {"misaddressed", counters.misaddressed},
                                                          {"oversized", counters.oversized},
-                                                         {"news_shed", view_.news_shed()}};
-  for (int refusal = 1; refusal < peers::kRefusals; ++refusal)
-    told[std::string("refused_") + peers::NameOf(static_cast<peers::Refusal>(refusal))] =
-        counters.refused[static_cast<std::size_t>(refusal)];
+                                                         {"news_shed", view_.gossip_dropped()}};
+  for (int refusal = 1; refusal < peers::kFrameErrors; ++refusal)
+    told[std::string("refused_") + peers::NameOf(static_cast<peers::FrameError>(refusal))] =
+        counters.rejected[static_cast<std::size_t>(refusal)];
   if (transport_) {
     told["unsent"] = transport_->counters().unsent;
     told["exchanges_failed"] = transport_->counters().failed;
-    told["exchanges_turned_away"] = transport_->counters().turned_away;
+    told["exchanges_turned_away"] = transport_->counters().rejected;
   }
   return json.dump();
 }
--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/host.h
@@ -42,7 +42,7 @@
   FleetHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
             std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
 
-  void SetState(membership::State state);
+  void SetState(membership::MemberState state);
   void Leave();  // notifies the members that it leaves, and closes its sockets
   std::string Json() const;
   // A request's end, for the cohorts of a change.
@@ -68,9 +68,9 @@
   boost::asio::ip::udp::endpoint listen_;
   std::string cluster_;
   std::vector<std::string> seeds_;
-  membership::View view_;
+  membership::Membership view_;
   const bool subsets_;
-  subsetting::Positions positions_;
+  subsetting::RingPosition positions_;
   std::optional<double> turn_;  // the last position
   std::function<void(double)> on_ring_offset_;
   RequestCounts counts_;
--- a/src/simulation/world/views.cpp
+++ b/src/simulation/world/views.cpp
@@ -31,8 +31,8 @@
 }
 
 void Views::OnTold() {
-  const auto keep =
-      std::chrono::duration_cast<std::chrono::microseconds>(subsetting::Positions::Options().keep);
+  const auto keep = std::chrono::duration_cast<std::chrono::microseconds>(
+      subsetting::RingPosition::Options().departed_retention);
   std::vector<subsetting::Peer> peers;
   for (std::uint32_t p = 0; p < seen_.size(); ++p) {
     Seen& seen = seen_[p];
@@ -47,7 +47,7 @@
   }
   for (std::uint32_t p = 0; p < seen_.size(); ++p) {
     if (!s_.proxies[p].alive) continue;
-    const auto turn = subsetting::TurnAmong(peers, fmt::format("proxy-{}", p));
+    const auto turn = subsetting::RingOffsetAmong(peers, fmt::format("proxy-{}", p));
     if (!turn || (said_[p].life == s_.proxies[p].life && said_[p].turn == *turn)) continue;
     said_[p] = {s_.proxies[p].life, *turn};
     feed_(p, SubsetPosition{*turn});
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -79,9 +79,9 @@
   VirtualOptions options;
   int lost = 0;
   for (options.seed = 1; options.seed <= 10; ++options.seed) {
-    options.view.with_own_time = true;
+    options.view.with_delayed_wakeups = true;
     EXPECT_TRUE(PlayVirtual(plan, options).holds) << options.seed;
-    options.view.with_own_time = false;
+    options.view.with_delayed_wakeups = false;
     lost += !PlayVirtual(plan, options).holds;
   }
   EXPECT_GE(lost, 1);
@@ -91,14 +91,14 @@
   const Plan plan = SmallStarved();
   VirtualOptions options;
   const int with = PlayVirtual(plan, options).json["suspicions"];
-  options.view.with_helpers = false;
+  options.view.with_indirect_probes = false;
   const int without = PlayVirtual(plan, options).json["suspicions"];
   EXPECT_GT(without, 2 * with);
 }
 
 TEST(Virtual, WithoutWholeComparisonsHalvesDoNotFindOneView) {
   VirtualOptions options;
-  options.view.with_sync = false;
+  options.view.with_anti_entropy = false;
   EXPECT_FALSE(PlayVirtual(ReadPlan(File("split")), options).holds);
 }
 
