--- a/src/cli/fault_test_run_command.cpp
+++ b/src/cli/fault_test_run_command.cpp
@@ -54,9 +54,9 @@
 
 void SwitchOff(const std::string& mechanism, membership::Options* options) {
   if (mechanism == "suspicion") options->with_suspicion = false;
-  if (mechanism == "own_time") options->with_own_time = false;
-  if (mechanism == "helpers") options->with_helpers = false;
-  if (mechanism == "sync") options->with_sync = false;
+  if (mechanism == "own_time") options->with_delayed_wakeups = false;
+  if (mechanism == "helpers") options->with_indirect_probes = false;
+  if (mechanism == "sync") options->with_anti_entropy = false;
 }
 
 // The command that repeats the run of one seed.
--- a/src/simulation/world/membership_model.cpp
+++ b/src/simulation/world/membership_model.cpp
@@ -12,7 +12,9 @@
 
 // How long the place of a proxy that left stays in the ring.
 Micros RetentionTime() {
-  return std::chrono::duration_cast<std::chrono::microseconds>(subsetting::Positions::Options().keep).count();
+  return std::chrono::duration_cast<std::chrono::microseconds>(
+             subsetting::RingPosition::Options().departed_retention)
+      .count();
 }
 
 }  // namespace
@@ -66,7 +68,7 @@
   for (std::uint32_t p = 0; p < members_.size(); ++p) {
     const ProxyState& proxy = world_.proxies[p];
     if (!proxy.running) continue;
-    const auto ring_offset = subsetting::TurnAmong(peers, NameOf(p));
+    const auto ring_offset = subsetting::RingOffsetAmong(peers, NameOf(p));
     if (!ring_offset) continue;
     if (sent_[p].incarnation == proxy.incarnation && sent_[p].ring_offset == *ring_offset) continue;
     sent_[p] = {proxy.incarnation, *ring_offset};
--- a/src/simulation/world/membership_model.h
+++ b/src/simulation/world/membership_model.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "simulation/world/world.h"
-#include "subsetting/position.h"
+#include "subsetting/ring_position.h"
 
 namespace copperpoint::simulation {
 
