--- a/tests/membership/frame_test.cpp
+++ b/tests/membership/frame_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The format: what is refused, what an older and a newer program make of each other.
+// The frame: what is rejected, and how programs of two versions read each other.
 #include "peers/frame.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   return message;
 }
 
-TEST(Frame, OnlyTheSameClusterAndKeyAreTaken) {
+TEST(Frame, OnlyTheSameClusterAndKeyAreAccepted) {
   const FrameCodec ours("c", kKey);
   wire::Message read;
   EXPECT_EQ(ours.Decode(ours.Encode(Sample()), &read), FrameError::kNone);
@@ -40,7 +40,7 @@
 }
 
 // Mutant: the digest is not checked.
-TEST(Frame, NoBitMayTurn) {
+TEST(Frame, EveryFlippedBitIsRejected) {
   const FrameCodec ours("c", kKey);
   const std::string good = ours.Encode(Sample());
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(Frame, AFormatThatIsTooNewIsToldFromAForgery) {
+TEST(Frame, ATooNewFormatIsDistinguishedFromAForgery) {
   const FrameCodec ours("c", kKey);
   wire::Message read;
   EXPECT_EQ(ours.Decode(ours.Encode(Sample().SerializeAsString(), 9, 2), &read), FrameError::kTooNew);
@@ -63,11 +63,11 @@
   EXPECT_EQ(ours.Decode(ours.Encode(Sample().SerializeAsString(), 9, 1), &read), FrameError::kNone);
 }
 
-TEST(Frame, AMemberAnswersWhatItCannotReadOnceASecond) {
+TEST(Frame, UnreadableFramesAreAnsweredOnceASecond) {
   TestNetwork net;
   Membership& a = net.Add("a", {});
-  const std::string newer = FrameCodec("c", kKey).Encode(Sample().SerializeAsString(), 9, 2);
-  for (int i = 0; i < 100; ++i) a.OnDatagram(net.now, "stranger", newer);
+  const std::string too_new = FrameCodec("c", kKey).Encode(Sample().SerializeAsString(), 9, 2);
+  for (int i = 0; i < 100; ++i) a.OnDatagram(net.now, "stranger", too_new);
   const membership::Output output = a.Take();
   EXPECT_EQ(output.datagrams.size(), 1u);
   EXPECT_EQ(a.counters().rejected[static_cast<std::size_t>(FrameError::kTooNew)], 100u);
@@ -75,8 +75,8 @@
   EXPECT_EQ(output.events[0].kind, Event::Kind::kTooNew);
 }
 
-// A field that this version does not know goes on with the record that holds it.
-TEST(Frame, UnknownFieldsPassThrough) {
+// A field that this version does not know is forwarded with the record that holds it.
+TEST(Frame, UnknownFieldsAreForwarded) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
   net.Run(1000);
@@ -91,8 +91,8 @@
                       "\x9a\x06\x03"
                       "abc";
   ASSERT_TRUE(record->ParseFromString(bytes));
-  wire::Message message = MessageOf(*net.nodes["b"], wire::KIND_GOSSIP, net.nodes["a"]->self().incarnation(),
-                                    net.sequences["b"] + 1);
+  wire::Message message = MessageFrom(*net.nodes["b"], wire::KIND_GOSSIP,
+                                      net.nodes["a"]->self().incarnation(), net.sequences["b"] + 1);
   *message.add_claims() = claim;
   net.Deliver("a", message);
   net.Run(500);
@@ -101,7 +101,7 @@
   EXPECT_NE(members[members.Find("newer")].record->SerializeAsString().find("abc"), std::string::npos);
 }
 
-// Datagrams as version 1 wrote them, kept for ever: each line is one, in hexadecimal.
+// Datagrams as version 1 of the format writes them, which never change: each line is one, in hexadecimal.
 TEST(Frame, RecordedDatagramsOfVersionOneAreRead) {
   std::ifstream file(std::string(SOURCE_DIR) + "/tests/membership/datagrams_v1.txt");
   ASSERT_TRUE(file.is_open());
@@ -121,7 +121,7 @@
   EXPECT_GE(read, 4);
 }
 
-// Whatever comes, sealed or not, a member neither falls nor forgets who it is.
+// Whatever arrives, with a valid digest or without one, the table and the name of a member stay.
 TEST(Frame, NoiseChangesNothing) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
--- a/tests/membership/fuzz_frame.cpp
+++ b/tests/membership/fuzz_frame.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// For the compiler's own fuzzer (docs/view.md has the command and for how long it was run): whatever comes as
-// a datagram or a frame, sealed or not, a member neither falls nor loses its name, and what was not sealed
-// changes nothing.
+// For libFuzzer (docs/membership.md has the command, and for how long it was run): whatever arrives as a
+// datagram or a frame, with a valid digest or without one, a member does not crash or lose its name, and
+// without a valid digest its table does not change.
 #include <cstdint>
 #include <cstdlib>
 #include <memory>
--- a/tests/membership/membership_testing.h
+++ b/tests/membership/membership_testing.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A few views on a network without delay, moved by hand.
+// A few members on a network without delay, whose time the test moves.
 #ifndef COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
 #define COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
 
@@ -22,10 +22,36 @@
 
 inline const char kKey[] = "sixteen bytes or more";
 
+// A message as `sender` would send it.
+inline wire::Message MessageFrom(const Membership& sender, wire::Kind kind, std::uint64_t to_incarnation,
+                                 std::uint32_t sequence) {
+  wire::Message message;
+  message.set_kind(kind);
+  message.set_from(sender.self().name());
+  message.set_incarnation(sender.self().incarnation());
+  message.set_refutation_number(sender.self().refutation_number());
+  message.set_sequence(sequence);
+  message.set_to_incarnation(to_incarnation);
+  return message;
+}
+
+// A claim on the member of a record, reported by "b".
+inline wire::Claim ClaimOn(const membership::Record& record, wire::Status status,
+                           std::uint32_t refutation_number, std::uint32_t age_ms = 0) {
+  wire::Claim claim;
+  claim.set_status(status);
+  *claim.mutable_record() = record;
+  claim.mutable_record()->set_refutation_number(refutation_number);
+  claim.set_age_ms(age_ms);
+  claim.set_reported_by("b");
+  return claim;
+}
+
 class TestNetwork {
  public:
   explicit TestNetwork(membership::Options options = {}) : options(options) {}
 
+  // Starts a process whose address is its name.
   Membership& Add(const std::string& name, const std::vector<std::string>& seeds = {"a"},
                   std::uint64_t seed = 0) {
     membership::Record self;
@@ -37,85 +63,87 @@
     Flush(name);
     return *nodes[name];
   }
-  // Runs until `ms` have passed, in steps of 10 ms.
+  // Moves the time by `ms`, in steps of 10 ms.
   void Run(int ms) {
     for (const Time until = now + milliseconds(ms); now < until; now += milliseconds(10)) {
-      for (auto& [name, v] : nodes) {
-        if (stopped[name] || v->next() > now) continue;
-        v->OnTick(now);
+      for (auto& [name, member] : nodes) {
+        if (stopped[name] || member->next() > now) continue;
+        member->OnTick(now);
         Flush(name);
       }
     }
   }
+  // Delivers what a member sends.
   void Flush(const std::string& name) {
     membership::Output output = nodes[name]->Take();
     for (const auto& event : output.events) events[name].push_back(event);
-    for (const auto& d : output.datagrams) {
-      if (tap) tap(name, d.to, d.bytes);
-      wire::Message said;
-      if (peers::FrameCodec("c", kKey).Decode(d.bytes, &said) == peers::FrameError::kNone)
-        sequences[name] = said.sequence();
-      if (!nodes.contains(d.to) || stopped[d.to] || (passes && !passes(name, d.to))) continue;
-      nodes[d.to]->OnDatagram(now, name, d.bytes);
-      Flush(d.to);
+    for (const auto& datagram : output.datagrams) {
+      if (tap) tap(name, datagram.to, datagram.bytes);
+      wire::Message message;
+      if (peers::FrameCodec("c", kKey).Decode(datagram.bytes, &message) == peers::FrameError::kNone)
+        sequences[name] = message.sequence();
+      if (!IsDelivered(name, datagram.to)) continue;
+      nodes[datagram.to]->OnDatagram(now, name, datagram.bytes);
+      Flush(datagram.to);
     }
-    for (const auto& e : output.exchanges) {
-      if (!nodes.contains(e.to) || stopped[e.to] || (passes && !passes(name, e.to))) continue;
-      const std::string answer = nodes[e.to]->OnExchange(now, e.bytes);
-      Flush(e.to);
-      if (!answer.empty()) nodes[name]->OnReply(now, answer);
+    for (const auto& exchange : output.exchanges) {
+      if (!IsDelivered(name, exchange.to)) continue;
+      const std::string reply = nodes[exchange.to]->OnExchange(now, exchange.bytes);
+      Flush(exchange.to);
+      if (!reply.empty()) nodes[name]->OnReply(now, reply);
       Flush(name);
     }
   }
-  // What `of` says to `to` now, as the network would carry it.
   void Deliver(const std::string& to, const wire::Message& message) {
     nodes[to]->OnDatagram(now, message.from(), peers::FrameCodec("c", kKey).Encode(message));
     Flush(to);
   }
-  MemberStatus StatusAt(const std::string& observer, const std::string& of) {
+  // Delivers a claim as gossip of `from`.
+  void SendClaim(const std::string& from, const std::string& to, const wire::Claim& claim) {
+    wire::Message message =
+        MessageFrom(*nodes[from], wire::KIND_GOSSIP, nodes[to]->self().incarnation(), ++sequences[from]);
+    *message.add_claims() = claim;
+    Deliver(to, message);
+  }
+  // kLeft also where the observer does not know the member.
+  MemberStatus StatusAt(const std::string& observer, const std::string& name) {
     const auto& members = nodes[observer]->members();
-    const int at = members.Find(of);
-    return at < 0 ? MemberStatus::kLeft : members[at].status;
+    const int index = members.Find(name);
+    return index < 0 ? MemberStatus::kLeft : members[index].status;
   }
-  int Count(const std::string& observer, Event::Kind kind, const std::string& of) {
-    int n = 0;
-    for (const auto& event : events[observer]) n += event.kind == kind && event.name == of;
-    return n;
+  // Events that the observer reported of a member.
+  int Count(const std::string& observer, Event::Kind kind, const std::string& name) {
+    int count = 0;
+    for (const auto& event : events[observer]) count += event.kind == kind && event.name == name;
+    return count;
   }
+  // All running processes know exactly each other.
   bool Converged() {
-    for (const auto& [name, v] : nodes)
-      if (v->members().hash() != nodes.begin()->second->members().hash() ||
-          v->members().living().size() != nodes.size())
+    for (const auto& [name, member] : nodes) {
+      if (member->members().hash() != nodes.begin()->second->members().hash() ||
+          member->members().living().size() != nodes.size())
         return false;
+    }
     return true;
   }
 
   membership::Options options;
   Time now{milliseconds(1000)};
   std::map<std::string, std::unique_ptr<Membership>> nodes;
-  std::map<std::string, bool> stopped;
-  std::map<std::string, std::uint32_t> sequences;  // of the last message that each has said
+  std::map<std::string, bool> stopped;             // the process pauses: datagrams to it are lost
+  std::map<std::string, std::uint32_t> sequences;  // of each member's last message
   std::map<std::string, std::vector<Event>> events;
-  std::function<bool(const std::string&, const std::string&)> passes;
-  std::function<void(const std::string&, const std::string&, const std::string&)> tap;
+  std::function<bool(const std::string& from, const std::string& to)> passes;  // unset: all does
+  std::function<void(const std::string& from, const std::string& to, const std::string& bytes)> tap;
 
  private:
+  bool IsDelivered(const std::string& from, const std::string& to) {
+    return nodes.contains(to) && !stopped[to] && (!passes || passes(from, to));
+  }
+
   std::uint64_t seeds_ = 0;
 };
 
-// A message as `of` would say it, with a sequence above all that it has said.
-inline wire::Message MessageOf(const Membership& of, wire::Kind kind, std::uint64_t to_incarnation,
-                               std::uint32_t sequence) {
-  wire::Message message;
-  message.set_kind(kind);
-  message.set_from(of.self().name());
-  message.set_incarnation(of.self().incarnation());
-  message.set_refutation_number(of.self().refutation_number());
-  message.set_sequence(sequence);
-  message.set_to_incarnation(to_incarnation);
-  return message;
-}
-
 }  // namespace copperpoint::testing
 
 #endif  // COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
--- /dev/null
+++ b/tests/membership/partition_test.cpp
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Members that were cut off from each other, and meet again.
+#include <gtest/gtest.h>
+
+#include "membership_testing.h"
+
+namespace copperpoint::testing {
+namespace {
+
+TEST(Partition, HalvesThatMeetAgainDeclareNobodyDead) {
+  TestNetwork net;
+  for (const char* name : {"a", "b", "c", "d", "e", "f"}) net.Add(name);
+  net.Run(2000);
+  const auto half = [](const std::string& name) { return name < "d"; };
+  net.passes = [&](const std::string& x, const std::string& y) { return half(x) == half(y); };
+  net.Run(15000);
+  EXPECT_EQ(net.StatusAt("a", "f"), MemberStatus::kDead);
+  EXPECT_EQ(net.StatusAt("f", "a"), MemberStatus::kDead);
+  net.events.clear();
+  net.passes = nullptr;
+  net.Run(5000);
+  EXPECT_TRUE(net.Converged());
+  for (auto& [name, events] : net.events)
+    for (const auto& event : events)
+      EXPECT_NE(event.kind, Event::Kind::kDead) << name << " of " << event.name;
+}
+
+TEST(Partition, ATombstoneThatExpiredOnOneSideRevivesNobody) {
+  TestNetwork net;
+  net.options.tombstone_lifetime = std::chrono::seconds(20);
+  for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
+  net.Run(2000);
+  // b receives nothing for so long that the others have removed the tombstone of d.
+  net.stopped["b"] = true;
+  net.nodes.erase("d");
+  net.Run(40000);
+  EXPECT_EQ(net.nodes["a"]->members().Find("d"), -1);
+  net.stopped["b"] = false;
+  net.Run(16000);
+  EXPECT_TRUE(net.Converged());
+}
+
+}  // namespace
+}  // namespace copperpoint::testing
--- a/tests/subsetting/ring_position_test.cpp
+++ b/tests/subsetting/ring_position_test.cpp
@@ -23,28 +23,28 @@
   return peers;
 }
 
-// Holders of each server where each proxy holds `width` from its turn on, as the module does.
-std::vector<int> Holders(const std::vector<Peer>& peers, int servers, int width) {
-  std::vector<int> held(static_cast<std::size_t>(servers));
+// Proxies that have each backend in their subset, where a subset is the `width` backends from the offset on.
+std::vector<int> ProxiesByBackend(const std::vector<Peer>& peers, int backends, int width) {
+  std::vector<int> proxies_of(static_cast<std::size_t>(backends));
   for (const Peer& peer : peers) {
-    const auto start = static_cast<int>(*RingOffsetAmong(peers, peer.name) * servers);
-    for (int k = 0; k < width; ++k) ++held[static_cast<std::size_t>((start + k) % servers)];
+    const auto start = static_cast<int>(*RingOffsetAmong(peers, peer.name) * backends);
+    for (int k = 0; k < width; ++k) ++proxies_of[static_cast<std::size_t>((start + k) % backends)];
   }
-  return held;
+  return proxies_of;
 }
 
-TEST(RingPosition, EachServerIsHeldByAsManyProxiesToOne) {
-  for (const auto& [proxies, zones, servers] : std::vector<std::tuple<int, int, int>>{
+TEST(RingPosition, BackendsAreInEquallyManySubsets) {
+  for (const auto& [proxies, zones, backends] : std::vector<std::tuple<int, int, int>>{
            {300, 1, 200}, {300, 6, 200}, {24, 3, 12}, {50, 1, 200}, {7, 2, 31}, {1, 1, 5}}) {
-    const auto held = Holders(Fleet(proxies, zones), servers, std::min(8, servers));
-    const auto [least, most] = std::minmax_element(held.begin(), held.end());
-    // Starts of one zone lie in step; those of zones of unequal size add one more each at the worst.
-    EXPECT_LE(*most - *least, proxies % zones == 0 ? 2 : 1 + zones)
-        << proxies << " " << zones << " " << servers;
+    const auto proxies_of = ProxiesByBackend(Fleet(proxies, zones), backends, std::min(8, backends));
+    const auto [fewest, most] = std::minmax_element(proxies_of.begin(), proxies_of.end());
+    // Subsets of one zone begin at equal steps; each zone of another size adds one at most.
+    EXPECT_LE(*most - *fewest, proxies % zones == 0 ? 2 : 1 + zones)
+        << proxies << " " << zones << " " << backends;
   }
 }
 
-TEST(RingPosition, OneThatJoinsMovesEachOtherByLessThanAStep) {
+TEST(RingPosition, AJoinMovesEachOtherProxyByLessThanAStep) {
   std::vector<Peer> fleet = Fleet(40, 1);
   for (int joins = 0; joins < 20; ++joins) {
     std::vector<Peer> more = fleet;
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(RingPosition, AnotherZoneMovesNobodyByMoreThanAStepAndAStrangerHasNone) {
+TEST(RingPosition, ANewZoneMovesNobodyByMoreThanAStepAndAStrangerHasNoOffset) {
   std::vector<Peer> fleet = Fleet(20, 2);
   EXPECT_FALSE(RingOffsetAmong(fleet, "stranger").has_value());
   const double before = *RingOffsetAmong(fleet, "p0");
@@ -65,52 +65,53 @@
   EXPECT_NEAR(*RingOffsetAmong(fleet, "p0"), before, 1.0 / 10);
 }
 
-// Five members whose positions are followed as the proxy does, all in one zone.
-class Followed {
+// Five members of one zone, whose offsets are followed as the proxy follows its own.
+class TrackedFleet {
  public:
-  Followed() {
+  TrackedFleet() {
     for (const char* name : {"a", "b", "c", "d", "e"}) net.Add(name);
-    for (auto& [name, v] : net.nodes)
-      v->SetState(net.now, membership::MemberState::kServing), net.Flush(name);
+    for (auto& [name, member] : net.nodes)
+      member->SetState(net.now, membership::MemberState::kServing), net.Flush(name);
   }
   void Run(int ms) {
     for (int passed = 0; passed < ms; passed += 50) {
       net.Run(50);
-      for (auto& [name, v] : net.nodes) {
+      for (auto& [name, member] : net.nodes) {
         if (net.stopped[name]) continue;
-        if (const auto turn = positions[name].Update(*v, net.now)) turns[name] = *turn, ++moves[name];
+        if (const auto offset = positions[name].Update(*member, net.now))
+          offsets[name] = *offset, ++moves[name];
       }
     }
   }
-  std::vector<double> Turns() {
+  std::vector<double> Offsets() {
     std::vector<double> all;
-    for (const auto& [name, turn] : turns)
-      if (!net.stopped[name]) all.push_back(turn);
+    for (const auto& [name, offset] : offsets)
+      if (!net.stopped[name]) all.push_back(offset);
     std::sort(all.begin(), all.end());
     return all;
   }
   int Moves() {
-    int all = 0;
-    for (const auto& [name, n] : moves) all += n;
-    return all;
+    int count = 0;
+    for (const auto& [name, n] : moves) count += n;
+    return count;
   }
   TestNetwork net;
   std::map<std::string, RingPosition> positions;
-  std::map<std::string, double> turns;
+  std::map<std::string, double> offsets;
   std::map<std::string, int> moves;
 };
 
-TEST(RingPosition, MembersOfOneViewStandEvenly) {
-  Followed f;
+TEST(RingPosition, ConvergedMembersAreEvenlySpaced) {
+  TrackedFleet f;
   f.Run(8000);
-  const std::vector<double> all = f.Turns();
+  const std::vector<double> all = f.Offsets();
   ASSERT_EQ(all.size(), 5u);
   for (std::size_t i = 0; i < 5; ++i) EXPECT_NEAR(all[i], 0.2 * static_cast<double>(i), 1e-9);
 }
 
-// Mutant: a place that is given up at once. A rolling restart must cost no connection.
-TEST(RingPosition, OneThatRestartsMovesNobody) {
-  Followed f;
+// Mutant: a departed proxy is not retained. A rolling restart must cost no connection.
+TEST(RingPosition, ARestartMovesNobody) {
+  TrackedFleet f;
   f.Run(8000);
   const int before = f.Moves();
   for (const std::string name : {"b", "c", "d"}) {
@@ -122,38 +123,38 @@
     f.net.nodes[name]->SetState(f.net.now, membership::MemberState::kServing);
     f.net.Flush(name);
     f.positions[name] = RingPosition();
-    f.turns.erase(name);
+    f.offsets.erase(name);
     f.Run(5000);
   }
-  EXPECT_EQ(f.Turns().size(), 5u);
-  EXPECT_EQ(f.Moves(), before + 3);  // of the restarted, to where they stood
+  EXPECT_EQ(f.Offsets().size(), 5u);
+  EXPECT_EQ(f.Moves(), before + 3);  // each restarted proxy takes its offset once
 }
 
-TEST(RingPosition, TheOthersCloseTheGapOfOneThatStaysAway) {
-  Followed f;
+TEST(RingPosition, OthersCloseTheGapOfADepartedProxy) {
+  TrackedFleet f;
   f.Run(8000);
   f.net.stopped["c"] = true;
   f.Run(6000);
   const int before = f.Moves();
   f.Run(40000);
   EXPECT_GT(f.Moves(), before);
-  const std::vector<double> all = f.Turns();
+  const std::vector<double> all = f.Offsets();
   ASSERT_EQ(all.size(), 4u);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_NEAR(all[i], 0.25 * static_cast<double>(i), 1e-9);
 }
 
-// Whoever hears of nobody any more knows nothing: it stays where it was while in doubt, and at most until
-// `patience` and `keep` are over.
-TEST(RingPosition, ACutMovesNobodyForAsLongAsPlacesAreKept) {
-  Followed f;
+// A proxy that is cut off stays where it was while the membership does not converge, and at most until
+// max_unconverged_wait and departed_retention are over.
+TEST(RingPosition, ACutMovesNobodyWithinTheRetention) {
+  TrackedFleet f;
   f.Run(8000);
-  const auto before = f.turns;
+  const auto before = f.offsets;
   f.net.passes = [](const std::string& from, const std::string& to) { return (from < "c") == (to < "c"); };
   f.Run(7000);
-  EXPECT_EQ(f.turns, before);
+  EXPECT_EQ(f.offsets, before);
   f.net.passes = nullptr;
   f.Run(60000);
-  EXPECT_EQ(f.turns, before);
+  EXPECT_EQ(f.offsets, before);
 }
 
 }  // namespace
