--- a/src/peers/frame.cpp
+++ b/src/peers/frame.cpp
@@ -10,8 +10,8 @@
 
 namespace copperpoint::peers {
 
-// A test builds a program that writes the version to come, with a field that this one does not know, and
-// starts both side by side.
+// COPPERPOINT_NEXT_FORMAT builds the program that a test runs beside this one: it writes the next version of
+// the format, with a field that this version does not know.
 #ifdef COPPERPOINT_NEXT_FORMAT
 extern const std::uint8_t kFormatVersion = 2, kMinReaderVersion = 1;
 constexpr char kUnknownField[] = "\xa2\x06\x04next";  // field 100, four bytes
@@ -20,6 +20,13 @@
 constexpr char kUnknownField[] = "";
 #endif
 
+namespace {
+
+// In the header.
+constexpr std::size_t kVersionOffset = 2, kMinReaderOffset = 3, kClusterOffset = 4, kDigestOffset = 8;
+
+}  // namespace
+
 const char* NameOf(FrameError error) {
   switch (error) {
     case FrameError::kNone:
@@ -37,47 +44,51 @@
 }
 
 FrameCodec::FrameCodec(std::string_view cluster, std::string_view key)
-    : key_(key), cluster_(static_cast<std::uint32_t>(XXH64(cluster.data(), cluster.size(), 0))) {
+    : key_(key), cluster_hash_(static_cast<std::uint32_t>(XXH64(cluster.data(), cluster.size(), 0))) {
   if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes)
     throw std::invalid_argument("a key of " + std::to_string(key.size()) + " bytes; 16 to 64 are wanted");
-  google::protobuf::SetLogHandler(nullptr);  // what cannot be parsed is counted, not told to standard error
+  // Messages that cannot be parsed are counted, and protobuf does not write to standard error.
+  google::protobuf::SetLogHandler(nullptr);
 }
 
-// Of the four bytes after the magic, which the digest does not stand in, and of the message.
-std::array<unsigned char, 16> FrameCodec::Digest(std::string_view bytes) const {
+// Of the first eight bytes, before the digest, and of the message.
+std::array<unsigned char, 16> FrameCodec::Digest(std::string_view frame) const {
   std::array<unsigned char, 16> digest;
   crypto_generichash_state state;
-  const auto* at = reinterpret_cast<const unsigned char*>(bytes.data());
+  const auto* bytes = reinterpret_cast<const unsigned char*>(frame.data());
   crypto_generichash_init(&state, reinterpret_cast<const unsigned char*>(key_.data()), key_.size(),
                           digest.size());
-  crypto_generichash_update(&state, at, 8);
-  crypto_generichash_update(&state, at + kHeaderBytes, bytes.size() - kHeaderBytes);
+  crypto_generichash_update(&state, bytes, kDigestOffset);
+  crypto_generichash_update(&state, bytes + kHeaderBytes, frame.size() - kHeaderBytes);
   crypto_generichash_final(&state, digest.data(), digest.size());
   return digest;
 }
 
-std::string FrameCodec::Encode(std::string_view body, std::uint8_t version, std::uint8_t least) const {
-  std::string bytes(kHeaderBytes, '\0');
-  bytes[0] = 'C';
-  bytes[1] = 'P';
-  bytes[2] = static_cast<char>(version);
-  bytes[3] = static_cast<char>(least);
-  std::memcpy(bytes.data() + 4, &cluster_, 4);
-  bytes += body;
-  bytes += kUnknownField;
-  const auto digest = Digest(bytes);
-  std::memcpy(bytes.data() + 8, digest.data(), digest.size());
-  return bytes;
+std::string FrameCodec::Encode(std::string_view body, std::uint8_t version,
+                               std::uint8_t min_reader_version) const {
+  std::string frame(kHeaderBytes, '\0');
+  frame[0] = 'C';
+  frame[1] = 'P';
+  frame[kVersionOffset] = static_cast<char>(version);
+  frame[kMinReaderOffset] = static_cast<char>(min_reader_version);
+  std::memcpy(frame.data() + kClusterOffset, &cluster_hash_, sizeof cluster_hash_);
+  frame += body;
+  frame += kUnknownField;
+  const auto digest = Digest(frame);
+  std::memcpy(frame.data() + kDigestOffset, digest.data(), digest.size());
+  return frame;
 }
 
-FrameError FrameCodec::Decode(std::string_view bytes, wire::Message* message) const {
-  if (bytes.size() < kHeaderBytes || bytes.size() > kMaxFrameBytes || bytes[0] != 'C' || bytes[1] != 'P')
+FrameError FrameCodec::Decode(std::string_view frame, wire::Message* message) const {
+  if (frame.size() < kHeaderBytes || frame.size() > kMaxFrameBytes || frame[0] != 'C' || frame[1] != 'P')
     return FrameError::kMalformed;
-  if (std::memcmp(bytes.data() + 4, &cluster_, 4) != 0) return FrameError::kOtherCluster;
-  const auto digest = Digest(bytes);
-  if (sodium_memcmp(bytes.data() + 8, digest.data(), digest.size()) != 0) return FrameError::kForged;
-  if (static_cast<std::uint8_t>(bytes[3]) > kFormatVersion) return FrameError::kTooNew;
-  if (!message->ParseFromArray(bytes.data() + kHeaderBytes, static_cast<int>(bytes.size() - kHeaderBytes)))
+  if (std::memcmp(frame.data() + kClusterOffset, &cluster_hash_, sizeof cluster_hash_) != 0)
+    return FrameError::kOtherCluster;
+  const auto digest = Digest(frame);
+  if (sodium_memcmp(frame.data() + kDigestOffset, digest.data(), digest.size()) != 0)
+    return FrameError::kForged;
+  if (static_cast<std::uint8_t>(frame[kMinReaderOffset]) > kFormatVersion) return FrameError::kTooNew;
+  if (!message->ParseFromArray(frame.data() + kHeaderBytes, static_cast<int>(frame.size() - kHeaderBytes)))
     return FrameError::kMalformed;
   return FrameError::kNone;
 }
--- a/src/peers/frame.h
+++ b/src/peers/frame.h
@@ -1,19 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How a message between proxies stands in a datagram or a TCP frame: 24 bytes that no version of the format
-// changes, then the message (message.proto).
+// The frame in which a message between proxies stands, in a datagram or on a TCP connection: a header of 24
+// bytes that no version of the format changes, then the message (message.proto).
 //
-//   0  2  'C' 'P'
-//   2  1  version of the writer's format
-//   3  1  the least version that a reader has to know
-//   4  4  which cluster: a hash of its name, so that another cluster's is told from a forgery
-//   8 16  BLAKE2b of all the rest, keyed (libsodium)
+//   offset  size
+//        0     2  'C' 'P'
+//        2     1  version of the writer's format
+//        3     1  the least version that a reader must know
+//        4     4  hash of the cluster's name, which distinguishes another cluster's frame from a forged one
+//        8    16  BLAKE2b of all the rest, keyed (libsodium)
 //
-// Nothing here does I/O.
+// No I/O.
 #ifndef COPPERPOINT_PEERS_FRAME_H_
 #define COPPERPOINT_PEERS_FRAME_H_
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -22,42 +24,43 @@
 
 namespace copperpoint::peers {
 
-extern const std::uint8_t kFormatVersion;     // that this program writes, and the newest that it reads
-extern const std::uint8_t kMinReaderVersion;  // that a reader of our messages has to know
+extern const std::uint8_t kFormatVersion;     // that this program writes, and the latest that it reads
+extern const std::uint8_t kMinReaderVersion;  // that a reader of this program's frames must know
 inline constexpr std::size_t kHeaderBytes = 24;
-inline constexpr std::size_t kMaxDatagramBytes = 1200;  // bytes, header and all
+inline constexpr std::size_t kMaxDatagramBytes = 1200;  // with the header
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{8} * 1024 * 1024;
 
-// Why a message was not taken.
+// Why a frame was rejected.
 enum class FrameError {
   kNone,
-  kMalformed,  // too short, no magic, or no message behind a good digest
-  kOtherCluster,
-  kForged,  // the digest is not ours
-  kTooNew,  // a good digest, and a format that we cannot read
+  kMalformed,     // too short, without 'CP', or without a message behind a valid digest
+  kOtherCluster,  // the frame of another cluster
+  kForged,        // the digest was not made with this cluster's key
+  kTooNew,        // a valid digest, and a format that this program cannot read
 };
 inline constexpr int kFrameErrors = 5;
+// The name that counters in JSON use.
 const char* NameOf(FrameError error);
 
-// The secret that makes a message one of this fleet's.
+// Encodes and decodes the frames of one cluster. Owns the cluster's key.
 class FrameCodec {
  public:
-  static constexpr std::size_t kMinKeyBytes = 16, kMaxKeyBytes = 64;  // bytes
+  static constexpr std::size_t kMinKeyBytes = 16, kMaxKeyBytes = 64;
 
-  // Throws std::invalid_argument unless `key` is 16 to 64 bytes long.
+  // Throws std::invalid_argument unless the key is 16 to 64 bytes long.
   FrameCodec(std::string_view cluster, std::string_view key);
 
   std::string Encode(const wire::Message& message) const { return Encode(message.SerializeAsString()); }
-  // `body` is a serialized message; the versions are for tests of what is to come.
+  // `body` is a serialized message. The versions differ from the program's only in tests of later formats.
   std::string Encode(std::string_view body) const { return Encode(body, kFormatVersion, kMinReaderVersion); }
-  std::string Encode(std::string_view body, std::uint8_t version, std::uint8_t least) const;
-  FrameError Decode(std::string_view bytes, wire::Message* message) const;
+  std::string Encode(std::string_view body, std::uint8_t version, std::uint8_t min_reader_version) const;
+  FrameError Decode(std::string_view frame, wire::Message* message) const;
 
  private:
-  std::array<unsigned char, 16> Digest(std::string_view bytes) const;
+  std::array<unsigned char, 16> Digest(std::string_view frame) const;
 
   std::string key_;
-  std::uint32_t cluster_ = 0;
+  std::uint32_t cluster_hash_ = 0;
 };
 
 }  // namespace copperpoint::peers
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -17,7 +17,7 @@
 using Udp = asio::ip::udp;
 using Error = boost::system::error_code;
 
-constexpr int kMaxBindAttempts = 16;
+constexpr int kMaxBindAttempts = 16;                        // where the system chooses the port
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // after a failed accept
 
 }  // namespace
@@ -31,9 +31,9 @@
   std::uint16_t port = 0;
   const auto [end, failed] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   if (digits.empty() || failed != std::errc() || end != digits.data() + digits.size()) return false;
-  Error wrong;
-  const auto ip = asio::ip::make_address(std::string(host), wrong);
-  if (wrong) return false;
+  Error invalid;
+  const auto ip = asio::ip::make_address(std::string(host), invalid);
+  if (invalid) return false;
   *address = {ip, port};
   return true;
 }
@@ -44,33 +44,37 @@
   return address.address().is_v6() ? '[' + host + ']' + port : host + port;
 }
 
-// One exchange: four bytes of length (big end first) and a frame, each way. An empty frame is the end of one.
+// One exchange of a request and a reply, each a length of four bytes in network order and a frame. An empty
+// frame ends the exchange. Owns its socket and its timer.
 class Transport::Session : public std::enable_shared_from_this<Session> {
  public:
-  explicit Session(Transport& owner, Tcp::socket socket)
+  Session(Transport& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
 
-  void Ask(const Tcp::endpoint& to, std::string frame) {
-    Limit();
-    out_ = std::move(frame);
+  // Sends a request, and passes the reply to on_response.
+  void Request(const Tcp::endpoint& to, std::string frame) {
+    StartTimer();
+    outgoing_ = std::move(frame);
     is_client_ = true;
     Error failed;
     socket_.open(to.protocol(), failed);
-    // From the address that datagrams come from too: so the other knows who asks.
+    // From the address that datagrams are sent from, by which the other member knows this one.
     if (!failed) socket_.bind({owner_->udp_.local_endpoint().address(), 0}, failed);
-    if (failed) return Close(false);
+    if (failed) return Close(Result::kFailed);
     socket_.async_connect(to, [self = shared_from_this()](const Error& error) {
       if (!self->owner_) return;
-      if (error) return self->Close(false);
+      if (error) return self->Close(Result::kFailed);
       self->Write();
     });
   }
 
-  void Answer() {
-    Limit();
+  // Reads a request, and sends what on_request replies.
+  void Reply() {
+    StartTimer();
     Read();
   }
 
+  // The transport is being destroyed.
   void Detach() {
     owner_ = nullptr;
     Error ignored;
@@ -79,20 +83,22 @@
   }
 
  private:
-  void Limit() {
+  enum class Result { kCompleted, kFailed };
+
+  void StartTimer() {
     timer_.expires_after(owner_->limits_.exchange_timeout);
     timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
-      if (!cancelled && self->owner_) self->Close(false);
+      if (!cancelled && self->owner_) self->Close(Result::kFailed);
     });
   }
 
   void Write() {
-    const auto size = static_cast<std::uint32_t>(out_.size());
+    const auto size = static_cast<std::uint32_t>(outgoing_.size());
     for (std::size_t i = 0; i < 4; ++i) length_[i] = static_cast<unsigned char>(size >> (24 - 8 * i));
-    const std::array<asio::const_buffer, 2> both{asio::buffer(length_), asio::buffer(out_)};
-    asio::async_write(socket_, both, [self = shared_from_this()](const Error& error, std::size_t) {
+    const std::array<asio::const_buffer, 2> buffers{asio::buffer(length_), asio::buffer(outgoing_)};
+    asio::async_write(socket_, buffers, [self = shared_from_this()](const Error& error, std::size_t) {
       if (!self->owner_) return;
-      if (error || !self->is_client_) return self->Close(!error);
+      if (error || !self->is_client_) return self->Close(error ? Result::kFailed : Result::kCompleted);
       self->Read();
     });
   }
@@ -103,51 +109,51 @@
                        if (!self->owner_) return;
                        std::size_t size = 0;
                        for (const unsigned char byte : self->length_) size = size << 8 | byte;
-                       if (error || size > kMaxFrameBytes) return self->Close(false);
-                       if (size == 0) return self->Close(true);
+                       if (error || size > kMaxFrameBytes) return self->Close(Result::kFailed);
+                       if (size == 0) return self->Close(Result::kCompleted);
                        self->ReadBody(size);
                      });
   }
 
-  // Room is made as the bytes come: a length alone costs nothing.
+  // The buffer grows as bytes arrive, so that a length alone allocates nothing.
   void ReadBody(std::size_t size) {
-    constexpr std::size_t kPiece = std::size_t{64} * 1024;
-    const std::size_t have = in_.size();
-    in_.resize(std::min(size, have + kPiece));
-    asio::async_read(socket_, asio::buffer(in_.data() + have, in_.size() - have),
+    constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;
+    const std::size_t received = incoming_.size();
+    incoming_.resize(std::min(size, received + kChunkBytes));
+    asio::async_read(socket_, asio::buffer(incoming_.data() + received, incoming_.size() - received),
                      [self = shared_from_this(), size](const Error& error, std::size_t) {
                        if (!self->owner_) return;
-                       if (error) return self->Close(false);
-                       if (self->in_.size() < size) return self->ReadBody(size);
+                       if (error) return self->Close(Result::kFailed);
+                       if (self->incoming_.size() < size) return self->ReadBody(size);
                        self->OnFrame();
                      });
   }
 
   void OnFrame() {
     if (is_client_) {
-      const auto handlers = owner_->handlers_.on_response;
-      Close(true);
-      return handlers(in_);
+      const auto on_response = owner_->handlers_.on_response;
+      Close(Result::kCompleted);
+      return on_response(incoming_);
     }
-    out_ = owner_->handlers_.on_request(in_);
+    outgoing_ = owner_->handlers_.on_request(incoming_);
     if (owner_) Write();
   }
 
-  void Close(bool well) {
+  void Close(Result result) {
     Transport* owner = std::exchange(owner_, nullptr);
     if (!owner) return;
-    owner->counters_.failed += is_client_ && !well;
+    owner->counters_.failed += is_client_ && result == Result::kFailed;
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
-    owner->open_.erase(shared_from_this());
+    owner->sessions_.erase(shared_from_this());
   }
 
   Transport* owner_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
   std::array<unsigned char, 4> length_{};
-  std::string in_, out_;
+  std::string incoming_, outgoing_;
   bool is_client_ = false;
 };
 
@@ -165,25 +171,25 @@
   Accept();
 }
 
-// Both at one port: where the system chooses it, the other socket may find it taken.
+// Both sockets have one port. Where the system chooses it for one, another process may have it for the other.
 void Transport::Bind(const Udp::endpoint& bind) {
-  for (int tried = 1;; ++tried) {
+  for (int attempt = 1;; ++attempt) {
     udp_.open(bind.protocol());
     udp_.bind(bind);
-    const Tcp::endpoint same(bind.address(), udp_.local_endpoint().port());
-    acceptor_.open(same.protocol());
+    const Tcp::endpoint tcp_address(bind.address(), udp_.local_endpoint().port());
+    acceptor_.open(tcp_address.protocol());
     acceptor_.set_option(Tcp::acceptor::reuse_address(true));
     Error failed;
-    acceptor_.bind(same, failed);
+    acceptor_.bind(tcp_address, failed);
     if (!failed) return;
-    if (bind.port() != 0 || tried == kMaxBindAttempts) throw boost::system::system_error(failed, "bind");
+    if (bind.port() != 0 || attempt == kMaxBindAttempts) throw boost::system::system_error(failed, "bind");
     udp_.close();
     acceptor_.close();
   }
 }
 
 Transport::~Transport() {
-  for (const auto& session : open_) session->Detach();
+  for (const auto& session : sessions_) session->Detach();
 }
 
 void Transport::Receive() {
@@ -199,7 +205,7 @@
     Error failed;
     const std::size_t size = udp_.receive_from(asio::buffer(buffer_), from_, 0, failed);
     if (failed == asio::error::would_block) return;
-    if (failed) continue;  // such as an earlier datagram's error
+    if (failed) continue;  // such as the ICMP error for an earlier datagram
     handlers_.on_datagram(FormatAddress(from_), {buffer_.data(), size});
   }
 }
@@ -214,12 +220,12 @@
       });
       return;
     }
-    if (open_.size() >= limits_.max_exchanges) {
+    if (sessions_.size() >= limits_.max_exchanges) {
       ++counters_.rejected;
     } else {
       const auto session = std::make_shared<Session>(*this, std::move(socket));
-      open_.insert(session);
-      session->Answer();
+      sessions_.insert(session);
+      session->Reply();
     }
     Accept();
   });
@@ -234,13 +240,13 @@
 
 void Transport::Exchange(const std::string& to, std::string frame) {
   Udp::endpoint address;
-  if (!ParseAddress(to, &address) || open_.size() >= limits_.max_exchanges) {
+  if (!ParseAddress(to, &address) || sessions_.size() >= limits_.max_exchanges) {
     ++counters_.failed;
     return;
   }
   const auto session = std::make_shared<Session>(*this, Tcp::socket(io_));
-  open_.insert(session);
-  session->Ask({address.address(), address.port()}, std::move(frame));
+  sessions_.insert(session);
+  session->Request({address.address(), address.port()}, std::move(frame));
 }
 
 }  // namespace copperpoint::peers
--- a/src/peers/transport.h
+++ b/src/peers/transport.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Bytes between proxies: datagrams over UDP, and exchanges (one frame there, one back) over TCP, at one
-// address. It knows nothing of what the bytes say.
+// The sockets between proxies: datagrams over UDP, and exchanges (one frame there, one back) over TCP, at one
+// address. It does not read the frames.
 #ifndef COPPERPOINT_PEERS_TRANSPORT_H_
 #define COPPERPOINT_PEERS_TRANSPORT_H_
 
@@ -11,31 +11,36 @@
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 #include <string_view>
 #include <unordered_set>
+#include <utility>
 
 namespace copperpoint::peers {
 
+// Owns both sockets and the open exchanges. Addresses are "ADDRESS:PORT" texts.
 class Transport {
  public:
+  // Called from the event loop.
   struct Handlers {
     std::function<void(const std::string& from, std::string_view bytes)> on_datagram;
-    std::function<std::string(std::string_view frame)> on_request;  // its answer; empty: none
+    std::function<std::string(std::string_view frame)> on_request;  // the reply; empty: none
     std::function<void(std::string_view frame)> on_response;
   };
   struct Limits {
-    std::size_t max_exchanges = 16;                    // at a time, begun here and come in together
-    std::chrono::milliseconds exchange_timeout{3000};  // for one, from its connection to its end
-    int max_datagrams_per_wakeup = 64;                 // before whatever else waits gets its turn
+    std::size_t max_exchanges = 16;                    // open at a time, of both directions
+    std::chrono::milliseconds exchange_timeout{3000};  // from an exchange's start to its end
+    int max_datagrams_per_wakeup = 64;                 // before other work of the event loop
   };
+  // Since the start.
   struct Counters {
-    std::uint64_t unsent = 0;    // datagrams that the socket did not take, or with no address
-    std::uint64_t rejected = 0;  // exchanges over the limit
-    std::uint64_t failed = 0;    // exchanges begun here that came to nothing
+    std::uint64_t unsent = 0;    // datagrams that the socket did not take, or without a valid address
+    std::uint64_t rejected = 0;  // exchanges of others over the limit
+    std::uint64_t failed = 0;    // exchanges opened here that had no reply, or could not be opened
   };
 
   // Binds both sockets; the port may be 0. Throws boost::system::system_error if it cannot.
@@ -47,7 +52,7 @@
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
 
-  // Neither waits: what cannot be sent now is lost, as on a network.
+  // Neither blocks: a frame that cannot be sent now is lost, as in a network.
   void Send(const std::string& to, std::string_view bytes);
   void Exchange(const std::string& to, std::string frame);
 
@@ -69,13 +74,13 @@
   boost::asio::ip::udp::socket udp_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_retry_timer_;
-  boost::asio::ip::udp::endpoint from_;
+  boost::asio::ip::udp::endpoint from_;  // of the datagram that is being received
   std::array<char, 2048> buffer_;
-  std::unordered_set<std::shared_ptr<Session>> open_;
+  std::unordered_set<std::shared_ptr<Session>> sessions_;
   Counters counters_;
 };
 
-// "a.b.c.d:port" or "[v6]:port", with numbers alone. False if it is none.
+// Reads "a.b.c.d:port" or "[v6]:port", of numbers. False: it is neither.
 bool ParseAddress(std::string_view text, boost::asio::ip::udp::endpoint* address);
 std::string FormatAddress(const boost::asio::ip::udp::endpoint& address);
 
