--- a/src/subsetting/ring_position.cpp
+++ b/src/subsetting/ring_position.cpp
@@ -4,72 +4,84 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <iterator>
 #include <set>
+#include <string_view>
 #include <utility>
 
 namespace copperpoint::subsetting {
+namespace {
+
+constexpr std::uint64_t kRankSeed = 4;  // of a hash that all proxies compute the same
+constexpr int kUnconvergedChecks = 4;   // in a min_move_interval, while the membership does not converge
+
+// Ranks peers by the hash of their names; the names themselves break ties, so that all proxies rank alike.
+bool RanksBefore(const std::string& a, const std::string& b) {
+  const auto hash_a = XXH64(a.data(), a.size(), kRankSeed);
+  const auto hash_b = XXH64(b.data(), b.size(), kRankSeed);
+  return hash_a != hash_b ? hash_a < hash_b : a < b;
+}
+
+}  // namespace
 
 std::optional<double> RingOffsetAmong(const std::vector<Peer>& peers, const std::string& name) {
-  const auto me = std::find_if(peers.begin(), peers.end(), [&](const Peer& p) { return p.name == name; });
-  if (me == peers.end()) return std::nullopt;
-  // Names break ties, so that all rank alike.
-  const auto place = [](const std::string& of) { return std::pair(XXH64(of.data(), of.size(), 4), &of); };
-  const auto before = [](const auto& a, const auto& b) {
-    return a.first != b.first ? a.first < b.first : *a.second < *b.second;
-  };
-  const auto mine = place(name);
+  const auto self = std::find_if(peers.begin(), peers.end(), [&](const Peer& p) { return p.name == name; });
+  if (self == peers.end()) return std::nullopt;
   std::set<std::string_view> zones;
-  double rank = 0, of_zone = 0;
+  double rank = 0, peers_of_zone = 0;
   for (const Peer& peer : peers) {
     zones.insert(peer.zone);
-    if (peer.zone != me->zone) continue;
-    ++of_zone;
-    rank += before(place(peer.name), mine);
+    if (peer.zone != self->zone) continue;
+    ++peers_of_zone;
+    rank += RanksBefore(peer.name, name);
   }
-  const auto zone = static_cast<double>(std::distance(zones.begin(), zones.find(me->zone)));
-  return (rank + zone / static_cast<double>(zones.size())) / of_zone;
+  const auto zone_rank = static_cast<double>(std::distance(zones.begin(), zones.find(self->zone)));
+  return (rank + zone_rank / static_cast<double>(zones.size())) / peers_of_zone;
 }
 
-bool RingPosition::Serves(const membership::MemberTable& members, int at) {
-  // One that drains takes no more clients: it keeps its place like one that went.
-  return at != membership::MemberTable::kNotFound && members[at].living() &&
-         members[at].record->state() <= static_cast<std::uint32_t>(membership::MemberState::kServing);
+// A draining proxy takes no more clients, and counts like one that has left.
+bool RingPosition::Serves(const membership::MemberTable& members, int index) {
+  return index != membership::MemberTable::kNotFound && members[index].living() &&
+         members[index].record->state() <= static_cast<std::uint32_t>(membership::MemberState::kServing);
 }
 
-std::optional<double> RingPosition::Update(const membership::Membership& view, membership::Time now) {
-  const bool changed = view.members().hash() != seen_;
-  if (!view.established() || view.stopped() || (!changed && now < next_)) return std::nullopt;
-  seen_ = view.members().hash();
+std::optional<double> RingPosition::Update(const membership::Membership& membership, membership::Time now) {
+  const membership::MemberTable& members = membership.members();
+  const bool changed = members.hash() != table_hash_;
+  if (!membership.established() || membership.stopped() || (!changed && now < next_)) return std::nullopt;
+  table_hash_ = members.hash();
   if (!std::exchange(pending_, true)) changed_ = now;
-  CountPlaces(view.members(), now);
-  // In doubt it stays where it is. The first position is taken at once: nothing moves by it yet.
-  const bool free = !ring_offset_ || now >= moved_ + options_.min_hold;
-  const bool sure = view.converged() || now >= changed_ + options_.max_unconverged_wait;
-  if (!free || !sure) {
-    next_ = std::min(next_, free ? now + options_.min_hold / 4 : moved_ + options_.min_hold);
+  UpdatePeers(members, now);
+  // The first offset is taken at once, since no connection moves by it.
+  const bool may_move = !ring_offset_ || now >= moved_ + options_.min_move_interval;
+  const bool settled = membership.converged() || now >= changed_ + options_.max_unconverged_wait;
+  if (!may_move || !settled) {
+    next_ = std::min(next_, may_move ? now + options_.min_move_interval / kUnconvergedChecks
+                                     : moved_ + options_.min_move_interval);
     return std::nullopt;
   }
   pending_ = false;
   std::vector<Peer> peers;
-  peers.reserve(places_.size());
-  for (const auto& [name, place] : places_) peers.push_back({name, place.zone});
-  const std::optional<double> turn = RingOffsetAmong(peers, view.self().name());
-  if (!turn || turn == ring_offset_) return std::nullopt;
+  peers.reserve(peers_.size());
+  for (const auto& [name, peer] : peers_) peers.push_back({name, peer.zone});
+  const std::optional<double> offset = RingOffsetAmong(peers, membership.self().name());
+  if (!offset || offset == ring_offset_) return std::nullopt;
   moved_ = now;
-  return ring_offset_ = turn;
+  return ring_offset_ = offset;
 }
 
-void RingPosition::CountPlaces(const membership::MemberTable& members, membership::Time now) {
-  for (const int at : members.living()) {
-    if (Serves(members, at)) places_[members[at].record->name()] = {members[at].record->zone(), kHere};
+void RingPosition::UpdatePeers(const membership::MemberTable& members, membership::Time now) {
+  for (const int index : members.living()) {
+    const membership::Record& record = *members[index].record;
+    if (Serves(members, index)) peers_[record.name()] = {record.zone(), kServing};
   }
   next_ = membership::Time::max();
-  for (auto of = places_.begin(); of != places_.end();) {
-    auto& [name, place] = *of;
-    if (place.until == kHere && !Serves(members, members.Find(name)))
-      place.until = now + options_.departed_retention;
-    if (place.until > now) next_ = std::min(next_, place.until);
-    of = place.until > now ? std::next(of) : places_.erase(of);
+  for (auto entry = peers_.begin(); entry != peers_.end();) {
+    auto& [name, peer] = *entry;
+    if (peer.counts_until == kServing && !Serves(members, members.Find(name)))
+      peer.counts_until = now + options_.departed_retention;
+    if (peer.counts_until > now) next_ = std::min(next_, peer.counts_until);
+    entry = peer.counts_until > now ? std::next(entry) : peers_.erase(entry);
   }
 }
 
--- a/src/subsetting/ring_position.h
+++ b/src/subsetting/ring_position.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Proxies of a zone divide the servers evenly among themselves by the view that they share: deterministic
-// aperture (Finagle, 2019). Each stands at its rank among them on the ring of servers, and its subset begins
-// there; how wide it is, is the decision module's own matter. No I/O, no clock, no thread.
+// The position of this proxy on the ring of backends, from the membership that all proxies share:
+// deterministic aperture (Finagle, 2019). Its subset begins there; the decision module decides how large it
+// is. No I/O, no clock, no thread.
 //
-// What it rests on: positions only make connections even. Two proxies that disagree, or one that goes by an
-// old view, hold subsets as wide and as healthy as ever.
+// Positions only make the connections of backends even. Proxies whose tables differ, or are outdated, have
+// subsets as large and as healthy as otherwise.
 #ifndef COPPERPOINT_SUBSETTING_RING_POSITION_H_
 #define COPPERPOINT_SUBSETTING_RING_POSITION_H_
 
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <unordered_map>
@@ -18,47 +19,51 @@
 
 namespace copperpoint::subsetting {
 
+// A proxy, by its name and its zone.
 struct Peer {
   std::string name, zone;
 };
 
-// From 0 to below 1: (rank + zone's rank / zones) / peers of the zone, ranks by a hash of names, so that one
-// that joins or goes moves each other one by less than 1 / peers. Zones stand between each other's steps.
-// nullopt: nobody of this name is among them.
+// The offset on the ring, from 0 to below 1: (rank among the peers of its zone + rank of the zone / zones) /
+// peers of the zone. Peers rank by a hash of their names, so that one that joins or leaves moves each other
+// one by less than 1 / peers; zones are interleaved. Nothing: no peer has this name.
 std::optional<double> RingOffsetAmong(const std::vector<Peer>& peers, const std::string& name);
 
-// Follows one proxy's view, and says when its position is another one.
+// Follows the membership of one proxy, and decides when its offset changes: not while the membership is
+// changing, and not for a proxy that restarts.
+//
+// Owns the proxies that count, and the present offset.
 class RingPosition {
  public:
   struct Options {
-    membership::Time min_hold = std::chrono::seconds(2);  // between two moves
-    membership::Time max_unconverged_wait =
-        std::chrono::seconds(10);  // a view that will not settle is taken as it is
-    // One that went keeps its place for so long: a restart, as in a rolling change, moves nobody.
+    membership::Time min_move_interval = std::chrono::seconds(2);
+    // A membership that does not converge is used as it is after so long.
+    membership::Time max_unconverged_wait = std::chrono::seconds(10);
+    // For how long a proxy counts after it stopped serving: a restart, as in a rolling change, moves nobody.
     membership::Time departed_retention = std::chrono::seconds(10);
   };
 
   RingPosition() = default;
   explicit RingPosition(const Options& options) : options_(options) {}
 
-  // The new position, if it is another one than was said last. To be called after anything happened to the
-  // view, and at next(). `now` is the host's.
-  std::optional<double> Update(const membership::Membership& view, membership::Time now);
+  // The offset, if it differs from the last one that was returned. To be called after each event of the
+  // membership, and at next(). `now` is the host's.
+  std::optional<double> Update(const membership::Membership& membership, membership::Time now);
   membership::Time next() const { return next_; }
 
  private:
-  static constexpr membership::Time kHere = membership::Time::max();
-  struct Place {
+  static constexpr membership::Time kServing = membership::Time::max();
+  struct ServingPeer {
     std::string zone;
-    membership::Time until = kHere;  // of one that went: it is given up then
+    membership::Time counts_until = kServing;
   };
-  static bool Serves(const membership::MemberTable& members, int at);
-  void CountPlaces(const membership::MemberTable& members, membership::Time now);
+  static bool Serves(const membership::MemberTable& members, int index);
+  void UpdatePeers(const membership::MemberTable& members, membership::Time now);
 
   Options options_;
-  std::unordered_map<std::string, Place> places_;
-  std::uint64_t seen_ = 0;  // the view's hash at the last look
-  bool pending_ = false;    // something changed, and the position was not looked at anew since
+  std::unordered_map<std::string, ServingPeer> peers_;  // by name
+  std::uint64_t table_hash_ = 0;                        // at the last update
+  bool pending_ = false;  // the table has changed, and the offset was not computed since
   membership::Time changed_{}, moved_{}, next_ = membership::Time::max();
   std::optional<double> ring_offset_;
 };
