--- a/src/membership/document_store.h
+++ b/src/membership/document_store.h
@@ -1,9 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What all members are to hold in its latest version: a few small documents, and marks, which are versions
-// alone. Each message names the versions that its sender holds; whoever holds an older one takes the mark, or
-// fetches the document from the sender. So a version is with all in about as many periods as the logarithm of
-// the members (epidemic pull: Demers and others, 1987), and costs each message a dozen bytes.
+// The documents and marks of which all members receive the latest version: a small body with a version, or a
+// version alone.
 #ifndef COPPERPOINT_MEMBERSHIP_DOCUMENT_STORE_H_
 #define COPPERPOINT_MEMBERSHIP_DOCUMENT_STORE_H_
 
@@ -13,57 +11,65 @@
 #include <string>
 #include <utility>
 
-#include "membership/options.h"
 #include "message.pb.h"
 
 namespace copperpoint::membership {
 
-// Which part of the program a document, a mark or a letter is for. A number is never used again.
+// The component of the program that a document, a mark or a message belongs to. A number is never used again.
 using Topic = std::uint32_t;
 
 struct Document {
-  std::uint64_t version = 0;  // later is greater; 0: nothing is held
+  std::uint64_t version = 0;  // the greater is the later; 0: none
   std::string body;           // empty: a mark
 };
 
+// Every message names the versions that its sender has; a receiver with an older one takes the mark, or
+// fetches the document from the sender. So a version reaches all members in about as many probe periods as
+// the logarithm of their number (epidemic pull: Demers and others, 1987), for a dozen bytes in each message.
+//
+// Owns the latest version of each topic.
 class DocumentStore {
  public:
-  static constexpr std::size_t kMaxTopics = 8, kMaxBodyBytes = 64 * 1024;
+  static constexpr std::size_t kMaxTopics = 8, kMaxBodyBytes = std::size_t{64} * 1024;
 
-  // Asked before a later version is taken from others; without one all are taken. A part that is busy with
-  // one document refuses the next.
+  // Whether a later version may be accepted from other members; without a filter all are. A component that is
+  // busy with one document rejects the next.
   using Filter = std::function<bool(Topic, std::uint64_t version)>;
-  void SetFilter(Filter gate) { filter_ = std::move(gate); }
+  void SetFilter(Filter filter) { filter_ = std::move(filter); }
 
+  // nullptr: none.
   const Document* Find(Topic topic) const {
-    const auto found = held_.find(topic);
-    return found == held_.end() ? nullptr : &found->second;
+    const auto found = documents_.find(topic);
+    return found == documents_.end() ? nullptr : &found->second;
   }
-  // False: what is held is as late, or it does not fit.
+  // False: the stored version is as late, or the document is over a limit.
   bool Put(Topic topic, std::uint64_t version, std::string body) {
-    if (body.size() > kMaxBodyBytes || (held_.size() >= kMaxTopics && !held_.contains(topic))) return false;
-    Document& held = held_[topic];
-    if (version <= held.version) return false;
-    held = {version, std::move(body)};
+    if (body.size() > kMaxBodyBytes || (documents_.size() >= kMaxTopics && !documents_.contains(topic)))
+      return false;
+    Document& stored = documents_[topic];
+    if (version <= stored.version) return false;
+    stored = {version, std::move(body)};
     return true;
   }
+  // Whether this version would be taken from another member.
   bool Accepts(Topic topic, std::uint64_t version) const {
-    const Document* held = Find(topic);
-    if (held ? version <= held->version : version == 0 || held_.size() >= kMaxTopics) return false;
+    const Document* stored = Find(topic);
+    if (stored ? version <= stored->version : version == 0 || documents_.size() >= kMaxTopics) return false;
     return !filter_ || filter_(topic, version);
   }
-  void Name(wire::Message* message) const {
-    for (const auto& [topic, document] : held_) {
+  // Adds the versions that are stored to a message.
+  void AddVersionsTo(wire::Message* message) const {
+    for (const auto& [topic, document] : documents_) {
       if (document.version == 0) continue;
-      wire::DocumentVersion& head = *message->add_document_versions();
-      head.set_topic(topic);
-      head.set_version(document.version);
-      head.set_bytes(static_cast<std::uint32_t>(document.body.size()));
+      wire::DocumentVersion& version = *message->add_document_versions();
+      version.set_topic(topic);
+      version.set_version(document.version);
+      version.set_bytes(static_cast<std::uint32_t>(document.body.size()));
     }
   }
 
  private:
-  std::map<Topic, Document> held_;
+  std::map<Topic, Document> documents_;
   Filter filter_;
 };
 
--- /dev/null
+++ b/src/membership/failure_detector.h
@@ -0,0 +1,63 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Detects members that no longer answer (SWIM with Lifeguard's extensions): probes one in each period,
+// suspects those that do not answer, and declares dead those whose suspicion is confirmed.
+#ifndef COPPERPOINT_MEMBERSHIP_FAILURE_DETECTOR_H_
+#define COPPERPOINT_MEMBERSHIP_FAILURE_DETECTOR_H_
+
+#include <cstdint>
+#include <string>
+
+#include "membership/gossip_queue.h"
+#include "membership/local_member.h"
+#include "membership/member_lifecycle.h"
+#include "membership/member_table.h"
+#include "membership/message_sender.h"
+#include "membership/options.h"
+#include "membership/probes.h"
+#include "membership/random_source.h"
+#include "membership/suspicion_table.h"
+
+namespace copperpoint::membership {
+
+// Owns the order of probes and the times of the next probe, check of suspicions, and probe of a dead member.
+class FailureDetector {
+ public:
+  // The first probe is due at `first_probe`.
+  FailureDetector(const Options& options, const MemberTable& members, SuspicionTable& suspicions,
+                  OutstandingProbes& probes, GossipQueue& queue, const LocalMember& local,
+                  MemberLifecycle& lifecycle, MessageSender& sender, RandomSource& random, Time first_probe,
+                  Time now);
+
+  Time next() const;  // when OnTimer is due
+  void OnTimer(Time now);
+  // An ack of a probe of this member's, direct or through another member.
+  void OnAck(const wire::Message& message, Time now);
+
+ private:
+  void CheckProbes(Time now);
+  void OnProbeExpired(const Probe& probe, Time now);
+  void ProbeNextMember(Time now);
+  void CheckSuspicions(Time now);
+  void ProbeDeadMember(Time now);
+  std::uint32_t SendProbe(int index, bool confirming, Time now);  // the probe's id
+  // Requests `count` random members that are alive to repeat the probe; they also answer at once with their
+  // last contact with the target.
+  void RequestIndirectProbes(int count, std::uint32_t probe_id, const std::string& target, Time now);
+
+  const Options& options_;
+  const MemberTable& members_;
+  SuspicionTable& suspicions_;
+  OutstandingProbes& probes_;
+  GossipQueue& queue_;
+  const LocalMember& local_;
+  MemberLifecycle& lifecycle_;
+  MessageSender& sender_;
+  RandomSource& random_;
+  ProbeOrder order_;
+  Time next_probe_, next_dead_probe_, next_suspicion_check_;
+};
+
+}  // namespace copperpoint::membership
+
+#endif  // COPPERPOINT_MEMBERSHIP_FAILURE_DETECTOR_H_
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is still to be passed on, each claim a bounded number of times: those told least often go first, and
-// where there is no room the most told are left out. One claim a member: a newer one takes its place.
+// The queue of claims that this member still has to disseminate, each a bounded number of times.
 #ifndef COPPERPOINT_MEMBERSHIP_GOSSIP_QUEUE_H_
 #define COPPERPOINT_MEMBERSHIP_GOSSIP_QUEUE_H_
 
@@ -16,36 +15,46 @@
 
 namespace copperpoint::membership {
 
+// Claims that were sent least often go first; where the queue is full, the one sent most often is dropped. A
+// new claim on a member replaces all that is queued on it.
+//
+// Owns the queued claims, and the time at which the next round of gossip is due.
 class GossipQueue {
  public:
-  explicit GossipQueue(std::size_t most) : most_(most) {}
+  GossipQueue(std::size_t max_claims, Time now) : max_claims_(max_claims), next_round_(now) {}
 
-  // `kind` tells apart what may be said of one member at the same time.
-  enum Kind { kClaim, kLastContact, kAccuser };  // kAccuser + n: the n-th accuser of a suspect
+  // What may be queued on one member at a time. kAccuser + n: the accusation by the suspect's n-th accuser.
+  enum Kind { kClaim, kLastContact, kAccuser };
   void Add(wire::Claim claim, Time now, int kind = kClaim);
-  void Add(wire::LastContact heard, Time now);
-  void Forget(const std::string& name);
+  void Add(wire::LastContact last_contact, Time now);
+  void Remove(const std::string& name);
+  // Empties the queue for good.
+  void Clear();
 
-  // Fills `message` up to `most_bytes` of claims; each counts as told once more, and goes after `times`. The
-  // bytes that they take, about.
-  std::size_t Fill(wire::Message* message, std::size_t most_bytes, int times, Time now);
+  // Adds claims to the message, up to about `max_bytes` of it, and counts each as sent once more; after
+  // `max_transmissions` it is removed. The bytes added.
+  std::size_t Fill(wire::Message* message, std::size_t max_bytes, int max_transmissions, Time now);
 
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
-  std::size_t dropped() const { return dropped_; }
+  std::size_t dropped() const { return dropped_; }  // since the start: the queue was full
+
+  Time next_round() const { return next_round_; }
+  void ScheduleRound(Time at) { next_round_ = at; }
 
  private:
-  using Key = std::pair<std::string, int>;
+  using Key = std::pair<std::string, int>;  // the member's name, and the kind
   struct Item {
     wire::Claim claim;
-    wire::LastContact heard;
+    wire::LastContact last_contact;  // of kLastContact, which has no claim
     std::size_t bytes = 0;
     int transmissions = 0;
-    Time at{};
+    Time queued_at{};
   };
-  void Put(Key key, Item item);
+  void Insert(Key key, Item item);
 
-  std::size_t most_, dropped_ = 0;
+  std::size_t max_claims_, dropped_ = 0;
+  Time next_round_;
   std::map<Key, Item> items_;
   std::set<std::pair<int, Key>> by_transmissions_;
 };
--- /dev/null
+++ b/src/membership/local_clock.h
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The time of a member: the host's time less the spans for which its process paused.
+#ifndef COPPERPOINT_MEMBERSHIP_LOCAL_CLOCK_H_
+#define COPPERPOINT_MEMBERSHIP_LOCAL_CLOCK_H_
+
+#include <algorithm>
+
+#include "membership/options.h"
+
+namespace copperpoint::membership {
+
+// A process that was stopped or starved has received nothing meanwhile, and must not conclude that the others
+// were silent (Lifeguard). It notices only by its own delayed wake-up; the delay is left out of its time, in
+// which all timeouts of the membership are measured.
+//
+// Owns the sum of the pauses and the wake-up that is expected next.
+class LocalClock {
+ public:
+  LocalClock(const Options& options, Time host_now)
+      : options_(options), last_event_(host_now), expected_wakeup_(host_now) {}
+
+  // Called at each event; the member's time.
+  Time Enter(Time host_now) {
+    if (options_.with_delayed_wakeups && host_now > expected_wakeup_ + options_.delayed_wakeup)
+      paused_ += host_now - expected_wakeup_;
+    last_event_ = host_now;
+    expected_wakeup_ = std::max(expected_wakeup_, host_now);
+    return ToLocal(host_now);
+  }
+  // The host will wake this member at `host_due`.
+  void ExpectWakeup(Time host_due) { expected_wakeup_ = std::max(host_due, last_event_); }
+
+  Time ToLocal(Time host_time) const { return host_time - paused_; }
+  Time ToHost(Time local_time) const { return local_time + paused_; }
+
+ private:
+  const Options& options_;
+  Time paused_{};
+  Time last_event_, expected_wakeup_;  // in the host's time
+};
+
+}  // namespace copperpoint::membership
+
+#endif  // COPPERPOINT_MEMBERSHIP_LOCAL_CLOCK_H_
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -3,6 +3,8 @@
 
 #include <xxhash.h>
 
+#include <utility>
+
 namespace copperpoint::membership {
 
 const char* NameOf(MemberState state) {
@@ -33,131 +35,133 @@
   return "unknown";
 }
 
-bool Supersedes(std::uint32_t refutations_a, std::uint64_t incarnation_a, std::uint32_t refutations_b,
-                std::uint64_t incarnation_b) {
-  if (refutations_a != refutations_b) return IsLater(refutations_a, refutations_b);
-  return incarnation_a > incarnation_b;
-}
-
 namespace {
 
-std::uint64_t PlaceOf(std::string_view name) { return XXH64(name.data(), name.size(), 4); }
+// Seeds of the hashes that members compare: the same in every version of the program.
+constexpr std::uint64_t kRecordSeed = 1, kBucketSeed = 2;
+constexpr std::uint64_t kNameSeed = 4;  // of this table's own index
 
-std::uint64_t HashOf(const Record& record) {
+std::uint64_t NameHash(std::string_view name) { return XXH64(name.data(), name.size(), kNameSeed); }
+
+std::uint64_t RecordHash(const Record& record) {
   const std::uint64_t numbers[] = {record.incarnation(), record.refutation_number(), record.version()};
-  return XXH64(numbers, sizeof numbers, XXH64(record.name().data(), record.name().size(), 1));
+  return XXH64(numbers, sizeof numbers, XXH64(record.name().data(), record.name().size(), kRecordSeed));
 }
 
 }  // namespace
 
 std::size_t MemberTable::BucketOf(std::string_view name) {
-  return XXH64(name.data(), name.size(), 2) % kBuckets;
+  return XXH64(name.data(), name.size(), kBucketSeed) % kBuckets;
 }
 
 std::shared_ptr<const Record> RecordPool::Share(std::shared_ptr<const Record> record) {
   if (records_.size() >= sweep_at_) {
     std::erase_if(records_, [](const auto& entry) { return entry.second.expired(); });
-    sweep_at_ = 2 * records_.size() + 1024;
+    sweep_at_ = 2 * records_.size() + kMinSweep;
   }
-  std::weak_ptr<const Record>& kept = records_[{record->incarnation(), record->refutation_number(),
-                                                record->version(), record->ByteSizeLong()}];
-  if (auto same = kept.lock()) return same;
-  kept = record;
+  std::weak_ptr<const Record>& shared = records_[{record->incarnation(), record->refutation_number(),
+                                                  record->version(), record->ByteSizeLong()}];
+  if (auto same = shared.lock()) return same;
+  shared = record;
   return record;
 }
 
 int MemberTable::Find(std::string_view name) const {
-  const auto found = by_hash_.find(PlaceOf(name));
+  const auto found = by_hash_.find(NameHash(name));
   if (found == by_hash_.end()) return kNotFound;
-  if (entries_[static_cast<std::size_t>(found->second)].record->name() == name) return found->second;
+  if (members_[static_cast<std::size_t>(found->second)].record->name() == name) return found->second;
   const auto by_name = by_name_.find(name);
   return by_name == by_name_.end() ? kNotFound : by_name->second;
 }
 
 void MemberTable::Reserve(std::size_t members) {
-  entries_.reserve(members);
+  members_.reserve(members);
   living_.reserve(members);
   by_hash_.reserve(members);
 }
 
-void MemberTable::Count(const Member& entry) {
-  if (!entry.living()) return;
-  const std::uint64_t hash = HashOf(*entry.record);
+void MemberTable::ToggleHash(const Member& member) {
+  if (!member.living()) return;
+  const std::uint64_t hash = RecordHash(*member.record);
   hash_ ^= hash;
-  buckets_[BucketOf(entry.record->name())] ^= hash;
+  buckets_[BucketOf(member.record->name())] ^= hash;
 }
 
 int MemberTable::Add(std::shared_ptr<const Record> record, MemberStatus status, Time now) {
-  int at;
+  int index;
   if (free_.empty()) {
-    at = static_cast<int>(entries_.size());
-    entries_.emplace_back();
+    index = static_cast<int>(members_.size());
+    members_.emplace_back();
   } else {
-    at = free_.back();
+    index = free_.back();
     free_.pop_back();
   }
   const std::string& name = record->name();
-  if (!by_hash_.emplace(PlaceOf(name), at).second) by_name_[name] = at;
+  if (!by_hash_.emplace(NameHash(name), index).second) by_name_[name] = index;
   ++size_;
-  if (shared_) record = shared_->Share(std::move(record));
-  Member& entry = Mutable(at);
-  entry = Member{std::move(record), status, now, now};
-  if (entry.living()) {
-    entry.living_index = living_.size();
-    living_.push_back(at);
+  if (pool_) record = pool_->Share(std::move(record));
+  Member& member = Mutable(index);
+  member = Member{std::move(record), status, now, now};
+  if (member.living()) {
+    member.living_index = living_.size();
+    living_.push_back(index);
   }
-  Count(entry);
-  return at;
+  ToggleHash(member);
+  return index;
 }
 
-void MemberTable::Set(int at, std::shared_ptr<const Record> record, MemberStatus status, Time now) {
-  Member& entry = Mutable(at);
-  Count(entry);
-  const bool was = entry.living();
-  if (entry.record->incarnation() != record->incarnation()) entry.last_sequence = 0, entry.seen_sequences = 0;
-  if (entry.status != status) entry.status_since = now;
-  entry.record = shared_ ? shared_->Share(std::move(record)) : std::move(record);
-  entry.status = status;
-  if (was && !entry.living()) {
-    Mutable(living_.back()).living_index = entry.living_index;
-    living_[entry.living_index] = living_.back();
+void MemberTable::Set(int index, std::shared_ptr<const Record> record, MemberStatus status, Time now) {
+  Member& member = Mutable(index);
+  ToggleHash(member);
+  const bool was_living = member.living();
+  if (member.record->incarnation() != record->incarnation()) member.sequences = SequenceWindow();
+  if (member.status != status) member.status_since = now;
+  member.record = pool_ ? pool_->Share(std::move(record)) : std::move(record);
+  member.status = status;
+  if (was_living && !member.living()) {
+    Mutable(living_.back()).living_index = member.living_index;
+    living_[member.living_index] = living_.back();
     living_.pop_back();
-  } else if (!was && entry.living()) {
-    entry.living_index = living_.size();
-    living_.push_back(at);
-    entry.last_contact = now;
+  } else if (!was_living && member.living()) {
+    member.living_index = living_.size();
+    living_.push_back(index);
+    member.last_contact = now;
   }
-  Count(entry);
+  ToggleHash(member);
 }
 
-void MemberTable::Remove(int at) {
-  const auto record = (*this)[at].record;
-  Set(at, record, MemberStatus::kDead, Time{});
-  const auto found = by_hash_.find(PlaceOf(record->name()));
-  if (found->second == at) {
-    by_hash_.erase(found);
-    // Another of the same hash may stand by its name alone: it has the place now.
-    for (auto other = by_name_.begin(); other != by_name_.end(); ++other) {
-      if (PlaceOf(other->first) != PlaceOf(record->name())) continue;
-      by_hash_.emplace(PlaceOf(other->first), other->second);
-      by_name_.erase(other);
-      break;
-    }
-  } else {
-    by_name_.erase(record->name());
-  }
+void MemberTable::Remove(int index) {
+  const auto record = (*this)[index].record;
+  Set(index, record, MemberStatus::kDead, Time{});
+  RemoveName(index, record->name());
   --size_;
-  Mutable(at).record.reset();
-  free_.push_back(at);
+  Mutable(index).record.reset();
+  free_.push_back(index);
+}
+
+void MemberTable::RemoveName(int index, const std::string& name) {
+  const auto found = by_hash_.find(NameHash(name));
+  if (found->second != index) {
+    by_name_.erase(name);
+    return;
+  }
+  by_hash_.erase(found);
+  // Another name of the same hash may be in by_name_ alone: it takes the slot.
+  for (auto other = by_name_.begin(); other != by_name_.end(); ++other) {
+    if (NameHash(other->first) != NameHash(name)) continue;
+    by_hash_.emplace(NameHash(other->first), other->second);
+    by_name_.erase(other);
+    return;
+  }
 }
 
-std::shared_ptr<const Record> Bare(const Record& record) {
-  auto bare = std::make_shared<Record>();
-  bare->set_name(record.name());
-  bare->set_incarnation(record.incarnation());
-  bare->set_refutation_number(record.refutation_number());
-  bare->set_address(record.address());
-  return bare;
+std::shared_ptr<const Record> TombstoneOf(const Record& record) {
+  auto tombstone = std::make_shared<Record>();
+  tombstone->set_name(record.name());
+  tombstone->set_incarnation(record.incarnation());
+  tombstone->set_refutation_number(record.refutation_number());
+  tombstone->set_address(record.address());
+  return tombstone;
 }
 
 std::shared_ptr<const Record> WithRefutationNumber(const Record& record, std::uint32_t refutation_number) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,247 +1,266 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// A member's own incarnation: its start, its wakes, what it says of itself, its end.
 #include "membership/membership.h"
 
-#include <stdexcept>
+#include <algorithm>
 #include <utility>
 
 namespace copperpoint::membership {
 namespace {
 
-constexpr Time kNever = Time::max() / 2;
-constexpr Time kSweep = std::chrono::seconds(5);
-constexpr Time kAlone = std::chrono::seconds(2);
-constexpr Time kSeedAgain = milliseconds(200);  // until one has answered
-constexpr int kFarewells = 8;
+constexpr Time kExpiryCheckPeriod = std::chrono::seconds(5);
+constexpr std::uint64_t kIncarnationSalt = 0x9e3779b97f4a7c15u;
 
-// Random, from whatever the host drew.
-std::uint64_t Mix(std::uint64_t x) {
+// The finalizer of SplitMix64: well-mixed bits of whatever seed the host has drawn.
+std::uint64_t MixBits(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
   return x ^ (x >> 31);
 }
 
-}  // namespace
+// Never 0, which a message to no particular incarnation has.
+std::uint64_t IncarnationFrom(std::uint64_t seed) { return MixBits(seed + kIncarnationSalt) | 1; }
 
-const char* NameOf(Event::Kind kind) {
-  switch (kind) {
-    case Event::Kind::kJoined:
-      return "joined";
-    case Event::Kind::kSuspected:
-      return "suspected";
-    case Event::Kind::kRefuted:
-      return "refuted";
-    case Event::Kind::kDead:
-      return "dead";
-    case Event::Kind::kLeft:
-      return "left";
-    case Event::Kind::kHealed:
-      return "healed";
-    case Event::Kind::kNameTaken:
-      return "name_taken";
-    case Event::Kind::kTooNew:
-      return "too_new";
-  }
-  return "unknown";
+// Within a period, so that the members' probes are spread over it.
+Time FirstProbe(const Options& options, RandomSource& random, Time now) {
+  return now + options.probe_period * static_cast<int>(random.Below(1000)) / 1000;
+}
+
+// A member that opens a synchronization states itself; it may do so without knowing this incarnation.
+bool StatesSender(const wire::Message& message) {
+  if (message.claims_size() != 1) return false;
+  const wire::Claim& claim = message.claims(0);
+  return claim.status() == wire::STATUS_ALIVE && claim.record().name() == message.from() &&
+         claim.record().incarnation() == message.incarnation();
 }
 
+}  // namespace
+
 Membership::Membership(const Options& options, peers::FrameCodec codec, Record self, std::uint64_t seed,
-                       Time now, RecordPool* shared)
+                       Time now, RecordPool* pool)
     : options_(options),
       codec_(std::move(codec)),
-      random_(Mix(seed)),
-      members_(shared),
-      incarnation_(Mix(seed + 0x9e3779b97f4a7c15u) | 1),
-      queue_(options.max_queued_claims),
+      clock_(options_, now),
+      random_(MixBits(seed)),
+      next_expiry_check_(now + kExpiryCheckPeriod),
+      members_(pool),
       suspicions_(options_),
-      allowance_(static_cast<double>(options.max_gossip_bytes_per_s)),
-      allowed_at_(now),
-      next_probe_(now + options.probe_period * static_cast<int>(random_.Below(1000)) / 1000),
-      next_gossip_(now),
-      next_retry_(now + options.reconnect_period),
-      next_seed_(kNever),
-      next_sweep_(now + kSweep),
-      next_sync_(now),
-      next_refusal_(now),
-      next_judgement_(now),
-      next_fetch_(now),
-      changed_(now),
-      last_agreed_(now),
-      alone_at_(now + kAlone),
-      entered_(now),
-      expected_(now) {
-  self.set_incarnation(incarnation_);
-  if (self.refutation_number() == 0) self.set_refutation_number(1);
-  if (!Fits(self)) throw std::invalid_argument("name, address, zone or versions are too long for a message");
-  me_ = members_.Add(std::make_shared<Record>(std::move(self)), MemberStatus::kAlive, now);
-}
+      gossip_queue_(options_.max_queued_claims, now),
+      convergence_(options_, now),
+      reply_limiter_(now),
+      claims_(members_, suspicions_, self.name()),
+      local_(options_, members_, gossip_queue_, convergence_, claims_, std::move(self), IncarnationFrom(seed),
+             now),
+      sender_(options_, codec_, members_, gossip_queue_, documents_, claims_, local_, output_, counters_,
+              now),
+      lifecycle_(options_, members_, suspicions_, gossip_queue_, convergence_, ended_, claims_, local_,
+                 output_.events),
+      name_conflict_(local_, sender_, reply_limiter_, output_.events),
+      merger_(options_, members_, ended_, local_, lifecycle_, name_conflict_, counters_),
+      anti_entropy_(options_, members_, claims_, local_, sender_, random_, now),
+      filter_(members_, ended_, claims_, local_, lifecycle_, anti_entropy_, name_conflict_, sender_,
+              reply_limiter_, counters_),
+      detector_(options_, members_, suspicions_, probes_, gossip_queue_, local_, lifecycle_, sender_, random_,
+                FirstProbe(options_, random_, now), now),
+      relay_(options_, members_, claims_, local_, probes_, sender_),
+      gossiper_(options_, members_, gossip_queue_, local_, sender_, random_),
+      seeds_(options_, members_, local_, anti_entropy_, random_, now),
+      document_exchange_(options_, documents_, local_, sender_, output_.documents, now) {}
 
 void Membership::Settle(Time now, const std::vector<std::shared_ptr<const Record>>& others) {
-  now = Enter(now);
+  now = clock_.Enter(now);
   members_.Reserve(others.size());
   for (const auto& record : others)
-    if (record->name() != self().name()) members_.Add(record, MemberStatus::kAlive, now);
-  established_ = true;
+    if (record->name() != local_.name()) members_.Add(record, MemberStatus::kAlive, now);
+  local_.set_established();
 }
 
 void Membership::Join(Time now, std::vector<std::string> seeds) {
-  now = Enter(now);
-  seeds_ = std::move(seeds);
-  std::erase(seeds_, self().address());
-  if (seeds_.empty()) {
-    established_ = true;
-  } else {
-    next_seed_ = now;
-    AskSeeds(now);
+  seeds_.Join(std::move(seeds), clock_.Enter(now));
+}
+
+void Membership::OnDatagram(Time now, const std::string& from, std::string_view bytes) {
+  if (stopped()) return;
+  now = clock_.Enter(now);
+  ++counters_.received;
+  counters_.received_bytes += bytes.size();
+  if (bytes.size() > peers::kMaxDatagramBytes) {
+    ++counters_.oversized;
+    return;
+  }
+  wire::Message message;
+  const peers::FrameError error = Decode(bytes, &message);
+  if (error == peers::FrameError::kTooNew && reply_limiter_.TryAcquire(now)) {
+    wire::Message reply = sender_.NewMessage(wire::KIND_TOO_NEW);
+    reply.set_newest_readable_version(peers::kFormatVersion);
+    sender_.Send(std::move(reply), from, MemberTable::kNotFound, now);
+    output_.events.push_back({Event::Kind::kTooNew, from, "", Time{}});
   }
+  if (error == peers::FrameError::kNone && filter_.Accept(message, from, now)) OnMessage(message, from, now);
 }
 
-// The host's time in, this member's own out: without the times at which the process stood still. It learns
-// only by its own late wake that it did, and must not take what it did not hear meanwhile for the silence of
-// others.
-Time Membership::Enter(Time now) {
-  if (options_.with_delayed_wakeups && now > expected_ + options_.delayed_wakeup) away_ += now - expected_;
-  entered_ = now;
-  expected_ = std::max(expected_, now);
-  return ToLocalTime(now);
+void Membership::OnMessage(const wire::Message& message, const std::string& from, Time now) {
+  const bool to_this = message.to_incarnation() == local_.incarnation();
+  if (!to_this && message.to_incarnation() != 0) ++counters_.misaddressed;
+  if (IsFromMember(message)) merger_.MergeAll(message, ClaimMerger::Source::kGossip, now);
+  // The claims may have been on the sender.
+  const bool from_member = IsFromMember(message);
+  const int sender = members_.Find(message.from());
+  const std::string address = sender == MemberTable::kNotFound ? from : members_[sender].record->address();
+  if (from_member) document_exchange_.OnVersions(message, address, now);
+  switch (message.kind()) {
+    case wire::KIND_PING: {
+      wire::Message ack = sender_.NewMessage(wire::KIND_ACK);
+      ack.set_probe(message.probe());
+      sender_.Send(std::move(ack), address, sender, now);
+      break;
+    }
+    case wire::KIND_ACK:
+      if (!relay_.OnAck(message, now)) detector_.OnAck(message, now);
+      break;
+    case wire::KIND_INDIRECT_PING:
+      if (to_this) relay_.OnIndirectPing(message, address, now);
+      break;
+    case wire::KIND_APPLICATION:
+      if (from_member && message.body().size() <= options_.max_message_bytes)
+        output_.messages.push_back({message.from(), message.topic(), message.body()});
+      break;
+    default:
+      break;
+  }
+  if (sender == MemberTable::kNotFound || !members_[sender].living() || message.membership_hash() == 0)
+    return;
+  if (convergence_.OnComparison(message.membership_hash() == members_.hash(), now))
+    anti_entropy_.StartIfDue(members_[sender].record->address(), now);
 }
 
-Output Membership::Take() {
-  expected_ = std::max(next(), entered_);
-  return std::exchange(output_, {});
+std::string Membership::OnExchange(Time now, std::string_view frame) {
+  if (stopped()) return "";
+  now = clock_.Enter(now);
+  counters_.exchanged_bytes += frame.size();
+  wire::Message message;
+  if (Decode(frame, &message) != peers::FrameError::kNone) return "";
+  if (!filter_.Accept(message, "", now)) return "";
+  switch (message.kind()) {
+    case wire::KIND_PUSH:
+      if (message.to_incarnation() == local_.incarnation())
+        merger_.MergeAll(message, ClaimMerger::Source::kSync, now);
+      return "";
+    case wire::KIND_FETCH:
+      return document_exchange_.Reply(message);
+    case wire::KIND_SYNC: {
+      std::string reply = anti_entropy_.Reply(message, now);
+      if (StatesSender(message))
+        merger_.Merge(message.claims(0), message.from(), ClaimMerger::Source::kSync, now);
+      counters_.exchanged_bytes += reply.size();
+      return reply;
+    }
+    default:
+      return "";
+  }
 }
 
-Time Membership::next() const {
-  if (stopped_) return kNever;
-  Time due = std::min({next_probe_, next_retry_, next_seed_, next_sweep_});
-  if (!queue_.empty()) due = std::min(due, next_gossip_);
-  if (rival_until_ > Time{}) due = std::min(due, rival_until_);
-  if (!established_) due = std::min(due, alone_at_);
-  for (const Probe& probe : const_cast<Membership*>(this)->prober_.out())
-    due =
-        std::min(due, probe.sent + (probe.indirect_sent || probe.confirming ? options_.probe_period
-                                                                            : options_.direct_probe_timeout));
-  for (const Relay& relay : relays_) due = std::min(due, relay.until);
-  if (suspicions_.size() > 0) due = std::min(due, next_judgement_);
-  return due + away_;
+void Membership::OnReply(Time now, std::string_view frame) {
+  if (stopped()) return;
+  now = clock_.Enter(now);
+  counters_.exchanged_bytes += frame.size();
+  wire::Message message;
+  if (Decode(frame, &message) != peers::FrameError::kNone) return;
+  if (message.kind() == wire::KIND_DOCUMENT) {
+    if (filter_.Accept(message, "", now)) document_exchange_.OnDocument(message);
+  } else if (message.kind() == wire::KIND_SYNC_REPLY && message.to_incarnation() == local_.incarnation()) {
+    if (filter_.Accept(message, "", now)) OnSyncReply(message, now);
+  }
+}
+
+void Membership::OnSyncReply(const wire::Message& message, Time now) {
+  const wire::Message push = anti_entropy_.MissingAtSender(message, now);
+  merger_.MergeAll(message, ClaimMerger::Source::kSync, now);
+  local_.set_established();
+  const int sender = members_.Find(message.from());
+  if (sender == MemberTable::kNotFound) return;
+  const std::string address = members_[sender].record->address();
+  document_exchange_.OnVersions(message, address, now);
+  if (push.claims_size() > 0) sender_.SendExchange(address, push);
 }
 
 void Membership::OnTick(Time now) {
-  if (stopped_) return;
-  now = Enter(now);
-  if (!established_ && now >= alone_at_) established_ = true;
-  if (rival_until_ > Time{} && now >= rival_until_) {
-    rival_until_ = Time{};
-    Refute(rival_refutation_number_, now);  // nobody there: the name is this member's
-  }
-  LookAfterProbes(now);
-  if (now >= next_probe_) {
-    next_probe_ = std::max(next_probe_ + options_.probe_period, now);
-    ProbeNext(now);
-  }
-  if (now >= next_judgement_) Judge(now);
-  if (now >= next_retry_) {
-    next_retry_ = now + options_.reconnect_period;
-    AskTheDead(now);
+  if (stopped()) return;
+  now = clock_.Enter(now);
+  seeds_.CheckAlone(now);
+  name_conflict_.OnTimer(now);
+  detector_.OnTimer(now);
+  relay_.OnTimer(now);
+  seeds_.ContactIfDue(now);
+  if (now >= next_expiry_check_) {
+    next_expiry_check_ = now + kExpiryCheckPeriod;
+    lifecycle_.RemoveExpired(now);
   }
-  if (now >= next_seed_) AskSeeds(now);
-  if (now >= next_sweep_) {
-    next_sweep_ = now + kSweep;
-    ForgetOld(now);
-  }
-  if (now >= next_gossip_ && !queue_.empty()) Gossip(now);
+  gossiper_.OnTimer(now);
+}
+
+Time Membership::next() const {
+  if (stopped()) return kNever;
+  return clock_.ToHost(std::min({detector_.next(), relay_.next(), seeds_.next(), name_conflict_.next(),
+                                 gossiper_.next(), next_expiry_check_}));
 }
 
-void Membership::Change(std::shared_ptr<Record> self, Time now) {
-  members_.Set(me_, std::move(self), MemberStatus::kAlive, now);
-  queue_.Add(ClaimOf(me_, now), now);
-  changed_ = now;
-  agreed_ = 0;
+Output Membership::Take() {
+  clock_.ExpectWakeup(next());
+  return std::exchange(output_, {});
 }
 
 void Membership::SetState(Time now, MemberState state) {
-  if (stopped_ || self().state() == static_cast<std::uint32_t>(state)) return;
-  now = Enter(now);
-  auto next = std::make_shared<Record>(self());
-  next->set_state(static_cast<std::uint32_t>(state));
-  next->set_version(next->version() + 1);
-  Change(std::move(next), now);
+  if (stopped() || self().state() == static_cast<std::uint32_t>(state)) return;
+  local_.Replace(local_.WithState(state), clock_.Enter(now));
 }
 
 bool Membership::Publish(Time now, const std::string& key, const std::string& value) {
-  if (stopped_) return false;
-  auto next = std::make_shared<Record>(self());
-  (*next->mutable_metadata())[key] = value;
-  next->set_version(next->version() + 1);
-  if (!Fits(*next)) return false;
-  Change(std::move(next), Enter(now));
+  if (stopped()) return false;
+  auto next = local_.WithMetadata(key, value);
+  if (!IsWithinLimits(*next, options_)) return false;
+  local_.Replace(std::move(next), clock_.Enter(now));
   return true;
 }
 
-// Above a claim that is not true of this member, in serial arithmetic.
-void Membership::Refute(std::uint32_t above, Time now) {
-  auto next = std::make_shared<Record>(self());
-  next->set_refutation_number(above + 1);
-  Change(std::move(next), now);
-  next_gossip_ = now;
+bool Membership::SendMessage(Time now, const std::string& to, Topic topic, std::string body) {
+  if (stopped() || body.size() > options_.max_message_bytes) return false;
+  now = clock_.Enter(now);
+  const int recipient = members_.Find(to);
+  if (recipient == MemberTable::kNotFound || recipient == local_.index() || !members_[recipient].living())
+    return false;
+  wire::Message message = sender_.NewMessage(wire::KIND_APPLICATION);
+  message.set_topic(topic);
+  message.set_body(std::move(body));
+  sender_.Send(std::move(message), members_[recipient].record->address(), recipient, now);
+  return true;
 }
 
-void Membership::Stop() {
-  stopped_ = true;
-  queue_ = GossipQueue(options_.max_queued_claims);
-  prober_.out().clear();
-  relays_.clear();
+bool Membership::PublishDocument(Time now, Topic topic, std::uint64_t version, std::string body) {
+  if (stopped()) return false;
+  clock_.Enter(now);
+  return document_exchange_.Publish(topic, version, std::move(body));
 }
 
 void Membership::Leave(Time now) {
-  if (stopped_) return;
-  now = Enter(now);
-  wire::Claim goodbye;
-  goodbye.set_status(wire::STATUS_LEFT);
-  *goodbye.mutable_record() = *Bare(self());
-  goodbye.set_reported_by(self().name());
-  std::vector<int> others;
-  for (const int at : members_.living())
-    if (at != me_) others.push_back(at);
-  for (int i = 0; i < kFarewells && !others.empty(); ++i) {
-    const std::size_t pick = random_.Below(others.size());
-    wire::Message message = Begin(wire::KIND_GOSSIP);
-    *message.add_claims() = goodbye;
-    Send(std::move(message), members_[others[pick]].record->address(), others[pick], now);
-    others[pick] = others.back();
-    others.pop_back();
-  }
-  Stop();
+  if (stopped()) return;
+  gossiper_.AnnounceLeave(clock_.Enter(now));
+  local_.Stop();
 }
 
-void Membership::Tell(Event::Kind kind, const std::string& name, const std::string& by, Time silent) {
-  output_.events.push_back({kind, name, by, silent});
+bool Membership::converged() const {
+  return established() && !stopped() && suspicions_.empty() && convergence_.Agrees(members_.living().size());
 }
 
-// Seeds are asked in turn, fast until one has answered; then now and then those that are not in the view, so
-// that halves that never met find each other.
-void Membership::AskSeeds(Time now) {
-  next_seed_ =
-      now + (established_ && members_.living().size() > 1 ? 5 * options_.reconnect_period : kSeedAgain);
-  if (seeds_.empty()) return;
-  const std::string& seed = seeds_[random_.Below(seeds_.size())];
-  for (const int at : members_.living()) {
-    if (members_[at].record->address() == seed) return;
-  }
-  Sync(seed, now);
-}
-
-void Membership::ForgetOld(Time now) {
-  std::vector<int> old;
-  members_.ForEach([&](int at, const Member& entry) {
-    if (!entry.living() && now - entry.status_since > options_.tombstone_lifetime) old.push_back(at);
-  });
-  for (const int at : old) {
-    // One that left never comes back. One that was cut off for long may.
-    if (members_[at].status == MemberStatus::kLeft) EndIncarnation(members_[at].record->incarnation());
-    members_.Remove(at);
-  }
+peers::FrameError Membership::Decode(std::string_view frame, wire::Message* message) {
+  const peers::FrameError error = codec_.Decode(frame, message);
+  if (error != peers::FrameError::kNone) ++counters_.rejected[static_cast<std::size_t>(error)];
+  return error;
+}
+
+bool Membership::IsFromMember(const wire::Message& message) const {
+  const int sender = members_.Find(message.from());
+  return message.to_incarnation() == local_.incarnation() && sender != MemberTable::kNotFound &&
+         members_[sender].record->incarnation() == message.incarnation();
 }
 
 }  // namespace copperpoint::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,218 +1,145 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One member's view of the fleet, kept by talk with the others alone (docs/view.md). No I/O, no clock, no
-// thread: time and messages come in, messages, exchanges and events go out. The proxy, the rig and the
-// laboratory host the same object.
-//
-// Sources: SWIM (Das, Gupta, Motivala 2002) for probes, suspicion, refutation numbers and piggyback;
-// Lifeguard (Dadgar, Phillips, Currey 2018) for confirmations and telling a suspect first; push-pull
-// anti-entropy (Demers and others 1987), here by hashes of buckets.
+// One member's knowledge of the fleet, from messages of the other members alone (docs/membership.md). No I/O,
+// no clock, no thread: time and frames come in, frames and events go out. The proxy and the fault tests host
+// the same class.
 #ifndef COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
 #define COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
 
-#include <array>
 #include <cstdint>
-#include <deque>
+#include <memory>
 #include <string>
 #include <string_view>
-#include <unordered_set>
 #include <vector>
 
+#include "membership/anti_entropy.h"
+#include "membership/claim_builder.h"
+#include "membership/claim_merger.h"
+#include "membership/convergence_tracker.h"
+#include "membership/document_exchange.h"
 #include "membership/document_store.h"
+#include "membership/ended_incarnations.h"
+#include "membership/failure_detector.h"
 #include "membership/gossip_queue.h"
+#include "membership/gossiper.h"
+#include "membership/local_clock.h"
+#include "membership/local_member.h"
+#include "membership/member_lifecycle.h"
 #include "membership/member_table.h"
+#include "membership/message_filter.h"
+#include "membership/message_sender.h"
+#include "membership/name_conflict.h"
 #include "membership/options.h"
+#include "membership/output.h"
+#include "membership/probe_relay.h"
 #include "membership/probes.h"
+#include "membership/random_source.h"
+#include "membership/reply_limiter.h"
+#include "membership/seed_contact.h"
 #include "membership/suspicion_table.h"
 #include "peers/frame.h"
 
 namespace copperpoint::membership {
 
-// Bytes for an address. An exchange is one frame there and one back, over TCP.
-struct OutgoingFrame {
-  std::string to, bytes;
-};
-
-struct Event {
-  enum class Kind {
-    kJoined,  // a member that was not known, or a new process of one that was
-    kSuspected,
-    kRefuted,  // a suspect has answered
-    kDead,
-    kLeft,
-    kHealed,     // one thought dead lives, in the same process
-    kNameTaken,  // another process has this member's name, and this one keeps silent from here on
-    kTooNew,     // a message in a format that this program cannot read
-  };
-  Kind kind = Kind::kJoined;
-  std::string name;           // kTooNew: the address
-  std::string reported_by;    // who said so, where somebody did
-  Time time_since_contact{};  // kDead: since the last contact
-};
-const char* NameOf(Event::Kind kind);
-
-// From another member, for a part of the program.
-struct ApplicationMessage {
-  std::string from;
-  Topic topic = 0;
-  std::string body;
-};
-
-struct Output {
-  std::vector<OutgoingFrame> datagrams, exchanges;
-  std::vector<Event> events;
-  std::vector<ApplicationMessage> messages;
-  std::vector<Topic> documents;  // of which a later version is held now
-};
-
-struct Counters {
-  std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;  // datagrams
-  std::uint64_t exchanges = 0, exchanged_bytes = 0;                          // frames, both ways
-  std::array<std::uint64_t, peers::kFrameErrors> rejected{};                 // by peers::FrameError
-  std::uint64_t replays = 0, older_incarnations = 0, misaddressed = 0, oversized = 0;
-};
-
+// Owns all state of one member, and passes each event to the class that is responsible for it. All times are
+// the host's.
+//
+// Sources: SWIM (Das, Gupta, Motivala 2002) for probes, suspicion, refutation and piggybacked claims;
+// Lifeguard (Dadgar, Phillips, Currey 2018) for confirmations, delayed wake-ups and notifying a suspect
+// first; Demers and others (1987) for push-pull anti-entropy, here by hashes of buckets.
 class Membership {
  public:
-  // `self` has name, address, zone and versions; incarnation and refutation number are drawn here from
-  // `seed`, which must be another one in each process. Throws std::invalid_argument if a field is too large
-  // for a message.
+  // `self` has name, address, zone and versions; the incarnation is drawn from `seed`, which must differ from
+  // that of every other process. `pool` may be nullptr, and must outlive this object. Throws
+  // std::invalid_argument if a field is too large for a message.
   Membership(const Options& options, peers::FrameCodec codec, Record self, std::uint64_t seed, Time now,
-             RecordPool* shared = nullptr);
-  // In virtual time: begins as one that has long been there, among `others`.
-  void Settle(Time now, const std::vector<std::shared_ptr<const Record>>& others);
-
+             RecordPool* pool = nullptr);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Addresses of members to begin with; those that do not answer are asked again from time to time.
+  // For virtual time: starts as one that has long known `others`.
+  void Settle(Time now, const std::vector<std::shared_ptr<const Record>>& others);
+  // Addresses of members to contact first; those that do not answer are contacted again from time to time.
   void Join(Time now, std::vector<std::string> seeds);
+
+  // `from` is the sender's address.
   void OnDatagram(Time now, const std::string& from, std::string_view bytes);
-  std::string OnExchange(Time now, std::string_view frame);  // its answer; empty: none
-  void OnReply(Time now, std::string_view frame);            // to an exchange that this member began
+  // A frame that opens an exchange. The frame to reply; empty: none.
+  std::string OnExchange(Time now, std::string_view frame);
+  // The reply to an exchange that this member opened.
+  void OnReply(Time now, std::string_view frame);
   void OnTick(Time now);
-  Time next() const;  // when OnTick is due, in the host's time
+  Time next() const;  // when OnTick is due; kNever after it has stopped
 
   void SetState(Time now, MemberState state);
-  // A value that this member publishes. False where it would not fit: the metadata is bounded.
+  // Publishes a value in this member's metadata. False: a limit does not allow it.
   bool Publish(Time now, const std::string& key, const std::string& value);
-  // A letter to a member: one datagram, lost as any other. False: nobody living has that name, or it is too
-  // large.
+  // Sends one datagram, which may be lost, to a member. False: no living member has that name, or the body is
+  // over the limit.
   bool SendMessage(Time now, const std::string& to, Topic topic, std::string body);
-  // From here on all members are to hold this version; empty: a mark. False: a later one is held.
+  // Disseminates a version of a document to all members; an empty body: of a mark. False: a later one is
+  // stored.
   bool PublishDocument(Time now, Topic topic, std::uint64_t version, std::string body);
   const Document* document(Topic topic) const { return documents_.Find(topic); }
-  void SetDocumentFilter(DocumentStore::Filter gate) { documents_.SetFilter(std::move(gate)); }
-  // Says goodbye. From here on this member is silent.
+  void SetDocumentFilter(DocumentStore::Filter filter) { documents_.SetFilter(std::move(filter)); }
+  // Notifies members that it leaves, and stops.
   void Leave(Time now);
 
-  // What is to be sent and told. To be called after each of the above, and before next().
+  // What is to be sent and reported. To be called after each of the above, and before next().
   Output Take();
 
   const MemberTable& members() const { return members_; }
-  const Record& self() const { return *members_[me_].record; }
-  bool established() const { return established_; }  // has met another, or found that it is alone
-  bool stopped() const { return stopped_; }
-  // Nobody is suspected, and the last members heard from, up to four of them, had the same view.
-  bool converged() const {
-    return established_ && !stopped_ && suspicions_.size() == 0 && agreed_ >= Agreement();
-  }
+  const Record& self() const { return local_.record(); }
+  // It has met another member, or found that there is none.
+  bool established() const { return local_.established(); }
+  // It has left, or lost its name, and sends nothing more.
+  bool stopped() const { return local_.stopped(); }
+  // Nobody is suspected, and the last members heard from, up to four, had the same table.
+  bool converged() const;
   const Counters& counters() const { return counters_; }
-  std::size_t gossip_dropped() const { return queue_.dropped(); }
-  const Suspicion* suspicion(int at) const { return const_cast<SuspicionTable&>(suspicions_).Find(at); }
-  Time ToLocalTime(Time now) const { return now - away_; }  // the time that `since` and `heard` are in
+  std::size_t gossip_dropped() const { return gossip_queue_.dropped(); }
+  // nullptr: the member with this index is not suspected.
+  const Suspicion* suspicion(int index) const { return suspicions_.Find(index); }
+  // The time in which the times of the member table are.
+  Time ToLocalTime(Time host_time) const { return clock_.ToLocal(host_time); }
 
  private:
-  struct Relay {  // a probe made for another
-    std::uint32_t id = 0, asker_probe = 0;
-    std::string asker, asker_address, target;
-    Time until{};
-  };
-
-  Time Enter(Time now);
-  int Agreement() const { return static_cast<int>(std::min<std::size_t>(4, members_.living().size() - 1)); }
-  void Change(std::shared_ptr<Record> self, Time now);  // of this member's own record
-  void Refute(std::uint32_t above, Time now);
-  void Stop();
-
-  // ---- view_messages.cpp ----
-  wire::Message Begin(wire::Kind kind);
-  peers::FrameError Open(std::string_view bytes, wire::Message* message);  // and counts what is refused
-  void Send(wire::Message message, const std::string& to, int at, Time now);
-  std::size_t Allowance(Time now);  // bytes of claims that may be told now
-  void Gossip(Time now);
-  bool Admit(const wire::Message& message, const std::string& from, Time now);  // false: dropped
-  void OnRival(const wire::Message& message, const std::string& from, Time now);
+  peers::FrameError Decode(std::string_view frame, wire::Message* message);  // counts errors
   void OnMessage(const wire::Message& message, const std::string& from, Time now);
-  void OnAck(const wire::Message& message, Time now);
-  void OnPingFor(const wire::Message& message, const std::string& from, Time now);
-  void Compare(const wire::Message& message, int at, Time now);
-
-  // ---- view_claims.cpp ----
-  void TakeClaims(const wire::Message& message, bool whole, Time now);
-  void Merge(const wire::Claim& claim, const std::string& from, bool whole, Time now);
-  void MergeAlive(const wire::Claim& claim, int at, Time now);
-  void MergeGone(const wire::Claim& claim, const std::string& by, bool whole, int at, Time now);
-  void OnOwnName(const wire::Claim& claim, Time now);
-  void Accuse(int at, const std::string& by, Time since, Time now);
-  void Heard(int at, Time when, Time now);
-  void Bury(int at, MemberStatus status, const std::string& by, std::uint32_t age_ms, Time now);
-  void Revive(int at, std::shared_ptr<const Record> record, Time now);
-  bool IsConfirmer(int at) const;
-  wire::Claim ClaimOf(int at, Time now) const;
-  wire::LastContact HeardOf(int at, Time when, Time now) const;
-  bool Fits(const Record& record) const;
-  void EndIncarnation(std::uint64_t incarnation);
-  void Tell(Event::Kind kind, const std::string& name, const std::string& by = "", Time silent = {});
-
-  // ---- view_parts.cpp ----
-  void TakeHeads(const wire::Message& message, const std::string& address, Time now);
-  std::string AnswerFetch(const wire::Message& message);
-  void TakeDocument(const wire::Message& message);
-
-  // ---- view_sync.cpp ----
-  void Exchange(const std::string& address, const wire::Message& message);
-  void Sync(const std::string& address, Time now);
-  std::string AnswerSync(const wire::Message& message, Time now);
-
-  // ---- view_probes.cpp ----
-  void ProbeNext(Time now);
-  std::uint32_t Ask(int at, bool confirming, Time now);  // the probe's id
-  void AskThrough(int helpers, std::uint32_t probe, const std::string& target, Time now);
-  void LookAfterProbes(Time now);
-  void Judge(Time now);
-  void AskTheDead(Time now);
-  void AskSeeds(Time now);
-  void ForgetOld(Time now);
+  void OnSyncReply(const wire::Message& message, Time now);
+  // Whether the message is of a member, and to this incarnation.
+  bool IsFromMember(const wire::Message& message) const;
 
   const Options options_;
-  peers::FrameCodec codec_;
+  const peers::FrameCodec codec_;
+  LocalClock clock_;
   RandomSource random_;
-  MemberTable members_;
-  int me_;
-  std::uint64_t incarnation_;
-  GossipQueue queue_;
-  DocumentStore documents_;
-  Prober prober_;
-  SuspicionTable suspicions_;
-  std::vector<Relay> relays_;
-  std::vector<std::string> seeds_;
-  std::deque<std::uint64_t> ended_order_;
-  std::unordered_set<std::uint64_t> ended_;  // incarnations that have ended: nothing more is taken from them
-  bool established_ = false, stopped_ = false;
-  int agreed_ = 0;
-  std::uint32_t sequence_ = 0;
-  double allowance_;  // bytes, at `allowed_at_`
-  Time allowed_at_;
-  Time away_{};  // for which this process stood still, all told
-  Time next_probe_, next_gossip_, next_retry_, next_seed_, next_sweep_, next_sync_, next_refusal_,
-      next_judgement_, next_fetch_, changed_, last_agreed_;
-  Time alone_at_;            // without an answer of any seed by then, this member is the first
-  Time entered_, expected_;  // in the host's time: the last call, and the wake that is due next
-  Time rival_until_{};       // 0: no other process is said to have this name
-  std::uint32_t rival_refutation_number_ = 0;
+  Time next_expiry_check_;
   Output output_;
   Counters counters_;
+
+  MemberTable members_;
+  SuspicionTable suspicions_;
+  EndedIncarnations ended_;
+  GossipQueue gossip_queue_;
+  DocumentStore documents_;
+  OutstandingProbes probes_;
+  ConvergenceTracker convergence_;
+  ReplyLimiter reply_limiter_;
+
+  ClaimBuilder claims_;
+  LocalMember local_;
+  MessageSender sender_;
+  MemberLifecycle lifecycle_;
+  NameConflict name_conflict_;
+  ClaimMerger merger_;
+  AntiEntropy anti_entropy_;
+  MessageFilter filter_;
+  FailureDetector detector_;
+  ProbeRelay relay_;
+  Gossiper gossiper_;
+  SeedContact seeds_;
+  DocumentExchange document_exchange_;
 };
 
 }  // namespace copperpoint::membership
--- /dev/null
+++ b/src/membership/probe_relay.h
@@ -0,0 +1,53 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Repeats probes for other members, and forwards the acks to them.
+#ifndef COPPERPOINT_MEMBERSHIP_PROBE_RELAY_H_
+#define COPPERPOINT_MEMBERSHIP_PROBE_RELAY_H_
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "membership/claim_builder.h"
+#include "membership/local_member.h"
+#include "membership/member_table.h"
+#include "membership/message_sender.h"
+#include "membership/options.h"
+#include "membership/probes.h"
+
+namespace copperpoint::membership {
+
+// Owns the probes that are relayed and not answered yet.
+class ProbeRelay {
+ public:
+  ProbeRelay(const Options& options, const MemberTable& members, const ClaimBuilder& claims,
+             const LocalMember& local, OutstandingProbes& probes, MessageSender& sender);
+
+  // A member at address `from` requests a probe. It receives a nack at once, with this member's last contact
+  // with the target if it was within contact_timeout, and the ack if the target answers.
+  void OnIndirectPing(const wire::Message& message, const std::string& from, Time now);
+  // False: the ack is of no relayed probe.
+  bool OnAck(const wire::Message& message, Time now);
+  Time next() const;  // when OnTimer is due
+  void OnTimer(Time now);
+
+ private:
+  struct RelayedProbe {
+    std::uint32_t id = 0;            // of this member's ping
+    std::uint32_t requester_id = 0;  // of the requester's probe
+    std::string requester, requester_address, target;
+    Time expires{};
+  };
+
+  const Options& options_;
+  const MemberTable& members_;
+  const ClaimBuilder& claims_;
+  const LocalMember& local_;
+  OutstandingProbes& probes_;
+  MessageSender& sender_;
+  std::vector<RelayedProbe> relayed_;
+};
+
+}  // namespace copperpoint::membership
+
+#endif  // COPPERPOINT_MEMBERSHIP_PROBE_RELAY_H_
--- a/src/membership/probes.h
+++ b/src/membership/probes.h
@@ -1,80 +1,77 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Whose turn it is to be probed, and which probes are out.
-//
-// Turns: all in a shuffled order, then a new order, so that each is probed once in as many periods as there
-// are members and a dead one is met after 1.6 periods in the mean (SWIM).
+// The order in which members are probed, and the probes that are not answered yet.
 #ifndef COPPERPOINT_MEMBERSHIP_PROBES_H_
 #define COPPERPOINT_MEMBERSHIP_PROBES_H_
 
 #include <algorithm>
-#include <boost/random/taus88.hpp>
-#include <boost/random/uniform_int_distribution.hpp>
 #include <cstdint>
+#include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "membership/options.h"
+#include "membership/random_source.h"
 
 namespace copperpoint::membership {
 
-class RandomSource {
+// Members in a shuffled order, then in a new one, so that each is probed once in as many periods as there are
+// members, and a dead one after 1.6 periods in the mean (SWIM). Owns the rest of the present order.
+class ProbeOrder {
  public:
-  explicit RandomSource(std::uint64_t seed)
-      : engine_(static_cast<std::uint32_t>(seed ^ (seed >> 32)) | 4096) {}
-  std::size_t Below(std::size_t n) {
-    return boost::random::uniform_int_distribution<std::size_t>(0, n - 1)(engine_);
+  // The index of the next member, of those that `list_members()` returns; it is called when an order is used
+  // up. The member at an index may have changed since. Nothing: there are none.
+  template <typename ListMembers>
+  std::optional<int> Next(ListMembers list_members, RandomSource& random) {
+    if (order_.empty()) {
+      order_ = list_members();
+      for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[random.Below(i)]);
+    }
+    if (order_.empty()) return std::nullopt;
+    const int index = order_.back();
+    order_.pop_back();
+    return index;
   }
 
  private:
-  boost::random::taus88 engine_;
+  std::vector<int> order_;  // the next is the last
 };
 
 struct Probe {
   std::uint32_t id = 0;
-  std::string target;
+  std::string target;  // its name
   std::uint32_t refutation_number = 0;
   Time sent{};
-  bool confirming = false;  // of a suspect: it goes straight, again and again
-  bool indirect_sent = false;
+  bool confirming = false;     // of a suspect, by a confirmer
+  bool indirect_sent = false;  // other members were requested to repeat it
 };
 
-class Prober {
+// Owns the ids of probes and those that are not answered.
+class OutstandingProbes {
  public:
-  // The next of the places that `places` gives whose turn it is; they are asked for when an order is used up.
-  // Below 0: there are none. Who stands at a place may have changed since: another has that turn then.
-  template <typename Places>
-  int Next(Places places, RandomSource& draw) {
-    if (order_.empty()) {
-      order_ = places();
-      for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[draw.Below(i)]);
-    }
-    if (order_.empty()) return -1;
-    const int place = order_.back();
-    order_.pop_back();
-    return place;
-  }
-
-  Probe& Start(std::string target, std::uint32_t refutation_number, Time now, bool confirming) {
-    out_.push_back({++last_id_, std::move(target), refutation_number, now, confirming, false});
-    return out_.back();
+  const Probe& Start(std::string target, std::uint32_t refutation_number, Time now, bool confirming) {
+    const std::uint32_t id = NewId();
+    probes_.push_back({id, std::move(target), refutation_number, now, confirming, false});
+    return probes_.back();
   }
-  std::vector<Probe>& out() { return out_; }
+  // For a ping whose answer is not waited for here.
   std::uint32_t NewId() { return ++last_id_; }
-
-  // Takes back the probe of that id; nullptr-like empty target if there is none (it was answered, or is
-  // over).
-  Probe Take(std::uint32_t id) {
-    const auto found = std::find_if(out_.begin(), out_.end(), [id](const Probe& p) { return p.id == id; });
-    if (found == out_.end()) return {};
+  // Takes the probe out; nothing if it was answered or has expired.
+  std::optional<Probe> Take(std::uint32_t id) {
+    const auto found =
+        std::find_if(probes_.begin(), probes_.end(), [id](const Probe& p) { return p.id == id; });
+    if (found == probes_.end()) return std::nullopt;
     Probe probe = std::move(*found);
-    out_.erase(found);
+    probes_.erase(found);
     return probe;
   }
 
+  std::vector<Probe>& all() { return probes_; }
+  const std::vector<Probe>& all() const { return probes_; }
+
  private:
-  std::vector<int> order_;
-  std::vector<Probe> out_;
+  std::vector<Probe> probes_;
   std::uint32_t last_id_ = 0;
 };
 
