--- a/src/cli/fleet_view.cpp
+++ b/src/cli/fleet_view.cpp
@@ -101,7 +101,7 @@
     bool watch = false, json = false;
   };
   auto options = std::make_shared<Options>();
-  CLI::App* show = fleet.add_subcommand("show", "How one proxy sees its fleet (docs/view.md)");
+  CLI::App* show = fleet.add_subcommand("show", "How one proxy sees its fleet (docs/membership.md)");
   show->footer("Example: copperpoint fleet show 127.0.0.1:9901 --watch");
   show->add_option("ADDRESS", options->address, "The operator's address of a proxy")->required();
   show->add_flag("--json", options->json, "As the proxy says it");
--- a/src/cli/rig.cpp
+++ b/src/cli/rig.cpp
@@ -160,7 +160,7 @@
   auto options = std::make_shared<RigOptions>();
   CLI::App* group = app.add_subcommand("rig", "Many processes of the program, and faults between them");
   group->require_subcommand(1);
-  CLI::App* run = group->add_subcommand("run", "Play a file of the rig (docs/view.md)");
+  CLI::App* run = group->add_subcommand("run", "Play a file of the rig (docs/membership.md)");
   run->footer("Example: copperpoint rig run lab/rig/crash.toml --seed 3 --virtual");
   run->add_option("FILE", options->file, "What happens, and what has to hold")
       ->required()
--- a/src/proxy/config/operating.cpp
+++ b/src/proxy/config/operating.cpp
@@ -93,11 +93,10 @@
   v.Section("patience", "How long things are waited for.", timeouts);
   v.Section("shares", "How the means that the platform allows are divided.", shares);
   v.Section("upgrade", "While another process of the same proxy still serves.", upgrade);
-  v.Section(
-      "fleet",
-      "Talk with the other proxies (docs/view.md): a view of the fleet that they keep by themselves. Off "
-      "without it.",
-      fleet);
+  v.Section("fleet",
+            "Talk with the other proxies (docs/membership.md): a view of the fleet that they keep by "
+            "themselves. Off without it.",
+            fleet);
 }
 
 std::string ConfigurationReference() {
--- a/src/simulation/world/views.h
+++ b/src/simulation/world/views.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What proxies know of each other where they keep a view (docs/view.md), as far as the service feels it:
-// their positions among those of their zone, told some time after each change. The protocol itself is played
-// by `copperpoint rig`. And how evenly the proxies' connections lie on the backends.
+// What proxies know of each other where they keep a view (docs/membership.md), as far as the service feels
+// it: their positions among those of their zone, told some time after each change. The protocol itself is
+// played by `copperpoint rig`. And how evenly the proxies' connections lie on the backends.
 #ifndef COPPERPOINT_SIMULATION_WORLD_VIEWS_H_
 #define COPPERPOINT_SIMULATION_WORLD_VIEWS_H_
 
