--- a/src/cli/fault_test_command.cpp
+++ b/src/cli/fault_test_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint fault-test`: many processes of the program, and faults between them (docs/view.md).
+// `copperpoint fault-test`: many processes of the program, and faults between them (docs/membership.md).
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <algorithm>
--- a/src/cli/fault_test_run_command.cpp
+++ b/src/cli/fault_test_run_command.cpp
@@ -228,7 +228,7 @@
 
 void AddFaultTestRunCommand(CLI::App& fault_test, int* exit_code) {
   auto options = std::make_shared<FaultTestOptions>();
-  CLI::App* run = fault_test.add_subcommand("run", "Play a fault test (docs/view.md)");
+  CLI::App* run = fault_test.add_subcommand("run", "Play a fault test (docs/membership.md)");
   run->footer("Example: copperpoint fault-test run lab/rig/crash.toml --seed 3 --virtual");
   run->add_option("FILE", options->file, "The faults, and the properties that must hold")
       ->required()
--- a/src/cli/fleet_show_command.cpp
+++ b/src/cli/fleet_show_command.cpp
@@ -76,7 +76,7 @@
 
 void AddFleetShowCommand(CLI::App& fleet) {
   auto options = std::make_shared<ShowOptions>();
-  CLI::App* show = fleet.add_subcommand("show", "Print the fleet as one proxy sees it (docs/view.md)");
+  CLI::App* show = fleet.add_subcommand("show", "Print the fleet as one proxy sees it (docs/membership.md)");
   show->footer("Example: copperpoint fleet show 127.0.0.1:9901 --watch");
   show->add_option("ADDRESS", options->address, "The admin address of a proxy")->required();
   show->add_flag("--json", options->prints_json, "Print the proxy's JSON");
