--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -56,7 +56,7 @@
   FakeDiscovery discovery;
   const ConfigFile file(
       ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   const std::map<std::string, std::string> env{
       {"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}};
   for (const int signal : {SIGTERM, SIGKILL, SIGTERM}) {
@@ -83,7 +83,7 @@
   FakeDiscovery discovery, elsewhere;
   const ConfigFile file(
       ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}});
   ASSERT_TRUE(WaitUntilReady(address));
@@ -122,7 +122,7 @@
   auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address())));
   config["limits"]["sockets"] = kDescriptors;
   const ConfigFile file(config.dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}},
       kDescriptors);
@@ -150,7 +150,7 @@
 TEST(Process, ExitsAtSigtermBeforeItIsReady) {
   FakeDiscovery discovery;
   const ConfigFile file(ConfigJson(discovery.address(), {}).dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}});
   ASSERT_TRUE(discovery.WaitForWatches(1));
@@ -163,7 +163,7 @@
   FakeDiscovery discovery;
   const ConfigFile file(
       ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}},
       /*descriptors=*/24);
--- a/tests/proxy/reload_test.cpp
+++ b/tests/proxy/reload_test.cpp
@@ -16,7 +16,7 @@
   Backend before("before"), after("after"), later("later");
   FakeDiscovery here, there;
   const ConfigFile file(ConfigJson(here.address(), Members(MemberJson("s-1", before.address()))).dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   // The environment names the first discovery for as long as the process lives: the file goes before it.
   Child child({{"ROUTER_CONFIG", file.path},
                {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())},
@@ -52,7 +52,7 @@
   const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address())));
   const ConfigFile file(config.dump());
   const ConfigFile operating("[patience]\nkept_ms = 3600000\n[log]\nformat = \"json\"\n");
-  const auto address = FreePort();
+  const auto address = ReservePort();
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}}, 0,
       operating.path);
@@ -81,7 +81,7 @@
   FakeDiscovery discovery;
   const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", before.address())));
   const ConfigFile file(config.dump());
-  const auto address = FreePort();
+  const auto address = ReservePort();
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}});
   ASSERT_TRUE(WaitUntilReady(address));
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -33,7 +33,7 @@
   const auto list = Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address()));
   const ConfigFile file(ConfigJson(discovery.address(), list).dump());
   const Folder folder;
-  const auto address = FreePort(), first_calls = FreePort(), next_calls = FreePort();
+  const auto address = ReservePort(), first_calls = ReservePort(), next_calls = ReservePort();
   auto env = Environment(file, address, first_calls, folder);
   Child first(env);
   ASSERT_TRUE(WaitUntilReady(first_calls));
@@ -74,7 +74,7 @@
   const auto list = Members(MemberJson("s-1", backend.address()));
   const ConfigFile file(ConfigJson(discovery.address(), list).dump());
   const Folder folder;
-  const auto address = FreePort(), first_calls = FreePort(), next_calls = FreePort();
+  const auto address = ReservePort(), first_calls = ReservePort(), next_calls = ReservePort();
   auto env = Environment(file, address, first_calls, folder);
   Child first(env);
   ASSERT_TRUE(WaitUntilReady(first_calls));
@@ -102,7 +102,7 @@
     const Folder folder;
     std::ofstream(folder.path + "/copperpoint-n1-disabled.json") << "{\"disabled\":[\"s-";
     if (torn) std::ofstream(folder.path + "/copperpoint-n1-handover.sock") << "torn";
-    const auto address = FreePort(), calls = FreePort();
+    const auto address = ReservePort(), calls = ReservePort();
     Child child(Environment(file, address, calls, folder));
     ASSERT_TRUE(WaitUntilReady(calls));
     Client client(address);
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -4,6 +4,8 @@
 #ifndef COPPERPOINT_TESTS_SUPPORT_CHILD_PROCESS_H_
 #define COPPERPOINT_TESTS_SUPPORT_CHILD_PROCESS_H_
 
+#include <errno.h>
+#include <fcntl.h>
 #include <signal.h>
 #include <stdlib.h>
 #include <sys/resource.h>
@@ -17,8 +19,10 @@
 #include <map>
 #include <stdexcept>
 #include <string>
+#include <system_error>
 #include <thread>
 #include <utility>
+#include <vector>
 
 #include "support/loopback.h"
 
@@ -27,24 +31,37 @@
 // The program as a child, with what it writes to standard error.
 class Child {
  public:
+  // `descriptors` limits the child's; 0 leaves the limit as it is. Throws std::system_error if the program
+  // cannot be executed.
   explicit Child(const std::map<std::string, std::string>& env, rlim_t descriptors = 0,
                  const std::string& operators_file = "") {
-    int pipe_ends[2];
-    if (pipe(pipe_ends) != 0) throw std::runtime_error("no pipe");
+    const char* program = PROXY_PATH;
+    int pipe_ends[2], exec_error[2];
+    if (pipe(pipe_ends) != 0 || pipe2(exec_error, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
     pid_ = fork();
     if (pid_ == 0) {
       dup2(pipe_ends[1], STDERR_FILENO);
       close(pipe_ends[0]);
       close(pipe_ends[1]);
+      unsetenv("TMPDIR");  // in a folder that tests share, a process would take over from another test's
       for (const auto& [name, value] : env) setenv(name.c_str(), value.c_str(), 1);
       const rlimit limit{descriptors, descriptors};
       if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
-      execl(PROXY_PATH, PROXY_PATH, "serve", operators_file.empty() ? nullptr : "--config",
-            operators_file.c_str(), nullptr);
-      _exit(127);
+      execl(program, program, "serve", operators_file.empty() ? nullptr : "--config", operators_file.c_str(),
+            nullptr);
+      const int error = errno;
+      _exit(write(exec_error[1], &error, sizeof error) == sizeof error ? 127 : 126);
     }
     close(pipe_ends[1]);
+    close(exec_error[1]);
     stderr_ = pipe_ends[0];
+    int error = 0;
+    const bool executed = read(exec_error[0], &error, sizeof error) <= 0;
+    close(exec_error[0]);
+    if (executed) return;
+    Wait();
+    close(stderr_);
+    throw std::system_error(error, std::generic_category(), program);
   }
   ~Child() {
     if (pid_ > 0) kill(pid_, SIGKILL), Wait();
@@ -87,10 +104,16 @@
   std::string path;
 };
 
-// A port that was free a moment ago; the child says nothing of the one it took.
-inline Tcp::endpoint FreePort() {
-  asio::io_context io;
-  return Tcp::acceptor(io, kAnyPort).local_endpoint();
+// A port for a child to listen at. A socket that is bound and does not listen holds it until the test's
+// process ends: no other socket is given the port, and the child's SO_REUSEADDR lets it listen there.
+inline Tcp::endpoint ReservePort() {
+  static asio::io_context io;
+  static std::vector<Tcp::socket> held;
+  Tcp::socket& socket = held.emplace_back(io, Tcp::v4());
+  fcntl(socket.native_handle(), F_SETFD, FD_CLOEXEC);  // the child's descriptors stay as many as they are
+  socket.set_option(Tcp::socket::reuse_address(true));
+  socket.bind(kAnyPort);
+  return socket.local_endpoint();
 }
 
 inline unsigned ReadyStatus(const Tcp::endpoint& address) {
