--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -6,10 +6,13 @@
 #include <gtest/gtest.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <filesystem>
 #include <fstream>
+#include <vector>
 
 #include "lab_testing.h"
+#include "log_analysis/log_report.h"
 
 namespace copperpoint::log_analysis {
 namespace {
@@ -57,10 +60,13 @@
 }
 
 LogCounter CountOf(const std::string& folder, CountOptions options = {}) {
+  std::vector<std::filesystem::path> files;
+  for (const auto& entry : std::filesystem::directory_iterator(folder)) files.push_back(entry.path());
+  std::sort(files.begin(), files.end());
   LogCounter counter(std::move(options));
-  for (const auto& entry : std::filesystem::directory_iterator(folder)) {
-    std::ifstream in(entry.path());
-    counter.StartProxy(entry.path().stem().string());
+  for (const auto& file : files) {
+    std::ifstream in(file);
+    counter.StartProxy(file.stem().string());
     for (std::string line; std::getline(in, line);) counter.AddLine(line);
   }
   return counter;
@@ -176,6 +182,36 @@
   EXPECT_EQ(Of(counter.Attempts(), "success"), 1);
 }
 
+// Lines that the program of commit e45f5f7 and this one wrote in the same runs, the same ones of each: the
+// first of each event with each result, outcome, reason and kind, and all of a request with two attempts.
+TEST(Count, SavedLogsOfTheVersionBeforeCountAsThisVersions) {
+  const std::string folder = SOURCE_DIR "/tests/log_analysis/saved_logs";
+  const CountOptions options{.request = "674892184578441a"};
+  const LogCounter before = CountOf(folder + "/before", options), now = CountOf(folder + "/now", options);
+  EXPECT_EQ(JsonReport(before), JsonReport(now));
+  EXPECT_EQ(TableReport(before), TableReport(now));
+  EXPECT_EQ(before.Trace().size(), now.Trace().size());
+  EXPECT_NE(before.Trace(), now.Trace()) << "the same names: one of the logs is not of its version";
+  // None of it is equal because nothing was counted.
+  EXPECT_EQ(before.unreadable(), 0);
+  EXPECT_GT(before.Trace().size(), 5u);
+  for (const char* name : {"served", "failed:not_retriable", "rejected:deadline_unreachable",
+                           "rejected:load_shed", "rejected:no_capacity", "rejected:not_retriable"})
+    EXPECT_GT(Of(before.Requests(), name), 0) << name;
+  for (const char* name :
+       {"success", "server_error", "backend_rejected", "timeout", "connect_failure", "connection_reset"})
+    EXPECT_GT(Of(before.Attempts(), name), 0) << name;
+  EXPECT_GT(before.connections(), 0);
+  EXPECT_GT(before.discovery_polls(), 0);
+  EXPECT_GT(before.discovery_failures(), 0);
+  EXPECT_GT(before.ejections(), 0);
+  EXPECT_FALSE(before.first_list_after_ms().empty());
+  EXPECT_GT(before.without_list(), 0);
+  std::int64_t slow_start = 0;
+  for (const auto& [at, second] : before.seconds()) slow_start += second.slow_start.attempts;
+  EXPECT_GT(slow_start, 0);
+}
+
 TEST(Count, CountsEjectionsOfThisVersionAndTheOneBefore) {
   LogCounter counter({});
   counter.StartProxy("n1");
