--- /dev/null
+++ b/tests/proxy/sanitizer_pipe.cpp
@@ -0,0 +1,22 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// In the program whose descriptors a test limits, under sanitizers: UndefinedBehaviorSanitizer opens a pipe
+// to see whether an object's memory can be read, and takes the object for invalid if it cannot. The test sets
+// the soft limit of descriptors, which the program meets, below the hard one; the pipe is opened under the
+// hard one.
+#include <errno.h>
+#include <sys/resource.h>
+#include <sys/syscall.h>
+#include <unistd.h>
+
+// The sanitizers' libraries call it by this name.
+extern "C" int pipe(int ends[2]) {
+  if (syscall(SYS_pipe2, ends, 0) == 0) return 0;
+  rlimit limit{};
+  if (errno != EMFILE || getrlimit(RLIMIT_NOFILE, &limit) != 0) return -1;
+  const rlimit raised{limit.rlim_max, limit.rlim_max};
+  if (setrlimit(RLIMIT_NOFILE, &raised) != 0) return -1;
+  const int result = static_cast<int>(syscall(SYS_pipe2, ends, 0));
+  setrlimit(RLIMIT_NOFILE, &limit);
+  return result;
+}
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -35,7 +35,7 @@
   // cannot be executed.
   explicit Child(const std::map<std::string, std::string>& env, rlim_t descriptors = 0,
                  const std::string& operators_file = "") {
-    const char* program = PROXY_PATH;
+    const char* program = descriptors > 0 ? LIMITED_PROXY_PATH : PROXY_PATH;
     int pipe_ends[2], exec_error[2];
     if (pipe(pipe_ends) != 0 || pipe2(exec_error, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
     pid_ = fork();
@@ -45,7 +45,7 @@
       close(pipe_ends[1]);
       unsetenv("TMPDIR");  // in a folder that tests share, a process would take over from another test's
       for (const auto& [name, value] : env) setenv(name.c_str(), value.c_str(), 1);
-      const rlimit limit{descriptors, descriptors};
+      const rlimit limit{descriptors, descriptors + LIMITED_PROXY_RESERVE};
       if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
       execl(program, program, "serve", operators_file.empty() ? nullptr : "--config", operators_file.c_str(),
             nullptr);
