--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -10,12 +10,12 @@
 #ifndef COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
 #define COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
 
-#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
+#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -66,11 +66,13 @@
   struct Segment {
     SegmentKind kind = SegmentKind::kAll;
     std::uint32_t id = 0;  // of the class or tenant; index of the zone
-    auto operator<=>(const Segment&) const = default;
+    bool operator<(const Segment& other) const { return std::tie(kind, id) < std::tie(other.kind, other.id); }
   };
   struct StratumKey {
     std::uint32_t zone = 0, request_class = 0, tenant = 0;
-    auto operator<=>(const StratumKey&) const = default;
+    bool operator<(const StratumKey& other) const {
+      return std::tie(zone, request_class, tenant) < std::tie(other.zone, other.request_class, other.tenant);
+    }
   };
   struct Test {
     StratumScore sum;
--- a/tests/rollout/leader_test.cpp
+++ b/tests/rollout/leader_test.cpp
@@ -16,18 +16,18 @@
 
 constexpr std::uint64_t kRollout = 7;
 
+Plan PlanOfTwoStages() {
+  Plan plan;
+  plan.old_version = "v1";
+  plan.new_version = "v2";
+  plan.settle_time_s = 1;
+  plan.stages = {Stage{.members = 1, .bake_time_s = 5, .min_canary_requests = 100},
+                 Stage{.member_fraction = 1, .bake_time_s = 2, .min_canary_requests = 100}};
+  return plan;
+}
+
 class LeaderOfFour : public ::testing::Test {
  protected:
-  LeaderOfFour() {
-    plan_.old_version = "v1";
-    plan_.new_version = "v2";
-    plan_.settle_time_s = 1;
-    plan_.stages = {Stage{.members = 1, .bake_time_s = 5, .min_canary_requests = 100},
-                    Stage{.member_fraction = 1, .bake_time_s = 2, .min_canary_requests = 100}};
-    order_.members = {{"p1", "a"}, {"p2", "b"}, {"p3", "a"}, {"p4", "b"}};
-    order_.stage_ends = {1, 4};
-  }
-
   // A second of traffic, and reports of all members that are not `without_contact`.
   void ReportAll() {
     now_ += Millis(1000);
@@ -60,8 +60,8 @@
     return std::nullopt;
   }
 
-  Plan plan_;
-  UpgradeOrder order_;
+  Plan plan_ = PlanOfTwoStages();
+  UpgradeOrder order_{{{"p1", "a"}, {"p2", "b"}, {"p3", "a"}, {"p4", "b"}}, {1, 4}};
   Leader leader_{plan_, order_};
   Progress progress_{kRollout, RolloutStatus::kInProgress, 0, 0};
   Time now_ = Millis(1000);
