--- a/src/rollout/agent.h
+++ b/src/rollout/agent.h
@@ -37,14 +37,12 @@
 //   kAwaitingPlan ------------ progress: it has ended --------------> kIdle
 //   kInProgress -------------- admits no member in time ------------> kExpired
 //   kExpired ----------------- progress: it admits members ---------> kInProgress
-//   kInProgress, kExpired ---- progress: it has ended --------------> kRollingBack if this member runs the
-//   new
-//                                                                     version and the end requires the old
-//                                                                     one, else kEnded
+//   kInProgress, kExpired ---- progress: it has ended --------------> kRollingBack or kEnded
 //   kInProgress -------------- progress of a later rollout ---------> kEnded (stopped)
 //   kRollingBack ------------- the old version was requested -------> kEnded
 //
-// In kAwaitingPlan, kInProgress and kRollingBack the member is busy: it takes part in no other rollout.
+// kRollingBack is for a member that runs the new version, if the end requires the old one. In kAwaitingPlan,
+// kInProgress and kRollingBack the member is busy: it takes part in no other rollout.
 enum class MemberState {
   kIdle,
   kAwaitingPlan,  // the process before this one took part in a rollout whose plan has not been received yet
--- a/src/rollout/documents.h
+++ b/src/rollout/documents.h
@@ -10,12 +10,12 @@
 
 namespace copperpoint::rollout {
 
-inline constexpr std::uint32_t kPlanTopic = 1;           // wire::RolloutDocument
-inline constexpr std::uint32_t kProgressTopic = 2;       // no body: the version is the encoded Progress
-inline constexpr std::uint32_t kHistoryTopic = 3;        // wire::History
-inline constexpr std::uint32_t kMessageTopic = 4;        // wire::AgentMessage, to one member
-inline constexpr std::uint32_t kFinalProgressTopic = 5;  // as kProgressTopic: of the last rollout that has
-                                                         // admitted members and ended
+inline constexpr std::uint32_t kPlanTopic = 1;      // wire::RolloutDocument
+inline constexpr std::uint32_t kProgressTopic = 2;  // no body: the version is the encoded Progress
+inline constexpr std::uint32_t kHistoryTopic = 3;   // wire::History
+inline constexpr std::uint32_t kMessageTopic = 4;   // wire::AgentMessage, to one member
+// As kProgressTopic, of the last rollout that has admitted members and ended.
+inline constexpr std::uint32_t kFinalProgressTopic = 5;
 
 // Of two documents of one topic the one with the greater version replaces the other.
 struct Document {
--- a/src/rollout/leader.h
+++ b/src/rollout/leader.h
@@ -29,12 +29,10 @@
 //   any ------------------ a member is to upgrade, or is not ready -----> kUpgrading
 //   kUpgrading ----------- all of the stage are ready ------------------> kSettling
 //   kSettling ------------ settle time over ----------------------------> kBaking
-//   kBaking -------------- bake time over, no regression ---------------> kUpgrading of the next stage, or
-//   the
-//                                                                         rollout is completed
+//   kBaking -------------- bake time over, no regression ---------------> kUpgrading of the next stage
 //
-// In every phase with a majority a member's failure or the time limit stops the rollout, in kBaking a
-// regression too.
+// The bake time of the last stage completes the rollout. In every phase with a majority a member's failure or
+// the time limit stops the rollout, in kBaking a regression too.
 class Leader {
  public:
   enum class Phase { kWaitingForMajority, kUpgrading, kSettling, kBaking };
