--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/host.h
@@ -16,7 +16,7 @@
 
 #include "membership/view.h"
 #include "peers/transport.h"
-#include "proxy/admin/admin_server.h"
+#include "proxy/admin/admin_handler.h"
 #include "proxy/membership/request_counts.h"
 #include "proxy/membership/settings.h"
 #include "proxy/membership/supervisor_link.h"
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -183,15 +183,18 @@
   membership_.Publish(lifecycle_.state());
 }
 
-std::string Proxy::FleetStatus() const { return membership_.host() ? membership_.host()->Json() : ""; }
+std::optional<std::string> Proxy::FleetStatus() const {
+  if (!membership_.host()) return std::nullopt;
+  return membership_.host()->Json();
+}
 
-bool Proxy::IsFleetCall(std::string_view path) const {
-  return membership_.host() && path.starts_with(kRolloutPath);
+bool Proxy::IsFleetCall(std::string_view target) const {
+  return membership_.host() && target.starts_with(kRolloutPath);
 }
 
-std::optional<AdminHandler::FleetCallResult> Proxy::FleetCall(const std::string& path, bool post,
-                                                              const std::string& body) {
-  return membership_.host()->Rollout(path.substr(kRolloutPath.size()), post, body);
+std::optional<AdminHandler::FleetCallResult> Proxy::FleetCall(const FleetCallRequest& request) {
+  return membership_.host()->Rollout(request.target.substr(kRolloutPath.size()),
+                                     request.method == FleetCallRequest::Method::kPost, request.body);
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -68,10 +68,9 @@
   AdminResult Enable(const std::string& backend) override;
   AdminResult Drain() override;
   AdminResult Undrain() override;
-  std::string FleetStatus() const override;
-  bool IsFleetCall(std::string_view path) const override;
-  std::optional<FleetCallResult> FleetCall(const std::string& path, bool post,
-                                           const std::string& body) override;
+  std::optional<std::string> FleetStatus() const override;
+  bool IsFleetCall(std::string_view target) const override;
+  std::optional<FleetCallResult> FleetCall(const FleetCallRequest& request) override;
 
   boost::asio::ip::tcp::endpoint address() const { return clients_->address(); }
   boost::asio::ip::tcp::endpoint admin_address() const { return admin_->address(); }
--- a/tests/proxy/admin_server_test.cpp
+++ b/tests/proxy/admin_server_test.cpp
@@ -20,35 +20,38 @@
   AdminResult Enable(const std::string& backend) override { return last_backend = backend, result; }
   AdminResult Drain() override { return result; }
   AdminResult Undrain() override { return result; }
-  std::string FleetStatus() const override { return fleet; }
+  std::optional<std::string> FleetStatus() const override { return fleet; }
   bool IsFleetCall(std::string_view path) const override { return path.starts_with("/rollout"); }
-  std::optional<FleetCallResult> FleetCall(const std::string& path, bool post,
-                                           const std::string& body) override {
-    if (path == "/rollout/none") return std::nullopt;
-    return FleetCallResult{path != "/rollout/fails", (post ? "post " : "get ") + body};
+  std::optional<FleetCallResult> FleetCall(const FleetCallRequest& request) override {
+    if (request.target == "/rollout/none") return std::nullopt;
+    const bool post = request.method == FleetCallRequest::Method::kPost;
+    return FleetCallResult{request.target != "/rollout/fails", (post ? "post " : "get ") + request.body};
   }
 
   bool ready = true;
   AdminResult result = AdminResult::kDone;
-  std::string fleet, last_backend;
+  std::optional<std::string> fleet;
+  std::string last_backend;
 };
 
 class AdminServerTest : public ::testing::Test {
  protected:
   // All that the server sends for one call, until it closes its side.
   std::string Call(const std::string& method, const std::string& target, const std::string& body = "") {
+    const std::string length = body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    return Send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n" + length + "\r\n" + body);
+  }
+  // The same for any bytes.
+  std::string Send(const std::string& bytes) {
     asio::io_context io;
-    proxy::AdminServer server(io, kAnyPort, handler);
+    proxy::AdminServer server(io, kAnyPort, handler, timeouts);
     std::string answer;
     std::thread client([&, address = server.address()] {
       asio::io_context client_io;
       Tcp::socket socket(client_io);
       socket.connect(address);
-      const std::string length =
-          body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n";
-      asio::write(socket,
-                  asio::buffer(method + " " + target + " HTTP/1.1\r\nHost: x\r\n" + length + "\r\n" + body));
       error_code ended;
+      asio::write(socket, asio::buffer(bytes), ended);
       asio::read(socket, asio::dynamic_buffer(answer), ended);
       asio::post(io, [&io] { io.stop(); });
     });
@@ -62,6 +65,7 @@
   }
 
   StubHandler handler;
+  proxy::AdminConnection::Timeouts timeouts;
 };
 
 TEST_F(AdminServerTest, AnswersReadinessWithTheStateName) {
@@ -108,5 +112,18 @@
   EXPECT_EQ(Call("DELETE", "/rollout"), Answer("405 Method Not Allowed", "use GET or POST"));
 }
 
+TEST_F(AdminServerTest, AnswersWhatIsNoCallWithItsFault) {
+  EXPECT_EQ(Send("what\r\n\r\n"), Answer("400 Bad Request", "malformed"));
+  EXPECT_EQ(Call("GET", "/ready?" + std::string(5000, 'x')),
+            Answer("431 Request Header Fields Too Large", "head too large"));
+  EXPECT_EQ(Send("POST /rollout/start HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n8400\r\n" +
+                 std::string(0x8400, 'x') + "\r\n0\r\n\r\n"),
+            Answer("413 Payload Too Large", "the body is too large, or broken"));
+  timeouts.request = std::chrono::milliseconds(20);
+  EXPECT_EQ(Send("GET /ready HTTP/1.1\r\n"), Answer("408 Request Timeout", "too slow"));
+  EXPECT_EQ(Send("POST /rollout/start HTTP/1.1\r\nContent-Length: 2\r\n\r\nx"),
+            Answer("408 Request Timeout", "too slow"));
+}
+
 }  // namespace
 }  // namespace copperpoint::testing
