--- a/src/proxy/config/config.cpp
+++ b/src/proxy/config/config.cpp
@@ -108,9 +108,9 @@
     throw ConfigError("permissions.connectTimeoutMs and connIdleMs must be over 0");
 
   if (const auto known = root.find("known"); known != root.end() && !known->is_null()) {
-    std::string why;
-    auto list = ParseEndpointList(*known, &why);
-    if (!list) throw ConfigError("known is no list: " + why);
+    EndpointListError error;
+    auto list = ParseEndpointList(*known, &error);
+    if (!list) throw ConfigError("known is no list: " + error.Describe());
     config.initial_endpoints = std::move(*list);
   }
   return config;
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -105,10 +105,10 @@
 }
 
 bool DiscoveryClient::OnMessage(EndpointStream& stream, std::string_view message) {
-  std::string reason;
-  const auto update = ParseEndpointList(message, &reason);
+  EndpointListError error;
+  const auto update = ParseEndpointList(message, &error);
   if (!update) {
-    LogMalformed(reason);
+    LogMalformed(error.Describe());
     return false;
   }
   if (&stream == replacement_.get()) {
--- a/src/proxy/discovery/endpoint_stream.cpp
+++ b/src/proxy/discovery/endpoint_stream.cpp
@@ -153,7 +153,7 @@
   for (;;) {
     const MessageFramer::Result result = framer_.Take(&message);
     if (result == MessageFramer::Result::kMore) break;
-    if (result == MessageFramer::Result::kGarbled) {
+    if (result == MessageFramer::Result::kMalformed) {
       observer_->OnFramingError();
       return End({StreamError::kMalformedMessage});
     }
--- a/src/proxy/discovery/endpoints.cpp
+++ b/src/proxy/discovery/endpoints.cpp
@@ -11,6 +11,7 @@
 namespace {
 
 using nlohmann::json;
+using ErrorKind = EndpointListError::Kind;
 using Tcp = boost::asio::ip::tcp;
 
 std::optional<EndpointState> StateOf(std::string_view phase) {
@@ -20,53 +21,98 @@
   return std::nullopt;
 }
 
-// Throws json::exception on a field that is absent or of another type.
-DiscoveredEndpoint ReadMember(const json& entry, std::string* why) {
-  DiscoveredEndpoint m;
-  m.id = entry.at("id").get<std::string>();
-  if (m.id.empty()) *why = "an entry has an empty id";
+// Sets `fault` to the last fault of the entry. Throws json::exception on a field that is absent or of another
+// type.
+DiscoveredEndpoint ReadEndpoint(const json& entry, std::optional<ErrorKind>* fault) {
+  DiscoveredEndpoint endpoint;
+  endpoint.id = entry.at("id").get<std::string>();
+  if (endpoint.id.empty()) *fault = ErrorKind::kEmptyId;
   const auto state = StateOf(entry.at("phase").get<std::string>());
-  if (!state) *why = "an entry has an unknown phase";
-  m.state = state.value_or(EndpointState::kRemoved);
+  if (!state) *fault = ErrorKind::kUnknownPhase;
+  endpoint.state = state.value_or(EndpointState::kRemoved);
   const auto address = ParseHostPort(entry.value("host_port", ""));
-  // What is gone needs no address.
-  if (!address && m.state != EndpointState::kRemoved) *why = "an entry has no usable host_port";
-  m.address = address.value_or(Tcp::endpoint());
-  m.zone = entry.value("locality", "");
-  m.kind = entry.value("flavor", "");
-  m.cell = entry.value("cell", 0);
-  m.weight = entry.value("size", 1.0);
-  m.up_since_unix_ms = entry.value("up_since_ms", 0.0);
-  if (!std::isfinite(m.up_since_unix_ms)) *why = "an entry has no usable up_since_ms";
-  return m;
+  // A removed backend needs no address.
+  if (!address && endpoint.state != EndpointState::kRemoved) *fault = ErrorKind::kInvalidAddress;
+  endpoint.address = address.value_or(Tcp::endpoint());
+  endpoint.zone = entry.value("locality", "");
+  endpoint.kind = entry.value("flavor", "");
+  endpoint.cell = entry.value("cell", 0);
+  endpoint.weight = entry.value("size", 1.0);
+  endpoint.up_since_unix_ms = entry.value("up_since_ms", 0.0);
+  if (!std::isfinite(endpoint.up_since_unix_ms)) *fault = ErrorKind::kInvalidUpSince;
+  return endpoint;
+}
+
+const char* FieldName(ErrorKind kind) {
+  switch (kind) {
+    case ErrorKind::kEmptyId:
+      return ".id";
+    case ErrorKind::kUnknownPhase:
+      return ".phase";
+    case ErrorKind::kInvalidAddress:
+      return ".host_port";
+    case ErrorKind::kInvalidUpSince:
+      return ".up_since_ms";
+    case ErrorKind::kNotJson:
+    case ErrorKind::kMalformedField:
+      break;
+  }
+  return "";
 }
 
 }  // namespace
 
-std::optional<EndpointList> ParseEndpointList(const json& json, std::string* why) {
+std::string EndpointListError::Describe() const {
+  switch (kind) {
+    case Kind::kNotJson:
+      return "not JSON";
+    case Kind::kMalformedField:
+      return detail;
+    case Kind::kEmptyId:
+      return "an entry has an empty id";
+    case Kind::kUnknownPhase:
+      return "an entry has an unknown phase";
+    case Kind::kInvalidAddress:
+      return "an entry has no usable host_port";
+    case Kind::kInvalidUpSince:
+      return "an entry has no usable up_since_ms";
+  }
+  return "unknown";
+}
+
+std::string EndpointListError::FieldPath() const {
+  if (!entry) return "";
+  return "members." + std::to_string(*entry) + FieldName(kind);
+}
+
+std::optional<EndpointList> ParseEndpointList(const json& json, EndpointListError* error) {
   EndpointList list;
-  why->clear();
+  std::optional<std::size_t> reading;  // the entry
   try {
     list.revision = json.at("revision").get<std::uint64_t>();
     list.complete = json.value("complete", false);
     for (const auto& entry : json.at("members")) {
-      list.endpoints.push_back(ReadMember(entry, why));
-      if (!why->empty()) return std::nullopt;
+      reading = list.endpoints.size();
+      std::optional<ErrorKind> fault;
+      list.endpoints.push_back(ReadEndpoint(entry, &fault));
+      if (!fault) continue;
+      *error = {*fault, reading, ""};
+      return std::nullopt;
     }
-  } catch (const json::exception& error) {
-    *why = error.what();
+  } catch (const json::exception& malformed) {
+    *error = {ErrorKind::kMalformedField, reading, malformed.what()};
     return std::nullopt;
   }
   return list;
 }
 
-std::optional<EndpointList> ParseEndpointList(std::string_view text, std::string* why) {
+std::optional<EndpointList> ParseEndpointList(std::string_view text, EndpointListError* error) {
   const json parsed = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (parsed.is_discarded()) {
-    *why = "not JSON";
+    *error = {ErrorKind::kNotJson, std::nullopt, ""};
     return std::nullopt;
   }
-  return ParseEndpointList(parsed, why);
+  return ParseEndpointList(parsed, error);
 }
 
 std::optional<Tcp::endpoint> ParseHostPort(std::string_view text) {
@@ -96,8 +142,8 @@
 
 void BackendIds::Assign(const std::vector<DiscoveredEndpoint>& endpoints) {
   std::vector<std::string> fresh;
-  for (const DiscoveredEndpoint& m : endpoints) {
-    if (!numbers_.contains(m.id)) fresh.push_back(m.id);
+  for (const DiscoveredEndpoint& endpoint : endpoints) {
+    if (!numbers_.contains(endpoint.id)) fresh.push_back(endpoint.id);
   }
   // Guards against two proxies that see one list in another order numbering a collision differently.
   std::sort(fresh.begin(), fresh.end());
--- a/src/proxy/discovery/endpoints.h
+++ b/src/proxy/discovery/endpoints.h
@@ -1,10 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The list of backends in discovery's JSON form, and the numbers that the decision module knows them by.
+// The endpoint list in discovery's JSON form, and the numbers by which the decision module knows the
+// backends.
 #ifndef COPPERPOINT_PROXY_DISCOVERY_ENDPOINTS_H_
 #define COPPERPOINT_PROXY_DISCOVERY_ENDPOINTS_H_
 
 #include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
@@ -33,9 +35,29 @@
   std::vector<DiscoveredEndpoint> endpoints;
 };
 
-// Nothing, and the reason in `why`, unless every entry is well formed.
-std::optional<EndpointList> ParseEndpointList(const nlohmann::json& json, std::string* why);
-std::optional<EndpointList> ParseEndpointList(std::string_view text, std::string* why);
+// Why a list cannot be used.
+struct EndpointListError {
+  enum class Kind {
+    kNotJson,
+    kMalformedField,  // a field is absent or of another type; `detail` names it
+    kEmptyId,
+    kUnknownPhase,
+    kInvalidAddress,
+    kInvalidUpSince,
+  };
+  Kind kind = Kind::kNotJson;
+  std::optional<std::size_t> entry;  // its index in `members`; nothing: the fault is in no one entry
+  std::string detail;
+
+  // One phrase for the log.
+  std::string Describe() const;
+  // The field at fault, as far as it is known: "members.3.phase". Empty: the list itself.
+  std::string FieldPath() const;
+};
+
+// Nothing, and the reason in `error`, unless every entry is well formed.
+std::optional<EndpointList> ParseEndpointList(const nlohmann::json& json, EndpointListError* error);
+std::optional<EndpointList> ParseEndpointList(std::string_view text, EndpointListError* error);
 
 // "a.b.c.d:port", or "[v6]:port".
 std::optional<boost::asio::ip::tcp::endpoint> ParseHostPort(std::string_view text);
@@ -43,8 +65,8 @@
 // FNV-1a: the same at every proxy and in every build, which std::hash does not promise.
 std::uint64_t StableHash(std::string_view text);
 
-// Numbers for server ids. The module hashes them over all proxies, so they come from the id alone; only the
-// later of two ids with the same hash, in the order of their names, moves on to a salted one.
+// Numbers for the ids of backends. They come from the id alone, so that all proxies number a backend alike;
+// only the later of two ids with the same hash, in the order of their names, gets a salted one.
 class BackendIds {
  public:
   using Hash = std::uint32_t (*)(std::string_view);
--- a/src/proxy/discovery/message_framer.cpp
+++ b/src/proxy/discovery/message_framer.cpp
@@ -7,12 +7,12 @@
   for (; at_ < text_.size(); ++at_) {
     const char c = text_[at_];
     if (in_string_) {
-      if (!ScanInString(c)) return Result::kGarbled;
+      if (!ScanInString(c)) return Result::kMalformed;
     } else if (c == '\n') {
       const Result result = OnLineEnd(message);
       if (result != Result::kMore) return result;
     } else if (!ScanStructure(c)) {
-      return Result::kGarbled;
+      return Result::kMalformed;
     }
   }
   return Result::kMore;
@@ -35,7 +35,7 @@
   if (begun_ && depth_ == 0) return Cut(Result::kMessage, message);
   if (!begun_) return Cut(Result::kEmptyLine, message);
   // A heartbeat within a message: the rest of that message will not come.
-  if (line_empty_) return Result::kGarbled;
+  if (line_empty_) return Result::kMalformed;
   line_empty_ = true;
   return Result::kMore;
 }
--- a/src/proxy/discovery/message_framer.h
+++ b/src/proxy/discovery/message_framer.h
@@ -13,7 +13,7 @@
 
 class MessageFramer {
  public:
-  enum class Result { kMore, kEmptyLine, kMessage, kGarbled };
+  enum class Result { kMore, kEmptyLine, kMessage, kMalformed };
 
   void Add(std::string_view bytes) { text_ += bytes; }
 
--- a/tests/proxy/discovery_messages_test.cpp
+++ b/tests/proxy/discovery_messages_test.cpp
@@ -19,7 +19,7 @@
   return ListJson(revision, complete, std::move(members)).dump(indent);
 }
 
-std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* garbled) {
+std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* malformed) {
   MessageFramer messages;
   std::vector<std::string> all;
   std::string message;
@@ -28,8 +28,8 @@
     for (MessageFramer::Result next; (next = messages.Take(&message)) != MessageFramer::Result::kMore;) {
       if (next == MessageFramer::Result::kMessage) all.push_back(message);
       if (next == MessageFramer::Result::kEmptyLine) all.push_back("");
-      if (next == MessageFramer::Result::kGarbled) {
-        *garbled = true;
+      if (next == MessageFramer::Result::kMalformed) {
+        *malformed = true;
         return all;
       }
     }
@@ -43,9 +43,9 @@
     const std::string one = List(42, {member}, true, indent), two = List(43, {member, member}, false, indent);
     const std::string text = "\n" + one + "\n\r\n  " + two + " \r\n\n";
     for (std::size_t piece = 1; piece <= text.size(); ++piece) {
-      bool garbled = false;
-      const auto all = Cut(text, piece, &garbled);
-      ASSERT_FALSE(garbled) << indent << " " << piece;
+      bool malformed = false;
+      const auto all = Cut(text, piece, &malformed);
+      ASSERT_FALSE(malformed) << indent << " " << piece;
       ASSERT_EQ(all.size(), 5u);
       EXPECT_EQ(nlohmann::json::parse(all[1]), nlohmann::json::parse(one));
       EXPECT_EQ(nlohmann::json::parse(all[3]), nlohmann::json::parse(two));
@@ -55,9 +55,9 @@
 
 TEST(MessageFramer, DetectsGarbageAtOnce) {
   for (const char* text : {"[]\n", "x", "{}}\n", "{} {}\n", "{\"a\n", "{\"members\":[\n\n", "{\n}\n]"}) {
-    bool garbled = false;
-    Cut(text, 1, &garbled);
-    EXPECT_TRUE(garbled) << text;
+    bool malformed = false;
+    Cut(text, 1, &malformed);
+    EXPECT_TRUE(malformed) << text;
   }
 }
 
