--- a/src/cli/config.cpp
+++ b/src/cli/config.cpp
@@ -8,7 +8,7 @@
 #include "cli/commands.h"
 #include "config/read.h"
 #include "config/show.h"
-#include "proxy/config/operating.h"
+#include "proxy/config/operator_settings.h"
 
 namespace copperpoint::cli {
 namespace {
--- a/src/proxy/config/config.h
+++ b/src/proxy/config/config.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "copperpoint/balancer.h"
-#include "proxy/config/operating.h"
+#include "proxy/config/operator_settings.h"
 #include "proxy/discovery/endpoints.h"
 
 namespace copperpoint::proxy {
--- a/src/proxy/config/operating.cpp
+++ b/src/proxy/config/operator_settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/config/operating.h"
+#include "proxy/config/operator_settings.h"
 
 #include "config/show.h"
 
--- a/src/proxy/config/operating.h
+++ b/src/proxy/config/operator_settings.h
@@ -3,8 +3,8 @@
 // The operator's file: what staff may set of one proxy. The platform's JSON (config.h) says what the proxy is
 // and what it may use; this file says how patient it is and how it logs. docs/configuration.md is its
 // reference.
-#ifndef COPPERPOINT_PROXY_CONFIG_OPERATING_H_
-#define COPPERPOINT_PROXY_CONFIG_OPERATING_H_
+#ifndef COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
+#define COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
 
 #include <chrono>
 #include <cstdint>
@@ -70,4 +70,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_CONFIG_OPERATING_H_
+#endif  // COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
--- a/src/proxy/handover/handover_coordinator.h
+++ b/src/proxy/handover/handover_coordinator.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "copperpoint/balancer.h"
-#include "proxy/config/operating.h"
+#include "proxy/config/operator_settings.h"
 #include "proxy/core/descriptor_budget.h"
 #include "proxy/core/endpoint_table.h"
 #include "proxy/core/event_sink.h"
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -9,7 +9,7 @@
 
 #include "config/read.h"
 #include "log/event_names.h"
-#include "proxy/config/operating.h"
+#include "proxy/config/operator_settings.h"
 #include "proxy/proxy.h"
 
 namespace copperpoint::proxy {
