--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -7,12 +7,15 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 
 #include "adapter/wire_names.h"
 
 namespace copperpoint::adapter {
 namespace {
 
+using Kind = BadSettings::Kind;
+
 namespace keys = wire::keys;
 namespace words = wire::words;
 
@@ -35,7 +38,7 @@
 
   double Number(const std::string& key, double min = 0, double max = kMaxValue) const {
     const auto found = values_.find(key);
-    if (found == values_.end()) throw BadSettings("setting absent: " + key);
+    if (found == values_.end()) throw BadSettings(Kind::kAbsent, key);
     return Checked(key, found->second, min, max);
   }
   double NumberOr(const std::string& key, double fallback, double min = 0, double max = kMaxValue) const {
@@ -43,7 +46,7 @@
   }
   int Integer(const std::string& key, double min, double max) const {
     const double value = Number(key, min, max);
-    if (value != std::floor(value)) throw BadSettings("setting not a whole number: " + key);
+    if (value != std::floor(value)) throw BadSettings(Kind::kNotAWholeNumber, key);
     return static_cast<int>(value);
   }
   Duration Time(const std::string& key) const { return Duration(Number(key)); }
@@ -53,7 +56,7 @@
   }
   std::string_view Word(const std::string& key) const {
     const auto found = values_.find(key);
-    if (found == values_.end()) throw BadSettings("setting absent: " + key);
+    if (found == values_.end()) throw BadSettings(Kind::kAbsent, key);
     return found->second;
   }
 
@@ -62,8 +65,8 @@
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
-      throw BadSettings("setting not a number: " + key);
-    if (value < min || value > max) throw BadSettings("setting out of range: " + key);
+      throw BadSettings(Kind::kNotANumber, key);
+    if (value < min || value > max) throw BadSettings(Kind::kOutOfRange, key);
     return value;
   }
 
@@ -75,7 +78,7 @@
   if (word == words::kIdempotent) return Idempotency::kIdempotent;
   if (word == words::kIdempotencyKey) return Idempotency::kIdempotencyKey;
   if (word == words::kNonIdempotent) return Idempotency::kNonIdempotent;
-  throw BadSettings("setting of unknown meaning: " + key);
+  throw BadSettings(Kind::kUnknownWord, key);
 }
 
 DeduplicationScope DeduplicationScopeOf(const PathValueLines& lines, const std::string& key) {
@@ -83,11 +86,32 @@
   if (word == words::kScopeAll) return DeduplicationScope::kAll;
   if (word == words::kScopeZone) return DeduplicationScope::kZone;
   if (word == words::kScopeCell) return DeduplicationScope::kCell;
-  throw BadSettings("setting of unknown meaning: " + key);
+  throw BadSettings(Kind::kUnknownWord, key);
+}
+
+const char* Problem(Kind kind) {
+  switch (kind) {
+    case Kind::kAbsent:
+      return "absent";
+    case Kind::kNotANumber:
+      return "not a number";
+    case Kind::kNotAWholeNumber:
+      return "not a whole number";
+    case Kind::kOutOfRange:
+      return "out of range";
+    case Kind::kUnknownWord:
+      return "of unknown meaning";
+  }
+  return "bad";
 }
 
 }  // namespace
 
+BadSettings::BadSettings(Kind kind, std::string key)
+    : std::runtime_error(std::string("setting ") + Problem(kind) + ": " + key),
+      kind_(kind),
+      key_(std::move(key)) {}
+
 Settings ParseSettings(std::string_view text) {
   const PathValueLines lines(text);
   Settings settings;
@@ -128,7 +152,7 @@
 
   const std::string_view mode = lines.Word(keys::kDiscoveryMode, words::kDiscoveryPushes);
   if (mode != words::kDiscoveryPushes && mode != words::kDiscoveryIsPolled)
-    throw BadSettings(std::string("setting of unknown meaning: ") + keys::kDiscoveryMode);
+    throw BadSettings(Kind::kUnknownWord, keys::kDiscoveryMode);
   settings.polls_endpoints = mode == words::kDiscoveryIsPolled;
   if (settings.polls_endpoints) settings.max_poll_interval = lines.Time(keys::kMaxPollInterval);
   settings.max_attempts = lines.Integer(keys::kMaxAttempts, 1, 255);
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -5,16 +5,26 @@
 #define COPPERPOINT_ADAPTER_SETTINGS_H_
 
 #include <stdexcept>
+#include <string>
 #include <string_view>
 
 #include "copperpoint/balancer.h"
 
 namespace copperpoint::adapter {
 
-// A needed key is absent, or a key holds what it must not; what() names the key.
+// A required key is absent, or its value cannot be used; what() is one line that names the key.
 class BadSettings : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  enum class Kind { kAbsent, kNotANumber, kNotAWholeNumber, kOutOfRange, kUnknownWord };
+
+  BadSettings(Kind kind, std::string key);
+
+  Kind kind() const { return kind_; }
+  const std::string& key() const { return key_; }
+
+ private:
+  Kind kind_;
+  std::string key_;
 };
 
 // Unknown keys are ignored; an absent optional key has its documented meaning.
--- a/src/cli/config.cpp
+++ b/src/cli/config.cpp
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/config/config.h"
-
 #include <iostream>
 #include <memory>
 #include <string>
@@ -8,6 +6,8 @@
 #include "cli/commands.h"
 #include "config/read.h"
 #include "config/show.h"
+#include "proxy/config/config_reader.h"
+#include "proxy/config/configuration_reference.h"
 #include "proxy/config/operator_settings.h"
 
 namespace copperpoint::cli {
@@ -27,9 +27,9 @@
 }
 
 void Show(const std::string& file) {
-  proxy::OperatorSettings operating;
-  if (!file.empty()) operating = config::Read<proxy::OperatorSettings>(file);
-  std::cout << config::ShowValues([&](config::Visitor& v) { operating.Describe(v); });
+  proxy::OperatorSettings settings;
+  if (!file.empty()) settings = config::Read<proxy::OperatorSettings>(file);
+  std::cout << config::ShowValues([&](config::Visitor& v) { settings.Describe(v); });
 }
 
 }  // namespace
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -11,7 +11,7 @@
 
 #include "cli/commands.h"
 #include "config/read.h"
-#include "proxy/config/config.h"
+#include "proxy/config/config_error.h"
 
 namespace {
 
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/host.cpp
@@ -9,7 +9,7 @@
 
 #include "config/read.h"
 #include "log/log.h"
-#include "proxy/config/config.h"
+#include "proxy/config/config_error.h"
 #include "proxy/membership/clock.h"
 
 namespace copperpoint::proxy {
@@ -18,17 +18,19 @@
 constexpr std::chrono::milliseconds kAddressAgain{200};
 
 peers::Seal SealOf(const FleetSettings& settings) {
+  const ConfigLocation location{.file = settings.key_file, .key = "fleet.key_file"};
   struct stat about {};
   if (::stat(settings.key_file.c_str(), &about) != 0)
-    throw ConfigError(settings.key_file + ": fleet.key_file cannot be read");
+    throw ConfigError(ConfigError::Kind::kUnreadableFile, location, "fleet.key_file cannot be read");
   if ((about.st_mode & 0077) != 0)
-    throw ConfigError(settings.key_file + ": fleet.key_file may be read by others; its mode has to be 0600");
+    throw ConfigError(ConfigError::Kind::kInvalid, location,
+                      "fleet.key_file may be read by others; its mode has to be 0600");
   std::string key = config::Contents(settings.key_file);
   while (!key.empty() && (key.back() == '\n' || key.back() == '\r')) key.pop_back();
   try {
     return peers::Seal(settings.cluster, key);
   } catch (const std::invalid_argument& error) {
-    throw ConfigError(settings.key_file + ": fleet.key_file: " + error.what());
+    throw ConfigError(ConfigError::Kind::kInvalid, location, std::string("fleet.key_file: ") + error.what());
   }
 }
 
@@ -45,8 +47,9 @@
     if (line.empty() || line.front() == '#') continue;
     boost::asio::ip::udp::endpoint parsed;
     if (!peers::ParseAddress(line, &parsed))
-      throw ConfigError(settings.seeds_file + ":" + std::to_string(number) + ": '" + line +
-                        "' is no ADDRESS:PORT");
+      throw ConfigError(ConfigError::Kind::kInvalid,
+                        {.file = settings.seeds_file, .line = number, .key = "fleet.seeds_file"},
+                        "'" + line + "' is no ADDRESS:PORT");
     seeds.push_back(line);
   }
   return seeds;
@@ -76,7 +79,8 @@
 boost::asio::ip::udp::endpoint Listen(const FleetSettings& settings) {
   boost::asio::ip::udp::endpoint listen;
   if (!peers::ParseAddress(settings.listen, &listen) || listen.port() == 0)
-    throw ConfigError("fleet.listen is no ADDRESS:PORT: '" + settings.listen + "'");
+    throw ConfigError(ConfigError::Kind::kInvalid, {.key = "fleet.listen"},
+                      "fleet.listen is no ADDRESS:PORT: '" + settings.listen + "'");
   return listen;
 }
 
@@ -114,7 +118,7 @@
       [this](membership::Topic topic, std::uint64_t version) { return agent_.Admits(topic, version); });
   Open();
 } catch (const std::invalid_argument& error) {
-  throw ConfigError(std::string("fleet: ") + error.what());
+  throw ConfigError(ConfigError::Kind::kInvalid, {.key = "fleet"}, std::string("fleet: ") + error.what());
 }
 
 void FleetHost::Open() {
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -58,19 +58,19 @@
 }  // namespace
 
 Config Configure(const ServeOptions& options, Config platform, log::Settings* log) {
-  OperatorSettings operating;
+  OperatorSettings operator_settings;
   if (!options.operators_file.empty()) {
-    operating = config::Read<OperatorSettings>(options.operators_file);
-    if (operating.fleet.on())
+    operator_settings = config::Read<OperatorSettings>(options.operators_file);
+    if (operator_settings.fleet.on())
       platform.operator_settings_version = log::Hex(StableHash(config::Contents(options.operators_file)));
   }
-  *log = operating.log;
+  *log = operator_settings.log;
   log->level = options.log_level.value_or(log->level);
   log->format = options.log_format.value_or(log->format);
-  platform.timeouts = operating.timeouts;
-  platform.shares = operating.shares;
-  platform.upgrade = operating.upgrade;
-  platform.fleet = operating.fleet;
+  platform.timeouts = operator_settings.timeouts;
+  platform.shares = operator_settings.shares;
+  platform.upgrade = operator_settings.upgrade;
+  platform.fleet = operator_settings.fleet;
   return platform;
 }
 
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "log/log.h"
-#include "proxy/config/config.h"
+#include "proxy/config/config_reader.h"
 
 namespace copperpoint::proxy {
 
--- a/tests/config/operator_settings_test.cpp
+++ b/tests/config/operator_settings_test.cpp
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "config/read.h"
+#include "proxy/config/configuration_reference.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -58,6 +59,67 @@
   defaults.Describe(ranges);
 }
 
+std::string ErrorOf(const std::string& text) {
+  try {
+    config::ReadFrom<OperatorSettings>(text, "f");
+  } catch (const config::BadFile& error) {
+    return error.what();
+  }
+  return "";
+}
+
+TEST(OperatorSettings, ReadsEverySectionAndLeavesTheOtherKeysAtTheirDefaults) {
+  const auto settings = config::ReadFrom<OperatorSettings>(
+      "[log]\nlevel = \"debug\"\n[patience]\nkept_ms = 5\n[shares]\nclients = 0.5\nkept_body = 65536\n"
+      "[upgrade]\nlist_ms = 7\n[fleet]\ncluster = \"c\"\nlisten = \"127.0.0.1:9\"\nkey_file = \"k\"\n"
+      "seeds = [\"127.0.0.1:10\"]\nsubsets = false\n",
+      "f");
+  EXPECT_EQ(settings.log.level, log::Level::kDebug);
+  EXPECT_EQ(settings.timeouts.keep_alive, std::chrono::milliseconds(5));
+  EXPECT_EQ(settings.shares.client_descriptors, 0.5);
+  EXPECT_EQ(settings.shares.max_buffered_body_bytes, 65536);
+  EXPECT_EQ(settings.upgrade.endpoint_list, std::chrono::milliseconds(7));
+  EXPECT_TRUE(settings.fleet.on());
+  EXPECT_EQ(settings.fleet.seeds, std::vector<std::string>{"127.0.0.1:10"});
+  EXPECT_FALSE(settings.fleet.subsets);
+  const OperatorSettings defaults;
+  EXPECT_EQ(settings.timeouts.request_head, defaults.timeouts.request_head);
+  EXPECT_EQ(settings.shares.body_memory, defaults.shares.body_memory);
+  EXPECT_EQ(settings.upgrade.listener, defaults.upgrade.listener);
+  EXPECT_EQ(settings.fleet.advertise, "");
+}
+
+TEST(OperatorSettings, EmptyFileHasTheDefaults) {
+  const auto settings = config::ReadFrom<OperatorSettings>("", "f");
+  EXPECT_EQ(settings.timeouts.keep_alive, Timeouts().keep_alive);
+  EXPECT_FALSE(settings.fleet.on());
+}
+
+TEST(OperatorSettings, RejectsWrongTypesWithTheirPlaceAndKey) {
+  EXPECT_EQ(ErrorOf("[patience]\nkept_ms = \"1\"\n"),
+            "f:2:11: patience.kept_ms: a whole number is wanted, not text");
+  EXPECT_EQ(ErrorOf("[patience]\nkept_ms = 1.5\n"),
+            "f:2:11: patience.kept_ms: a whole number is wanted, not a number with a fraction");
+  EXPECT_EQ(ErrorOf("shares = 1\n"), "f:1:10: shares: a table is wanted, not a whole number");
+  EXPECT_EQ(ErrorOf("[fleet]\nsubsets = 1\n"),
+            "f:2:11: fleet.subsets: true or false is wanted, not a whole number");
+  EXPECT_EQ(ErrorOf("[log]\nlevel = \"loud\"\n"),
+            "f:2:9: log.level: 'loud' is none of debug, info, warn, error, off");
+}
+
+TEST(OperatorSettings, RejectsUnknownKeysAndNamesTheKnownOnes) {
+  EXPECT_EQ(ErrorOf("[upgrade]\nlists_ms = 1\n"),
+            "f:2:1: upgrade.lists_ms: unknown key; known here: list_ms, listener_ms");
+  EXPECT_EQ(ErrorOf("patience_ms = 1\n"),
+            "f:1:1: patience_ms: unknown key; known here: fleet, log, patience, shares, upgrade");
+}
+
+TEST(OperatorSettings, RequiresTheKeysOfAMember) {
+  EXPECT_EQ(ErrorOf("[fleet]\ncluster = \"c\"\n"),
+            "f:1:1: fleet.listen: is no ADDRESS:PORT\nf:1:1: fleet.key_file: is missing");
+  EXPECT_EQ(ErrorOf("[fleet]\nseeds = [\"here\"]\n"), "f:2:9: fleet.seeds: 'here' is no ADDRESS:PORT");
+}
+
 TEST(OperatorSettings, RejectsValueOutOfRangeWithItsKey) {
   try {
     config::ReadFrom<OperatorSettings>("[shares]\nclients = 0.95\n[patience]\nkept_ms = -1\n", "f");
--- a/tests/support/running_proxy.h
+++ b/tests/support/running_proxy.h
@@ -15,6 +15,7 @@
 #include <utility>
 #include <vector>
 
+#include "proxy/config/config_reader.h"
 #include "support/discovery.h"
 #include "support/sockets.h"
 
