--- a/src/proxy/core/descriptor_budget.cpp
+++ b/src/proxy/core/descriptor_budget.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "proxy/admin/admin_server.h"
-#include "proxy/membership/host.h"
+#include "proxy/membership/membership_host.h"
 
 namespace copperpoint::proxy {
 namespace {
@@ -17,7 +17,7 @@
 
 int ReservedDescriptors(const Config& config) {
   return kBaseDescriptors + (config.admin_address ? kAdminDescriptors : 0) +
-         (config.fleet.on() ? FleetHost::kDescriptors : 0);
+         (config.fleet.on() ? MembershipHost::kDescriptors : 0);
 }
 
 }  // namespace
--- a/src/proxy/core/membership_publisher.cpp
+++ b/src/proxy/core/membership_publisher.cpp
@@ -13,8 +13,8 @@
   const auto zone = static_cast<std::size_t>(config.settings.zone);
   const FleetSelf self{config.name, zone < config.zones.size() ? config.zones[zone] : "", COPPERPOINT_VERSION,
                        config.operator_settings_version};
-  host_ = std::make_unique<FleetHost>(io, config.fleet, self, config.seed ^ std::random_device()(),
-                                      std::move(on_ring_offset));
+  host_ = std::make_unique<MembershipHost>(io, config.fleet, self, config.seed ^ std::random_device()(),
+                                           std::move(on_ring_offset));
 }
 
 void MembershipPublisher::Publish(Lifecycle::State state) {
--- a/src/proxy/core/membership_publisher.h
+++ b/src/proxy/core/membership_publisher.h
@@ -11,7 +11,7 @@
 #include "proxy/config/config.h"
 #include "proxy/core/request_table.h"
 #include "proxy/lifecycle/lifecycle.h"
-#include "proxy/membership/host.h"
+#include "proxy/membership/membership_host.h"
 
 namespace copperpoint::proxy {
 
@@ -19,7 +19,7 @@
 // nothing.
 class MembershipPublisher : public RequestObserver {
  public:
-  // `on_ring_offset` as for FleetHost, which says what is thrown.
+  // `on_ring_offset` as for MembershipHost, which says what is thrown.
   void Join(boost::asio::io_context& io, const Config& config, std::function<void(double)> on_ring_offset);
   void Publish(Lifecycle::State state);
   // The process shuts down: the others are notified, and the address is free for a successor.
@@ -28,11 +28,11 @@
   void OnRequestCompleted(const CompletedRequest& request) override;
 
   // Null unless joined.
-  FleetHost* host() { return host_.get(); }
-  const FleetHost* host() const { return host_.get(); }
+  MembershipHost* host() { return host_.get(); }
+  const MembershipHost* host() const { return host_.get(); }
 
  private:
-  std::unique_ptr<FleetHost> host_;
+  std::unique_ptr<MembershipHost> host_;
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/host.cpp
+++ b/src/proxy/membership/membership_host.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/membership/host.h"
+#include "proxy/membership/membership_host.h"
 
 #include <sys/stat.h>
 
@@ -86,8 +86,9 @@
 
 }  // namespace
 
-FleetHost::FleetHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
-                     std::uint64_t seed, std::function<void(double)> on_ring_offset) try
+MembershipHost::MembershipHost(boost::asio::io_context& io, const FleetSettings& settings,
+                               const FleetSelf& self, std::uint64_t seed,
+                               std::function<void(double)> on_ring_offset) try
     : io_(io),
       listen_(Listen(settings)),
       cluster_(settings.cluster),
@@ -121,7 +122,7 @@
   throw ConfigError(ConfigError::Kind::kInvalid, {.key = "fleet"}, std::string("fleet: ") + error.what());
 }
 
-void FleetHost::Open() {
+void MembershipHost::Open() {
   peers::Transport::Handlers handlers;
   handlers.datagram = [this](const std::string& from, std::string_view bytes) {
     view_.OnDatagram(FleetNow(), from, bytes);
@@ -154,7 +155,7 @@
 }
 
 // What the view has for the parts that live on it, and what they have for the view.
-void FleetHost::LookAtParts() {
+void MembershipHost::LookAtParts() {
   for (bool more = true; more;) {
     CarryOut(agent_.Take());
     const membership::Output output = view_.Take();
@@ -169,7 +170,7 @@
   }
 }
 
-void FleetHost::CarryOut(rollout::Agent::Output output) {
+void MembershipHost::CarryOut(rollout::Agent::Output output) {
   const membership::Time now = FleetNow();
   for (const auto& document : output.documents)
     view_.Put(now, document.topic, document.version, document.body);
@@ -182,12 +183,12 @@
   if (keeper_ && output.run) keeper_->Say("run " + *output.run);
 }
 
-void FleetHost::Ready() {
+void MembershipHost::Ready() {
   if (std::exchange(ready_, true)) return;
   if (keeper_) keeper_->Say("ready");
 }
 
-std::vector<rollout::Named> FleetHost::Living() const {
+std::vector<rollout::Named> MembershipHost::Living() const {
   std::vector<rollout::Named> members;
   for (const int at : view_.members().living()) {
     const membership::Record& record = *view_.members()[at].record;
@@ -198,8 +199,8 @@
   return members;
 }
 
-std::optional<AdminHandler::FleetCallResult> FleetHost::Rollout(const std::string& what, bool post,
-                                                                const std::string& body) {
+std::optional<AdminHandler::FleetCallResult> MembershipHost::Rollout(const std::string& what, bool post,
+                                                                     const std::string& body) {
   const membership::Time now = FleetNow();
   if (!post) {
     if (what == "/history") return AdminHandler::FleetCallResult{true, agent_.History(now)};
@@ -227,7 +228,7 @@
   return AdminHandler::FleetCallResult{why.empty(), why.empty() ? "done" : why};
 }
 
-void FleetHost::Flush() {
+void MembershipHost::Flush() {
   LookAtParts();
   if (keeper_ && !heard_ && view_.established() && view_.members().living().size() > 1) {
     heard_ = true;
@@ -243,7 +244,7 @@
   Arm();
 }
 
-void FleetHost::Send(const membership::Output& output) {
+void MembershipHost::Send(const membership::Output& output) {
   if (transport_) {
     for (const membership::Outgoing& datagram : output.datagrams)
       transport_->Send(datagram.to, datagram.bytes);
@@ -260,7 +261,7 @@
   }
 }
 
-void FleetHost::Arm() {
+void MembershipHost::Arm() {
   if (!transport_ || view_.silent()) return;
   timer_.expires_at(ToSteady(std::min({view_.next(), positions_.next(), agent_.next()})));
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
@@ -271,12 +272,12 @@
   });
 }
 
-void FleetHost::SetState(membership::State state) {
+void MembershipHost::SetState(membership::State state) {
   view_.SetState(FleetNow(), state);
   Flush();
 }
 
-void FleetHost::Leave() {
+void MembershipHost::Leave() {
   if (std::exchange(left_, true)) return;
   view_.Leave(FleetNow());
   Flush();
@@ -284,7 +285,7 @@
   timer_.cancel();
 }
 
-std::string FleetHost::Json() const {
+std::string MembershipHost::Json() const {
   const membership::Record& self = view_.self();
   const membership::Time now = view_.own(FleetNow());
   const auto millis = [](membership::Time time) { return time.count() / 1000; };
--- a/src/proxy/membership/host.h
+++ b/src/proxy/membership/membership_host.h
@@ -2,8 +2,8 @@
 //
 // Hosts this proxy's view of the fleet: the event loop's time and sockets for it, its events for the log, its
 // state for the operator. It decides nothing.
-#ifndef COPPERPOINT_PROXY_MEMBERSHIP_HOST_H_
-#define COPPERPOINT_PROXY_MEMBERSHIP_HOST_H_
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -30,7 +30,7 @@
   std::string name, zone, program, settings;
 };
 
-class FleetHost {
+class MembershipHost {
  public:
   // Descriptors that it holds at most: both sockets, and exchanges.
   static constexpr int kDescriptors = 18;
@@ -39,8 +39,8 @@
   // address is still another process's, as in an upgrade, it waits for it. `on_ring_offset` is called with
   // the offset on the ring of backends that this proxy has among those of its zone; where there are no seeds,
   // from the constructor on.
-  FleetHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
-            std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
+  MembershipHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
+                 std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
 
   void SetState(membership::State state);
   void Leave();  // notifies the members that it leaves, and closes its sockets
@@ -85,4 +85,4 @@
 
 }  // namespace copperpoint::proxy
 
-#endif  // COPPERPOINT_PROXY_MEMBERSHIP_HOST_H_
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
