--- a/src/proxy/core/descriptor_budget.cpp
+++ b/src/proxy/core/descriptor_budget.cpp
@@ -17,7 +17,7 @@
 
 int ReservedDescriptors(const Config& config) {
   return kBaseDescriptors + (config.admin_address ? kAdminDescriptors : 0) +
-         (config.fleet.on() ? MembershipHost::kDescriptors : 0);
+         (config.fleet.on() ? MembershipHost::kMaxDescriptors : 0);
 }
 
 }  // namespace
--- a/src/proxy/core/membership_publisher.cpp
+++ b/src/proxy/core/membership_publisher.cpp
@@ -11,8 +11,8 @@
 void MembershipPublisher::Join(boost::asio::io_context& io, const Config& config,
                                std::function<void(double)> on_ring_offset) {
   const auto zone = static_cast<std::size_t>(config.settings.zone);
-  const FleetSelf self{config.name, zone < config.zones.size() ? config.zones[zone] : "", COPPERPOINT_VERSION,
-                       config.operator_settings_version};
+  const MembershipHost::Member self{config.name, zone < config.zones.size() ? config.zones[zone] : "",
+                                    COPPERPOINT_VERSION, config.operator_settings_version};
   host_ = std::make_unique<MembershipHost>(io, config.fleet, self, config.seed ^ std::random_device()(),
                                            std::move(on_ring_offset));
 }
@@ -23,7 +23,7 @@
     case Lifecycle::State::kStarting:
       return host_->SetState(membership::State::kStarting);
     case Lifecycle::State::kReady:
-      host_->Ready();
+      host_->OnServing();
       return host_->SetState(membership::State::kServing);
     case Lifecycle::State::kDrainingNotStarted:
     case Lifecycle::State::kDraining:
@@ -39,9 +39,14 @@
 
 void MembershipPublisher::OnRequestCompleted(const CompletedRequest& request) {
   if (!host_) return;
-  // The counts number tenants from 1; 0 is a request without one.
-  host_->counts().Record(request.request_class, static_cast<std::uint32_t>(request.tenant + 1),
-                         request.outcome, request.before_deadline, request.attempts, request.elapsed.count());
+  RequestCounts::Sample sample;
+  sample.request_class = request.request_class;
+  sample.tenant = static_cast<std::uint32_t>(request.tenant + 1);
+  sample.outcome = request.outcome;
+  sample.before_deadline = request.before_deadline;
+  sample.attempts = request.attempts;
+  sample.duration_ms = request.elapsed.count();
+  host_->counts().Record(sample);
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/clock.cpp
+++ b/src/proxy/membership/clock.cpp
@@ -10,24 +10,26 @@
 namespace copperpoint::proxy {
 namespace {
 
+// By which the membership's time is ahead of the machine's clock.
 #ifdef COPPERPOINT_CLOCK_SEAM
-// Microseconds ahead of the machine's clock: eight bytes, as this machine orders them.
-membership::Time Ahead() {
-  static const char* const file = std::getenv("COPPERPOINT_CLOCK");
-  std::int64_t ahead = 0;
-  if (file) std::ifstream(file, std::ios::binary).read(reinterpret_cast<char*>(&ahead), sizeof ahead);
-  return membership::Time(ahead);
+// Read from the file: microseconds, eight bytes in this machine's order.
+membership::Time Offset() {
+  static const char* const kFile = std::getenv("COPPERPOINT_CLOCK");
+  std::int64_t microseconds = 0;
+  if (kFile)
+    std::ifstream(kFile, std::ios::binary).read(reinterpret_cast<char*>(&microseconds), sizeof microseconds);
+  return membership::Time(microseconds);
 }
 #else
-constexpr membership::Time Ahead() { return membership::Time(0); }
+constexpr membership::Time Offset() { return membership::Time(0); }
 #endif
 
 }  // namespace
 
-membership::Time FleetNow() {
-  return std::chrono::duration_cast<membership::Time>(Steady::now().time_since_epoch()) + Ahead();
+membership::Time MembershipNow() {
+  return std::chrono::duration_cast<membership::Time>(Steady::now().time_since_epoch()) + Offset();
 }
 
-Steady::time_point ToSteady(membership::Time at) { return Steady::time_point(at - Ahead()); }
+Steady::time_point ToSteady(membership::Time at) { return Steady::time_point(at - Offset()); }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/clock.h
+++ b/src/proxy/membership/clock.h
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The clock that the view of this proxy goes by: the machine's steady one. A build for tests (with
-// COPPERPOINT_CLOCK_SEAM) adds what the file $COPPERPOINT_CLOCK says, so that a clock that jumps can be
-// played.
+// The time of this proxy's membership: the machine's steady clock. A build for tests (with
+// COPPERPOINT_CLOCK_SEAM) adds the offset in the file $COPPERPOINT_CLOCK, to simulate a clock that jumps.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_CLOCK_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_CLOCK_H_
 
@@ -11,8 +10,8 @@
 
 namespace copperpoint::proxy {
 
-membership::Time FleetNow();
-// When the machine's clock will show what the view calls `at`.
+membership::Time MembershipNow();
+// When the machine's steady clock will show what the membership calls `at`.
 Steady::time_point ToSteady(membership::Time at);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/membership_host.h
+++ b/src/proxy/membership/membership_host.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Hosts this proxy's view of the fleet: the event loop's time and sockets for it, its events for the log, its
-// state for the operator. It decides nothing.
+// This proxy's part in the membership: gives the membership (src/membership) time and sockets, and connects
+// it with what relies on it, the rollout agent and the subset of backends. It decides nothing.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
 
@@ -9,78 +9,86 @@
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "membership/view.h"
-#include "peers/transport.h"
 #include "proxy/admin/admin_handler.h"
+#include "proxy/membership/peer_socket.h"
 #include "proxy/membership/request_counts.h"
+#include "proxy/membership/rollout_host.h"
 #include "proxy/membership/settings.h"
-#include "proxy/membership/supervisor_link.h"
-#include "rollout/agent.h"
 #include "subsetting/position.h"
 
 namespace copperpoint::proxy {
 
-// What a proxy publishes of itself.
-struct FleetSelf {
-  std::string name, zone, program, settings;
-};
-
-class MembershipHost {
+// Owns the membership's state and the sockets of the members.
+class MembershipHost : private PeerSocket::Observer {
  public:
-  // Descriptors that it holds at most: both sockets, and exchanges.
-  static constexpr int kDescriptors = 18;
+  // What a proxy publishes of itself.
+  struct Member {
+    std::string name, zone;
+    std::string program_version;
+    std::string settings_version;  // of the operator's file
+  };
+
+  // Descriptors that it holds at most.
+  static constexpr int kMaxDescriptors = PeerSocket::kMaxDescriptors;
 
-  // Throws ConfigError on a key or a list of seeds that cannot be used, or fields too long to tell. Where the
-  // address is still another process's, as in an upgrade, it waits for it. `on_ring_offset` is called with
-  // the offset on the ring of backends that this proxy has among those of its zone; where there are no seeds,
-  // from the constructor on.
-  MembershipHost(boost::asio::io_context& io, const FleetSettings& settings, const FleetSelf& self,
+  // Throws ConfigError on a key or a list of seeds that cannot be used, or fields too long for a message.
+  // Where the address is still another process's, as in an upgrade, it waits for it. `on_ring_offset` is
+  // called with the offset on the ring of backends that this proxy has among those of its zone; where there
+  // are no seeds, from the constructor on.
+  MembershipHost(boost::asio::io_context& io, const FleetSettings& settings, const Member& self,
                  std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
 
   void SetState(membership::State state);
-  void Leave();  // notifies the members that it leaves, and closes its sockets
-  std::string Json() const;
-  // A request's end, for the cohorts of a change.
-  RequestCounts& counts() { return counts_; }
-  // This process serves; notifies the supervisor once.
-  void Ready();
+  // Notifies the members that this one leaves, and closes the sockets.
+  void Leave();
 
-  // Rollout calls of the admin interface: the path behind /rollout, and whether it was a POST. Nothing: no
-  // such call.
-  std::optional<AdminHandler::FleetCallResult> Rollout(const std::string& what, bool post,
-                                                       const std::string& body);
+  // This process serves clients; notifies the supervisor once.
+  void OnServing() { rollout_.OnServing(); }
+  // Of completed requests, for rollouts.
+  RequestCounts& counts() { return rollout_.counts(); }
+
+  // ---- admin calls ----
+  std::string StatusJson() const;
+  static bool IsRolloutCall(std::string_view target) { return RolloutHost::IsRolloutCall(target); }
+  // Nothing: there is no such call.
+  std::optional<AdminHandler::FleetCallResult> HandleRolloutCall(
+      const AdminHandler::FleetCallRequest& request);
 
  private:
-  void Open();
-  void Send(const membership::Output& output);
-  void LookAtParts();
-  void CarryOut(rollout::Agent::Output output);
-  std::vector<rollout::Named> Living() const;
-  void Flush();
-  void Arm();
+  void OnOpen() override;
+  void OnDatagram(const std::string& from, std::string_view frame) override;
+  std::string OnExchange(std::string_view frame) override;
+  void OnReply(std::string_view frame) override;
+
+  // To be called after every event: carries out what follows from it and sets the timer.
+  void ProcessOutput();
+  void ExchangeWithRollout();
+  void PublishFromRollout();
+  bool DeliverToRollout(const membership::Output& output);
+  void ReportConnected();
+  void UpdateRingOffset();
+  void ScheduleTick();
+
+  bool IsLiving(const std::string& name) const;
+  std::vector<rollout::Named> LivingMembers() const;
 
-  boost::asio::io_context& io_;
-  boost::asio::ip::udp::endpoint listen_;
-  std::string cluster_;
-  std::vector<std::string> seeds_;
+  const std::string cluster_;
+  PeerSocket socket_;
+  const std::vector<std::string> seeds_;
   membership::View view_;
-  const bool subsets_;
+  const bool subsets_enabled_;
   subsetting::Positions positions_;
-  std::optional<double> turn_;  // the last position
+  std::optional<double> ring_offset_;  // as published last
   std::function<void(double)> on_ring_offset_;
-  RequestCounts counts_;
-  std::unique_ptr<SupervisorLink> keeper_;
-  rollout::Agent agent_;
-  membership::Time began_{};
-  bool heard_ = false, ready_ = false;
-  std::unique_ptr<peers::Transport> transport_;
-  boost::asio::steady_timer timer_;
-  bool told_waiting_ = false, left_ = false;
+  RolloutHost rollout_;
+  boost::asio::steady_timer tick_timer_;
+  bool left_ = false;
 };
 
 }  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/membership/membership_report.h
@@ -0,0 +1,31 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// What this proxy reports of its membership: the JSON of GET /fleet, and events in the log.
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_REPORT_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_REPORT_H_
+
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "membership/view.h"
+#include "peers/transport.h"
+
+namespace copperpoint::proxy {
+
+struct MembershipStatus {
+  const std::string& cluster;
+  const membership::View& view;
+  membership::Time now{};                       // the host's
+  std::optional<double> ring_offset;            // nothing until it is known
+  const peers::Transport::Counters* transport;  // null while the sockets are closed
+};
+
+// docs/view.md has the fields.
+std::string MembershipJson(const MembershipStatus& status);
+
+void LogMembershipEvents(const std::vector<membership::Happened>& events);
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_REPORT_H_
--- a/src/proxy/membership/request_counts.cpp
+++ b/src/proxy/membership/request_counts.cpp
@@ -13,10 +13,12 @@
 namespace copperpoint::proxy {
 namespace {
 
-constexpr std::size_t kMostBytes = 820;    // of a report's strata: a letter of the view holds 900
-constexpr std::size_t kMostStrata = 4096;  // that are counted at all
+constexpr std::size_t kMaxReportBytes = 820;  // of strata: a message of the membership has 900 bytes
+constexpr std::size_t kStratumOverhead = 3;   // bytes of each in the report
+constexpr std::size_t kMaxStrata = 4096;      // that are counted at all
+constexpr std::uint32_t kAllTenants = 0;      // in place of a tenant: all requests of a class
 
-std::uint64_t ProcessorUs() {
+std::uint64_t ProcessorTimeUs() {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
   const auto micros = [](const timeval& time) {
@@ -25,23 +27,30 @@
   return micros(usage.ru_utime) + micros(usage.ru_stime);
 }
 
-std::uint32_t MemoryKb() {
-  std::uint64_t all = 0, resident = 0;
-  std::ifstream("/proc/self/statm") >> all >> resident;
-  return static_cast<std::uint32_t>(resident * static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE)) / 1024);
+std::uint32_t ResidentMemoryKb() {
+  std::uint64_t total_pages = 0, resident_pages = 0;
+  std::ifstream("/proc/self/statm") >> total_pages >> resident_pages;
+  return static_cast<std::uint32_t>(resident_pages * static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE)) /
+                                    1024);
 }
 
-// What a backend rejects is its answer, and served.
+// A 4xx of a backend is its response to the request, which is thereby served.
 bool IsServed(RequestOutcome outcome) {
   return outcome == RequestOutcome::kServed || outcome == RequestOutcome::kClientError;
 }
 
-void Count(rollout::wire::Stratum& stratum, RequestOutcome outcome, bool in_time, int attempts) {
-  stratum.set_asked(stratum.asked() + 1);
-  stratum.set_missed(stratum.missed() + !(IsServed(outcome) && in_time));
-  stratum.set_refused(stratum.refused() + (outcome == RequestOutcome::kRejected));
-  stratum.set_failed(stratum.failed() + (outcome == RequestOutcome::kFailed));
-  stratum.set_attempts(stratum.attempts() + static_cast<std::uint64_t>(std::max(0, attempts)));
+void Count(const RequestCounts::Sample& sample, rollout::wire::Stratum* stratum) {
+  stratum->set_asked(stratum->asked() + 1);
+  stratum->set_missed(stratum->missed() + !(IsServed(sample.outcome) && sample.before_deadline));
+  stratum->set_refused(stratum->refused() + (sample.outcome == RequestOutcome::kRejected));
+  stratum->set_failed(stratum->failed() + (sample.outcome == RequestOutcome::kFailed));
+  stratum->set_attempts(stratum->attempts() + static_cast<std::uint64_t>(std::max(0, sample.attempts)));
+}
+
+void CountDuration(double duration_ms, rollout::wire::Stratum* stratum) {
+  while (stratum->times_size() < static_cast<int>(rollout::kTimeBuckets)) stratum->add_times(0);
+  const int bucket = static_cast<int>(rollout::TimeBucket(duration_ms));
+  stratum->set_times(bucket, stratum->times(bucket) + 1);
 }
 
 }  // namespace
@@ -62,47 +71,43 @@
   return "unknown";
 }
 
-void RequestCounts::Record(int request_class, std::uint32_t tenant, RequestOutcome outcome, bool in_time,
-                           int attempts, double duration_ms) {
-  if (outcome == RequestOutcome::kClientDisconnected) return;
-  ++asked_;
-  const auto cls = static_cast<std::uint32_t>(std::max(0, request_class));
-  const auto of = [&](std::uint32_t number) -> rollout::wire::Stratum* {
-    const auto found = strata_.find({number, cls});
-    if (found != strata_.end()) return &found->second;
-    if (strata_.size() >= kMostStrata) return nullptr;
-    auto& fresh = strata_[{number, cls}];
-    fresh.set_request_class(cls);
-    fresh.set_account(number);
-    return &fresh;
-  };
-  if (rollout::wire::Stratum* stratum = of(0)) {
-    Count(*stratum, outcome, in_time, attempts);
-    if (IsServed(outcome)) {
-      while (stratum->times_size() < static_cast<int>(rollout::kTimeBuckets)) stratum->add_times(0);
-      const int bucket = static_cast<int>(rollout::TimeBucket(duration_ms));
-      stratum->set_times(bucket, stratum->times(bucket) + 1);
-    }
+rollout::wire::Stratum* RequestCounts::FindOrAdd(std::uint32_t tenant, std::uint32_t request_class) {
+  const auto found = strata_.find({tenant, request_class});
+  if (found != strata_.end()) return &found->second;
+  if (strata_.size() >= kMaxStrata) return nullptr;
+  rollout::wire::Stratum& added = strata_[{tenant, request_class}];
+  added.set_request_class(request_class);
+  added.set_account(tenant);
+  return &added;
+}
+
+void RequestCounts::Record(const Sample& sample) {
+  if (sample.outcome == RequestOutcome::kClientDisconnected) return;
+  ++recorded_;
+  const auto request_class = static_cast<std::uint32_t>(std::max(0, sample.request_class));
+  if (rollout::wire::Stratum* stratum = FindOrAdd(kAllTenants, request_class)) {
+    Count(sample, stratum);
+    if (IsServed(sample.outcome)) CountDuration(sample.duration_ms, stratum);
   }
-  if (tenant == 0) return;
-  if (rollout::wire::Stratum* stratum = of(tenant)) Count(*stratum, outcome, in_time, attempts);
+  if (sample.tenant == kAllTenants) return;
+  if (rollout::wire::Stratum* stratum = FindOrAdd(sample.tenant, request_class)) Count(sample, stratum);
 }
 
 rollout::wire::Report RequestCounts::Report() const {
   rollout::wire::Report report;
-  report.set_cpu_us(ProcessorUs());
-  report.set_memory_kb(MemoryKb());
+  report.set_cpu_us(ProcessorTimeUs());
+  report.set_memory_kb(ResidentMemoryKb());
   std::vector<const rollout::wire::Stratum*> ordered;
   for (const auto& [key, stratum] : strata_) ordered.push_back(&stratum);
   std::stable_sort(ordered.begin(), ordered.end(), [](const auto* a, const auto* b) {
-    if ((a->account() == 0) != (b->account() == 0)) return a->account() == 0;
+    const bool a_is_class = a->account() == kAllTenants, b_is_class = b->account() == kAllTenants;
+    if (a_is_class != b_is_class) return a_is_class;
     return a->asked() > b->asked();
   });
   std::size_t bytes = 0;
   for (const rollout::wire::Stratum* stratum : ordered) {
-    const std::size_t more = stratum->ByteSizeLong() + 3;
-    if (bytes + more > kMostBytes) break;
-    bytes += more;
+    bytes += stratum->ByteSizeLong() + kStratumOverhead;
+    if (bytes > kMaxReportBytes) break;
     *report.add_strata() = *stratum;
   }
   return report;
--- a/src/proxy/membership/request_counts.h
+++ b/src/proxy/membership/request_counts.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What this process has served, by class and account, for a change's cohorts to be compared by.
+// Counts the requests of this process by class and tenant, so that a rollout can compare the proxies that
+// have changed with the others.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_REQUEST_COUNTS_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_REQUEST_COUNTS_H_
 
@@ -18,17 +19,29 @@
 
 class RequestCounts {
  public:
-  // `tenant`: 0 where there is none; `in_time`: answered before the deadline. A request whose client has
-  // disconnected does not count.
-  void Record(int request_class, std::uint32_t tenant, RequestOutcome outcome, bool in_time, int attempts,
-              double duration_ms);
-  // As much as fits into one message: classes before tenants, those with most requests first.
+  struct Sample {
+    int request_class = 0;
+    std::uint32_t tenant = 0;  // from 1; 0: a request without one
+    RequestOutcome outcome = RequestOutcome::kFailed;
+    bool before_deadline = false;
+    int attempts = 0;
+    double duration_ms = 0;  // from the request's arrival
+  };
+
+  // A request whose client has disconnected does not count.
+  void Record(const Sample& sample);
+
+  // The counts, with processor time and memory of this process. As many as fit into one message: classes
+  // before tenants, those with most requests first.
   rollout::wire::Report Report() const;
-  std::uint64_t asked() const { return asked_; }
+  std::uint64_t recorded() const { return recorded_; }
 
  private:
-  std::map<std::pair<std::uint32_t, std::uint32_t>, rollout::wire::Stratum> strata_;  // tenant, class
-  std::uint64_t asked_ = 0;
+  // Null for a new one beyond the limit. `tenant` 0: all requests of the class.
+  rollout::wire::Stratum* FindOrAdd(std::uint32_t tenant, std::uint32_t request_class);
+
+  std::map<std::pair<std::uint32_t, std::uint32_t>, rollout::wire::Stratum> strata_;  // by tenant and class
+  std::uint64_t recorded_ = 0;
 };
 
 }  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/membership/rollout_host.cpp
@@ -0,0 +1,138 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/membership/rollout_host.h"
+
+#include <algorithm>
+#include <chrono>
+#include <nlohmann/json.hpp>
+#include <utility>
+
+#include "config/read.h"
+#include "log/log.h"
+#include "proxy/membership/clock.h"
+#include "rollout/plan.h"
+
+namespace copperpoint::proxy {
+namespace {
+
+using FleetCallRequest = AdminHandler::FleetCallRequest;
+using FleetCallResult = AdminHandler::FleetCallResult;
+
+constexpr std::string_view kRolloutPath = "/rollout";
+constexpr double kMinLifetimeSeconds = 1;  // that a rate is computed over
+
+}  // namespace
+
+bool RolloutHost::IsRolloutCall(std::string_view target) { return target.starts_with(kRolloutPath); }
+
+RolloutHost::RolloutHost(boost::asio::io_context& io, const Member& self, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
+      started_at_(MembershipNow()),
+      supervisor_(
+          SupervisorLink::FromEnvironment(io,
+                                          [this](const std::string& version, const std::string& reason) {
+                                            agent_.OnFailed(version, reason);
+                                            callbacks_.on_output();
+                                          })),
+      agent_(AgentSelf(self), callbacks_.is_living, [this] { return Report(); }) {}
+
+rollout::Agent::Self RolloutHost::AgentSelf(const Member& self) const {
+  rollout::Agent::Self agent;
+  agent.name = self.name;
+  agent.life = self.incarnation;
+  if (!supervisor_) return agent;
+  const SupervisorLink::History& history = supervisor_->history();
+  agent.version = history.version;
+  agent.mark = history.mark;
+  agent.failed_version = history.failed_version;
+  agent.failure = history.failure;
+  return agent;
+}
+
+rollout::wire::Report RolloutHost::Report() const {
+  rollout::wire::Report report = counts_.Report();
+  report.set_ready(serving_ && !left_);
+  if (supervisor_) report.set_crashes(supervisor_->history().unexpected_exits);
+  return report;
+}
+
+void RolloutHost::OnMessage(membership::Time now, const std::string& from, const std::string& body) {
+  agent_.OnLetter(now, from, body);
+}
+
+void RolloutHost::OnDocument(membership::Time now, std::uint32_t topic, std::uint64_t version,
+                             const std::string& body) {
+  agent_.OnDocument(now, topic, version, body);
+}
+
+void RolloutHost::OnTick(membership::Time now) {
+  if (agent_.next() <= now) agent_.OnTick(now);
+}
+
+rollout::Agent::Output RolloutHost::Take() {
+  rollout::Agent::Output output = agent_.Take();
+  for (const rollout::Event& event : output.events)
+    log::Global().Info("rollout_" + event.name,
+                       {{"change", event.change}, {"why", event.why}, {"may_have_changed", event.prefix}});
+  if (supervisor_ && output.mark != 0) supervisor_->StoreMark(output.mark);
+  if (supervisor_ && output.run) supervisor_->RequestVersion(*output.run);
+  return output;
+}
+
+void RolloutHost::OnServing() {
+  if (std::exchange(serving_, true)) return;
+  if (supervisor_) supervisor_->ReportServing();
+}
+
+void RolloutHost::OnLeft() { left_ = true; }
+
+void RolloutHost::OnConnected() {
+  if (std::exchange(connected_, true)) return;
+  if (supervisor_) supervisor_->ReportConnected();
+}
+
+std::optional<FleetCallResult> RolloutHost::Handle(membership::Time now, const FleetCallRequest& request) {
+  const std::string_view call = std::string_view(request.target).substr(kRolloutPath.size());
+  if (request.method == FleetCallRequest::Method::kGet) return HandleGet(now, call);
+  return HandlePost(now, call, request.body);
+}
+
+std::optional<FleetCallResult> RolloutHost::HandleGet(membership::Time now, std::string_view call) const {
+  if (call == "/history") return FleetCallResult{true, agent_.History(now)};
+  if (call.empty()) return FleetCallResult{true, StatusJson(now)};
+  return std::nullopt;
+}
+
+std::optional<FleetCallResult> RolloutHost::HandlePost(membership::Time now, std::string_view call,
+                                                       const std::string& body) {
+  std::string error;
+  if (call == "/start") {
+    error = Start(now, body);
+  } else if (call == "/abort") {
+    error = agent_.Abort(now);
+  } else if (call == "/pause") {
+    error = agent_.Pause(now, /*pause=*/true);
+  } else if (call == "/resume") {
+    error = agent_.Pause(now, /*pause=*/false);
+  } else {
+    return std::nullopt;
+  }
+  return FleetCallResult{error.empty(), error.empty() ? "done" : error};
+}
+
+std::string RolloutHost::StatusJson(membership::Time now) const {
+  auto json = nlohmann::ordered_json::parse(agent_.Status(now));
+  const double lifetime_s = std::chrono::duration<double>(now - started_at_).count();
+  json["rate_per_s"] = static_cast<double>(counts_.recorded()) / std::max(kMinLifetimeSeconds, lifetime_s);
+  return json.dump();
+}
+
+// Empty, or why the change cannot start.
+std::string RolloutHost::Start(membership::Time now, const std::string& plan) {
+  try {
+    return agent_.Start(now, rollout::ReadPlan(plan, "plan"), callbacks_.living_members());
+  } catch (const config::BadFile& error) {
+    return error.what();
+  }
+}
+
+}  // namespace copperpoint::proxy
--- /dev/null
+++ b/src/proxy/membership/rollout_host.h
@@ -0,0 +1,86 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Runs this proxy's rollout agent (src/rollout): connects it with the supervisor, the counts of requests, the
+// log and the admin interface. What the agent and other members have for each other goes through
+// MembershipHost.
+#ifndef COPPERPOINT_PROXY_MEMBERSHIP_ROLLOUT_HOST_H_
+#define COPPERPOINT_PROXY_MEMBERSHIP_ROLLOUT_HOST_H_
+
+#include <boost/asio/io_context.hpp>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "membership/options.h"
+#include "proxy/admin/admin_handler.h"
+#include "proxy/membership/request_counts.h"
+#include "proxy/membership/supervisor_link.h"
+#include "rollout/agent.h"
+
+namespace copperpoint::proxy {
+
+// Owns the agent, the connection to the supervisor and the counts.
+class RolloutHost {
+ public:
+  struct Member {
+    std::string name;
+    std::uint64_t incarnation = 0;  // of this process
+  };
+  // The members that live, this one included.
+  using LivingMembers = std::function<std::vector<rollout::Named>()>;
+  struct Callbacks {
+    std::function<bool(const std::string& name)> is_living;  // whether a member of that name lives
+    LivingMembers living_members;
+    std::function<void()> on_output;  // Take has something that no call from outside has caused
+  };
+
+  static bool IsRolloutCall(std::string_view target);
+
+  RolloutHost(boost::asio::io_context& io, const Member& self, Callbacks callbacks);
+
+  // ---- from the membership ----
+  // Whether a later version of a document may be taken from other members.
+  bool Admits(std::uint32_t topic, std::uint64_t version) const { return agent_.Admits(topic, version); }
+  void OnMessage(membership::Time now, const std::string& from, const std::string& body);
+  void OnDocument(membership::Time now, std::uint32_t topic, std::uint64_t version, const std::string& body);
+  void OnTick(membership::Time now);
+  membership::Time next_tick() const { return agent_.next(); }
+  // What is for the other members. Events are logged, and the supervisor is notified, before this returns.
+  rollout::Agent::Output Take();
+
+  // ---- from this process ----
+  void OnServing();  // it serves clients; only the first call counts
+  void OnLeft();     // it shuts down
+  // It is in contact with other members; only the first call counts.
+  void OnConnected();
+  RequestCounts& counts() { return counts_; }
+
+  // ---- from the admin interface: targets of which IsRolloutCall is true ----
+  // Nothing: there is no such call. To be followed by Take after a POST.
+  std::optional<AdminHandler::FleetCallResult> Handle(membership::Time now,
+                                                      const AdminHandler::FleetCallRequest& request);
+
+ private:
+  rollout::Agent::Self AgentSelf(const Member& self) const;
+  rollout::wire::Report Report() const;
+  std::optional<AdminHandler::FleetCallResult> HandleGet(membership::Time now, std::string_view call) const;
+  std::optional<AdminHandler::FleetCallResult> HandlePost(membership::Time now, std::string_view call,
+                                                          const std::string& body);
+  std::string StatusJson(membership::Time now) const;
+  std::string Start(membership::Time now, const std::string& plan);
+
+  const Callbacks callbacks_;
+  const membership::Time started_at_;
+  RequestCounts counts_;
+  bool serving_ = false, left_ = false, connected_ = false;
+  std::unique_ptr<SupervisorLink> supervisor_;  // null without one
+  rollout::Agent agent_;
+};
+
+}  // namespace copperpoint::proxy
+
+#endif  // COPPERPOINT_PROXY_MEMBERSHIP_ROLLOUT_HOST_H_
--- a/src/proxy/membership/settings.h
+++ b/src/proxy/membership/settings.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keys of `[fleet]` in the operator's file: whether and how this proxy talks to others.
+// The keys of `[fleet]` in the operator's file: whether this proxy is a member of a fleet, and by which
+// addresses.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_H_
 
@@ -12,14 +13,13 @@
 namespace copperpoint::proxy {
 
 struct FleetSettings {
-  std::string cluster;             // empty: this proxy talks to no other
+  std::string cluster;             // the fleet's name; empty: this proxy is no member of one
   std::string listen;              // ADDRESS:PORT, UDP and TCP
-  std::string advertise;           // as others reach it; empty: `listen`
-  std::vector<std::string> seeds;  // ADDRESS:PORT of members to ask first
-  std::string seeds_file;          // more of them, a line each
-  std::string key_file;            // 16 to 64 bytes that all members share, mode 0600
-
-  bool subsets = true;  // the view tells this proxy which backends to keep to
+  std::string advertise;           // the same as others reach it; empty: `listen`
+  std::vector<std::string> seeds;  // ADDRESS:PORT of members to join by
+  std::string seeds_file;          // path of a file with more of them, one a line
+  std::string key_file;            // path of the members' shared secret, 16 to 64 bytes, mode 0600
+  bool subsets = true;  // this proxy's ring offset follows from the membership; false: from its own number
 
   bool on() const { return !cluster.empty(); }
   void Describe(config::Visitor& v);
--- a/src/proxy/membership/supervisor_link.cpp
+++ b/src/proxy/membership/supervisor_link.cpp
@@ -9,9 +9,14 @@
 #include <istream>
 #include <utility>
 
+#include "log/log.h"
+
 namespace copperpoint::proxy {
 namespace {
 
+constexpr int kFirstInheritedDescriptor = 3;  // after the standard streams
+constexpr int kMarkBase = 16;
+
 std::string Variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
@@ -19,40 +24,53 @@
 
 }  // namespace
 
-std::unique_ptr<SupervisorLink> SupervisorLink::FromEnvironment(boost::asio::io_context& io, Failed failed) {
-  const std::string descriptor = Variable("COPPERPOINT_KEEPER");
-  const int number = std::atoi(descriptor.c_str());
-  if (number < 3 || ::fcntl(number, F_GETFD) < 0) return nullptr;
-  Known known{Variable("COPPERPOINT_VERSION"), Variable("COPPERPOINT_FAILED"),
-              Variable("COPPERPOINT_FAILURE"),
-              std::strtoull(Variable("COPPERPOINT_MARK").c_str(), nullptr, 16),
-              static_cast<std::uint32_t>(std::atoi(Variable("COPPERPOINT_ENDS").c_str()))};
-  return std::unique_ptr<SupervisorLink>(new SupervisorLink(io, number, std::move(known), std::move(failed)));
+std::unique_ptr<SupervisorLink> SupervisorLink::FromEnvironment(boost::asio::io_context& io,
+                                                                OnVersionFailed on_version_failed) {
+  const int descriptor = std::atoi(Variable("COPPERPOINT_KEEPER").c_str());
+  if (descriptor < kFirstInheritedDescriptor || ::fcntl(descriptor, F_GETFD) < 0) return nullptr;
+  History history;
+  history.version = Variable("COPPERPOINT_VERSION");
+  history.failed_version = Variable("COPPERPOINT_FAILED");
+  history.failure = Variable("COPPERPOINT_FAILURE");
+  history.mark = std::strtoull(Variable("COPPERPOINT_MARK").c_str(), nullptr, kMarkBase);
+  history.unexpected_exits = static_cast<std::uint32_t>(std::atoi(Variable("COPPERPOINT_ENDS").c_str()));
+  return std::unique_ptr<SupervisorLink>(
+      new SupervisorLink(io, descriptor, std::move(history), std::move(on_version_failed)));
 }
 
-SupervisorLink::SupervisorLink(boost::asio::io_context& io, int descriptor, Known known, Failed failed)
+SupervisorLink::SupervisorLink(boost::asio::io_context& io, int descriptor, History history,
+                               OnVersionFailed on_version_failed)
     : socket_(io, boost::asio::local::stream_protocol(), descriptor),
-      known_(std::move(known)),
-      failed_(std::move(failed)) {
-  Read();
+      history_(std::move(history)),
+      on_version_failed_(std::move(on_version_failed)) {
+  ReadLines();
 }
 
-// A few short lines in the life of a process: the socket's buffer takes them.
-void SupervisorLink::Say(const std::string& line) {
+void SupervisorLink::ReportServing() { SendLine("ready"); }
+
+void SupervisorLink::ReportConnected() { SendLine("heard"); }
+
+void SupervisorLink::RequestVersion(const std::string& version) { SendLine("run " + version); }
+
+void SupervisorLink::StoreMark(std::uint64_t mark) { SendLine("mark " + log::Hex(mark)); }
+
+// Does not block: a process sends a few short lines, which fit into the socket's buffer.
+void SupervisorLink::SendLine(const std::string& line) {
   boost::system::error_code ignored;
   boost::asio::write(socket_, boost::asio::buffer(line + "\n"), ignored);
 }
 
-void SupervisorLink::Read() {
+// "failed VERSION REASON"; other lines are skipped.
+void SupervisorLink::ReadLines() {
   boost::asio::async_read_until(socket_, buffer_, '\n',
                                 [this](const boost::system::error_code& failed, std::size_t) {
                                   if (failed) return;
                                   std::istream in(&buffer_);
-                                  std::string what, version, why;
-                                  in >> what >> version;
-                                  std::getline(in >> std::ws, why);
-                                  if (what == "failed") failed_(version, why);
-                                  Read();
+                                  std::string event, version, reason;
+                                  in >> event >> version;
+                                  std::getline(in >> std::ws, reason);
+                                  if (event == "failed") on_version_failed_(version, reason);
+                                  ReadLines();
                                 });
 }
 
--- a/src/proxy/membership/supervisor_link.h
+++ b/src/proxy/membership/supervisor_link.h
@@ -1,12 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The line to the keeper that began this process (src/supervisor), if one did.
+// The connection to the supervisor that started this process (src/supervisor), if one did: lines of text over
+// an inherited socket. This is the one place that knows their form.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
 #include <boost/asio/streambuf.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <memory>
@@ -16,28 +18,40 @@
 
 class SupervisorLink {
  public:
-  // What the keeper knows of the processes before this one.
-  struct Known {
-    std::string version, failed_version, failure;
-    std::uint64_t mark = 0;
-    std::uint32_t ends = 0;  // of this version, by themselves
+  // What the supervisor remembers of itself and of the processes before this one.
+  struct History {
+    std::string version;         // that this process runs, by the supervisor's name for it
+    std::string failed_version;  // that was taken back last, and why; empty: none
+    std::string failure;
+    std::uint64_t mark = 0;              // as stored last; 0: none
+    std::uint32_t unexpected_exits = 0;  // of processes of this version
   };
-  using Failed = std::function<void(const std::string& version, const std::string& why)>;
+  // The supervisor has taken a version back.
+  using OnVersionFailed = std::function<void(const std::string& version, const std::string& reason)>;
 
-  // Null if no keeper began this process.
-  static std::unique_ptr<SupervisorLink> FromEnvironment(boost::asio::io_context& io, Failed failed);
+  // Null if no supervisor started this process.
+  static std::unique_ptr<SupervisorLink> FromEnvironment(boost::asio::io_context& io,
+                                                         OnVersionFailed on_version_failed);
 
-  const Known& known() const { return known_; }
-  void Say(const std::string& line);
+  const History& history() const { return history_; }
+
+  void ReportServing();                             // this process serves clients
+  void ReportConnected();                           // it is in contact with other members
+  void RequestVersion(const std::string& version);  // to be run in place of this process
+  void StoreMark(std::uint64_t mark);               // for processes to come
 
  private:
-  SupervisorLink(boost::asio::io_context& io, int descriptor, Known known, Failed failed);
-  void Read();
+  SupervisorLink(boost::asio::io_context& io, int descriptor, History history,
+                 OnVersionFailed on_version_failed);
+  void SendLine(const std::string& line);
+  void ReadLines();
+
+  static constexpr std::size_t kMaxLineBytes = 4096;
 
   boost::asio::local::stream_protocol::socket socket_;
-  boost::asio::streambuf buffer_{4096};
-  Known known_;
-  Failed failed_;
+  boost::asio::streambuf buffer_{kMaxLineBytes};
+  const History history_;
+  OnVersionFailed on_version_failed_;
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -16,7 +16,6 @@
 // to notice within 400 ms that /ready fails; the rest is margin.
 constexpr Duration kShutdownAcceptGrace{600};
 constexpr std::chrono::milliseconds kProcessSyncInterval{100};
-constexpr std::string_view kRolloutPath = "/rollout";
 
 BackendPool::Limits BackendLimits(const Config& config, const DescriptorBudget& budget) {
   return {config.connect_timeout, config.backend_idle_timeout, budget.ForSingleProcess().backends,
@@ -185,16 +184,15 @@
 
 std::optional<std::string> Proxy::FleetStatus() const {
   if (!membership_.host()) return std::nullopt;
-  return membership_.host()->Json();
+  return membership_.host()->StatusJson();
 }
 
 bool Proxy::IsFleetCall(std::string_view target) const {
-  return membership_.host() && target.starts_with(kRolloutPath);
+  return membership_.host() && MembershipHost::IsRolloutCall(target);
 }
 
 std::optional<AdminHandler::FleetCallResult> Proxy::FleetCall(const FleetCallRequest& request) {
-  return membership_.host()->Rollout(request.target.substr(kRolloutPath.size()),
-                                     request.method == FleetCallRequest::Method::kPost, request.body);
+  return membership_.host()->HandleRolloutCall(request);
 }
 
 }  // namespace copperpoint::proxy
