--- /dev/null
+++ b/tests/support/recording_responder.h
@@ -0,0 +1,65 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// A responder and an observer of requests that record their calls, and a request to use them with.
+#ifndef COPPERPOINT_TESTS_SUPPORT_RECORDING_RESPONDER_H_
+#define COPPERPOINT_TESTS_SUPPORT_RECORDING_RESPONDER_H_
+
+#include <chrono>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "proxy/core/request_table.h"
+#include "proxy/downstream/request_handler.h"
+
+namespace copperpoint::testing {
+
+class RecordingResponder : public proxy::Responder {
+ public:
+  void SendResponse(proxy::HttpResponse response, std::shared_ptr<proxy::BodySource>,
+                    std::optional<std::uint64_t>) override {
+    Record("response " + response.body());
+  }
+  void SendUnavailable(Duration retry_after) override {
+    Record("unavailable " + std::to_string(static_cast<int>(retry_after.count())));
+  }
+  void SendBadGateway() override { Record("bad gateway"); }
+  void SendClientError(boost::beast::http::status status) override {
+    Record("client error " + std::to_string(static_cast<int>(status)));
+  }
+
+  bool throws = false;             // once each call is recorded
+  std::vector<std::string> calls;  // in their order
+
+ private:
+  void Record(std::string call) {
+    calls.push_back(std::move(call));
+    if (throws) throw std::runtime_error("no memory");
+  }
+};
+
+class RecordingObserver : public proxy::RequestObserver {
+ public:
+  void OnRequestCompleted(const proxy::CompletedRequest& request) override { completed.push_back(request); }
+  std::vector<proxy::CompletedRequest> completed;
+};
+
+inline proxy::ClientRequest LookRequest(const std::string& req_id, std::chrono::milliseconds time_left) {
+  proxy::ClientRequest request;
+  request.message.method(boost::beast::http::verb::get);
+  request.message.target("/look");
+  request.message.version(11);
+  request.message.set("Req-Id", req_id);
+  request.deadline = proxy::Steady::now() + time_left;
+  request.request_class = 1;
+  request.tenant = 2;
+  return request;
+}
+
+}  // namespace copperpoint::testing
+
+#endif  // COPPERPOINT_TESTS_SUPPORT_RECORDING_RESPONDER_H_
