--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -9,8 +9,9 @@
 #include "cli/commands.h"
 #include "config/read.h"
 #include "config/show.h"
-#include "proxy/config/config.h"
-#include "proxy/config/operating.h"
+#include "proxy/config/config_reader.h"
+#include "proxy/config/configuration_reference.h"
+#include "proxy/config/operator_settings.h"
 
 namespace copperpoint::cli {
 namespace {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -15,7 +15,7 @@
 #include "cli/command_line.h"
 #include "cli/commands.h"
 #include "config/read.h"
-#include "proxy/config/config.h"
+#include "proxy/config/config_error.h"
 
 namespace {
 
