--- a/tests/proxy/membership_settings_test.cpp
+++ b/tests/proxy/membership_settings_test.cpp
@@ -41,9 +41,9 @@
   const TemporaryFile file(kKey);
   FleetSettings settings = Settings();
   settings.key_file = file.path();
-  EXPECT_NO_THROW(proxy::LoadSeal(settings));
+  EXPECT_NO_THROW(proxy::LoadFrameCodec(settings));
   ASSERT_EQ(::chmod(file.path().c_str(), 0640), 0);
-  const ConfigError error = ErrorOf([&] { proxy::LoadSeal(settings); });
+  const ConfigError error = ErrorOf([&] { proxy::LoadFrameCodec(settings); });
   EXPECT_EQ(error.location().file, file.path());
   EXPECT_EQ(error.location().key, "fleet.key_file");
   EXPECT_EQ(error.what(), file.path() + ": fleet.key_file may be read by others; its mode has to be 0600");
@@ -52,12 +52,12 @@
 TEST(MembershipSettings, NamesAKeyFileThatCannotBeUsed) {
   FleetSettings settings = Settings();
   settings.key_file = std::string("/nowhere/at/all");
-  const ConfigError absent = ErrorOf([&] { proxy::LoadSeal(settings); });
+  const ConfigError absent = ErrorOf([&] { proxy::LoadFrameCodec(settings); });
   EXPECT_EQ(absent.kind(), ConfigError::Kind::kUnreadableFile);
   EXPECT_STREQ(absent.what(), "/nowhere/at/all: fleet.key_file cannot be read");
   const TemporaryFile file("short\n");
   settings.key_file = file.path();
-  const ConfigError too_short = ErrorOf([&] { proxy::LoadSeal(settings); });
+  const ConfigError too_short = ErrorOf([&] { proxy::LoadFrameCodec(settings); });
   EXPECT_EQ(std::string(too_short.what()).find(file.path() + ": fleet.key_file: "), 0u) << too_short.what();
 }
 
