--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 void CheckOperatorFile(const std::string& file) {
-  config::Read<proxy::OperatorSettings>(file);
+  config::LoadFile<proxy::OperatorSettings>(file);
   std::cout << file << ": good\n";
 }
 
@@ -31,8 +31,8 @@
 
 void PrintValues(const std::string& file) {
   proxy::OperatorSettings settings;
-  if (!file.empty()) settings = config::Read<proxy::OperatorSettings>(file);
-  std::cout << config::ShowValues([&](config::Visitor& visitor) { settings.Describe(visitor); });
+  if (!file.empty()) settings = config::LoadFile<proxy::OperatorSettings>(file);
+  std::cout << config::FormatValues([&](config::FieldVisitor& visitor) { settings.Describe(visitor); });
 }
 
 struct CheckOptions {
--- a/src/cli/fault_test_plot_command.cpp
+++ b/src/cli/fault_test_plot_command.cpp
@@ -44,7 +44,7 @@
 };
 
 ResultFile ReadResultFile(const std::string& file) {
-  const Json json = Json::parse(config::Contents(file), nullptr, /*allow_exceptions=*/false);
+  const Json json = Json::parse(config::ReadFileContents(file), nullptr, /*allow_exceptions=*/false);
   if (!json.is_object()) throw std::runtime_error(file + ": is no result of fault-test run --json");
   Json runs = json.contains("runs") ? json["runs"] : Json::array({json});
   if (runs.empty() || !runs[0].contains("properties"))
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -58,7 +58,7 @@
   } catch (const CLI::ParseError& error) {
     if (error.get_exit_code() == 0) return app.exit(error);  // --help
     return PrintError(error.what(), copperpoint::cli::kUsage);
-  } catch (const copperpoint::config::BadFile& error) {
+  } catch (const copperpoint::config::InvalidFile& error) {
     return PrintError(error.what(), copperpoint::cli::kUsage);
   } catch (const copperpoint::proxy::ConfigError& error) {
     return PrintError(error.what(), copperpoint::cli::kUsage);
--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -32,7 +32,7 @@
 
 // The plan is checked here first, so that its errors name the file.
 void Start(const StartOptions& options) {
-  const std::string plan = config::Contents(options.plan_file);
+  const std::string plan = config::ReadFileContents(options.plan_file);
   rollout::ParsePlan(plan, options.plan_file);
   std::cout << CallAdmin(options.address, "/rollout/start", AdminMethod::kPost, plan);
 }
--- a/src/cli/rollout_plan_command.cpp
+++ b/src/cli/rollout_plan_command.cpp
@@ -109,7 +109,8 @@
 }
 
 int ShowPlan(const PlanOptions& options) {
-  const rollout::Plan plan = rollout::ParsePlan(config::Contents(options.plan_file), options.plan_file);
+  const rollout::Plan plan =
+      rollout::ParsePlan(config::ReadFileContents(options.plan_file), options.plan_file);
   const auto members = MembersOf(options);
   const double rate_per_s = RateOf(options, members.size());
   const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*rollout_id=*/1);
--- a/src/cli/rollout_simulate_command.cpp
+++ b/src/cli/rollout_simulate_command.cpp
@@ -58,7 +58,7 @@
 };
 
 std::vector<fault_testing::TrialResult> PlaySeeds(const SimulateOptions& options) {
-  const std::string plan = config::Contents(options.plan_file);
+  const std::string plan = config::ReadFileContents(options.plan_file);
   std::vector<fault_testing::TrialResult> results(static_cast<std::size_t>(options.seeds));
   simulation::RunInParallel(results.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
     fault_testing::TrialOptions trial = options.trial;
--- a/src/cli/simulate_options.cpp
+++ b/src/cli/simulate_options.cpp
@@ -36,19 +36,19 @@
 }
 
 std::string ScenarioText(const ScenarioOptions& options) {
-  std::string text = config::Contents(options.file);
+  std::string text = config::ReadFileContents(options.file);
   for (const std::string& assignment : options.overrides) {
     const std::size_t equals = assignment.find('=');
     if (equals == std::string::npos)
       throw std::invalid_argument("--set " + assignment + ": KEY=VALUE is wanted");
-    text = config::WithKey(text, options.file, assignment.substr(0, equals), assignment.substr(equals + 1));
+    text = config::SetKey(text, options.file, assignment.substr(0, equals), assignment.substr(equals + 1));
   }
   return text;
 }
 
 simulation::Scenario LoadScenario(const ScenarioOptions& options) {
   if (options.overrides.empty()) return simulation::ReadScenario(options.file);
-  return config::ReadFrom<simulation::Scenario>(ScenarioText(options), options.file);
+  return config::LoadText<simulation::Scenario>(ScenarioText(options), options.file);
 }
 
 void PrintProgress(std::size_t done, std::size_t total) {
--- a/src/cli/simulate_options.h
+++ b/src/cli/simulate_options.h
@@ -29,10 +29,10 @@
 void AddScenarioOptions(CLI::App* subcommand, ScenarioOptions* options);
 
 // The TOML of the scenario with its overrides. Throws std::invalid_argument on an override that is not
-// KEY=VALUE or names no key, config::BadFile on a file that can't be read or is not TOML.
+// KEY=VALUE or names no key, config::InvalidFile on a file that can't be read or is not TOML.
 std::string ScenarioText(const ScenarioOptions& options);
 
-// Throws as ScenarioText, and config::BadFile on unknown keys and values out of range.
+// Throws as ScenarioText, and config::InvalidFile on unknown keys and values out of range.
 simulation::Scenario LoadScenario(const ScenarioOptions& options);
 
 // On a terminal, one line that is overwritten; elsewhere nothing.
--- a/src/cli/simulate_plot_command.cpp
+++ b/src/cli/simulate_plot_command.cpp
@@ -34,7 +34,7 @@
 }
 
 std::string PlotResult(const PlotOptions& options) {
-  const auto json = nlohmann::ordered_json::parse(config::Contents(options.input), nullptr,
+  const auto json = nlohmann::ordered_json::parse(config::ReadFileContents(options.input), nullptr,
                                                   /*allow_exceptions=*/false);
   if (!json.is_object() || !(json.contains("runs") || json.contains("windows"))) {
     throw std::invalid_argument(options.input + ": is no result of simulate run or simulate compare");
--- a/src/cli/supervise_command.cpp
+++ b/src/cli/supervise_command.cpp
@@ -29,7 +29,7 @@
 }
 
 int Supervise(const SuperviseOptions& options) {
-  const auto settings = config::Read<supervisor::Settings>(options.file);
+  const auto settings = config::LoadFile<supervisor::Settings>(options.file);
   if (options.prints_digests) {
     PrintDigests(settings);
     return kSuccess;
--- a/src/config/edit.cpp
+++ b/src/config/edit.cpp
@@ -49,13 +49,13 @@
 
 }  // namespace
 
-std::string WithKey(std::string_view text, const std::string& file, const std::string& path,
-                    const std::string& value) {
+std::string SetKey(std::string_view text, const std::string& file, const std::string& path,
+                   const std::string& value) {
   toml::table root;
   try {
     root = toml::parse(text, file);
   } catch (const toml::parse_error& error) {
-    throw BadFile(
+    throw InvalidFile(
         file, {{static_cast<int>(error.source().begin.line), static_cast<int>(error.source().begin.column),
                 "", std::string(error.description())}});
   }
--- a/src/config/edit.h
+++ b/src/config/edit.h
@@ -10,10 +10,10 @@
 namespace copperpoint::config {
 
 // `path` is dotted, with indices into arrays, which must be there: "load.rate", "trouble.0.size". Tables on
-// the way are made. `value` is read as TOML; what is no TOML value is taken as text. Throws BadFile, which
-// names `file`, on a text that is no TOML, and std::invalid_argument on a path that can't be followed.
-std::string WithKey(std::string_view text, const std::string& file, const std::string& path,
-                    const std::string& value);
+// the way are made. `value` is read as TOML; what is no TOML value is taken as text. Throws InvalidFile,
+// which names `file`, on a text that is no TOML, and std::invalid_argument on a path that can't be followed.
+std::string SetKey(std::string_view text, const std::string& file, const std::string& path,
+                   const std::string& value);
 
 }  // namespace copperpoint::config
 
--- a/src/config/read.h
+++ b/src/config/read.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads TOML 1.0 (toml.io) into a described struct and finds every fault of the file at once.
+// Reads TOML 1.0 (toml.io) into a described struct and finds every diagnostic of the file at once.
 #ifndef COPPERPOINT_CONFIG_READ_H_
 #define COPPERPOINT_CONFIG_READ_H_
 
@@ -14,46 +14,47 @@
 
 namespace copperpoint::config {
 
-// Lines and columns count from 1; 0 where the fault is in no one place.
-struct Fault {
+// An error of a file. Lines and columns count from 1; 0 where it has no one place.
+struct Diagnostic {
   int line = 0, column = 0;
-  std::string key;   // dotted, as in "patience.kept_ms"; empty for a fault of the syntax
-  std::string what;  // without a place
+  std::string key;      // dotted, as in "patience.kept_ms"; empty for a syntax error
+  std::string message;  // without a place
 };
 
-// "FILE:LINE:COLUMN: KEY: WHAT", one line.
-std::string Describe(const std::string& file, const Fault& fault);
+// "FILE:LINE:COLUMN: KEY: MESSAGE", one line.
+std::string Describe(const std::string& file, const Diagnostic& diagnostic);
 
-// All faults of one file, in the order of their lines; what() has one line for each.
-class BadFile : public std::runtime_error {
+// All errors of one file, in the order of their lines; what() has one line for each.
+class InvalidFile : public std::runtime_error {
  public:
-  BadFile(const std::string& file, std::vector<Fault> faults);
-  const std::vector<Fault>& faults() const { return faults_; }
+  InvalidFile(const std::string& file, std::vector<Diagnostic> diagnostics);
+  const std::vector<Diagnostic>& diagnostics() const { return diagnostics_; }
 
  private:
-  std::vector<Fault> faults_;
+  std::vector<Diagnostic> diagnostics_;
 };
 
-// All of a file. Throws BadFile if it can't be read.
-std::string Contents(const std::string& file);
+// All of a file. Throws InvalidFile if it can't be read.
+std::string ReadFileContents(const std::string& file);
 
-// Passes a reading visitor to `describe`. Throws BadFile on unknown keys, wrong types, values out of range
-// and whatever the struct checks itself; the struct is then half filled and must be dropped.
-void ReadText(std::string_view text, const std::string& file, const std::function<void(Visitor&)>& describe);
+// Passes a reading visitor to `describe`. Throws InvalidFile on unknown keys, wrong types, values out of
+// range and what the struct requires itself; the struct is then incomplete and must be discarded.
+void ParseText(std::string_view text, const std::string& file,
+               const std::function<void(FieldVisitor&)>& describe);
 
 // The same of a file.
-void ReadFile(const std::string& file, const std::function<void(Visitor&)>& describe);
+void ParseFile(const std::string& file, const std::function<void(FieldVisitor&)>& describe);
 
 template <typename Struct>
-Struct Read(const std::string& file) {
+Struct LoadFile(const std::string& file) {
   Struct read;
-  ReadFile(file, [&](Visitor& v) { read.Describe(v); });
+  ParseFile(file, [&](FieldVisitor& v) { read.Describe(v); });
   return read;
 }
 template <typename Struct>
-Struct ReadFrom(std::string_view text, const std::string& file) {
+Struct LoadText(std::string_view text, const std::string& file) {
   Struct read;
-  ReadText(text, file, [&](Visitor& v) { read.Describe(v); });
+  ParseText(text, file, [&](FieldVisitor& v) { read.Describe(v); });
   return read;
 }
 
--- a/src/config/show.cpp
+++ b/src/config/show.cpp
@@ -9,31 +9,34 @@
 namespace copperpoint::config {
 namespace {
 
-class Writer : public Visitor {
+class Writer : public FieldVisitor {
  public:
   explicit Writer(toml::table& table) : table_(table) {}
 
-  void Number(std::string_view key, double& value, const About&) override { table_.insert(key, value); }
-  void Whole(std::string_view key, std::int64_t& value, const About&) override { table_.insert(key, value); }
-  void Flag(std::string_view key, bool& value, const About&) override { table_.insert(key, value); }
-  void Word(std::string_view key, std::string& value, const std::vector<std::string>&,
-            const About&) override {
+  void Number(std::string_view key, double& value, const FieldInfo&) override { table_.insert(key, value); }
+  void Integer(std::string_view key, std::int64_t& value, const FieldInfo&) override {
     table_.insert(key, value);
   }
-  void Words(std::string_view key, std::vector<std::string>& values, const About&) override {
+  void Boolean(std::string_view key, bool& value, const FieldInfo&) override { table_.insert(key, value); }
+  void Text(std::string_view key, std::string& value, const std::vector<std::string>&,
+            const FieldInfo&) override {
+    table_.insert(key, value);
+  }
+  void TextList(std::string_view key, std::vector<std::string>& values, const FieldInfo&) override {
     toml::array array;
     for (const std::string& value : values) array.push_back(value);
     table_.insert(key, std::move(array));
   }
-  void Table(std::string_view key, std::string_view, const std::function<void(Visitor&)>& fields) override {
+  void Table(std::string_view key, std::string_view,
+             const std::function<void(FieldVisitor&)>& fields) override {
     toml::table inner;
     Writer writer(inner);
     fields(writer);
     table_.insert(key, std::move(inner));
   }
-  void Tables(std::string_view key, std::string_view, std::size_t size,
-              const std::function<void(std::size_t)>&,
-              const std::function<void(std::size_t, Visitor&)>& fields) override {
+  void TableArray(std::string_view key, std::string_view, std::size_t size,
+                  const std::function<void(std::size_t)>&,
+                  const std::function<void(std::size_t, FieldVisitor&)>& fields) override {
     toml::array array;
     for (std::size_t i = 0; i < size; ++i) {
       toml::table inner;
@@ -48,7 +51,7 @@
   toml::table& table_;
 };
 
-class Reference : public Visitor {
+class Reference : public FieldVisitor {
  public:
   explicit Reference(std::string path) : path_(std::move(path)) {}
 
@@ -59,47 +62,47 @@
     return text + inner_;
   }
 
-  void Number(std::string_view key, double& value, const About& about) override {
-    Row(key, fmt::format("{}", value), Range(about), about);
+  void Number(std::string_view key, double& value, const FieldInfo& info) override {
+    Row(key, fmt::format("{}", value), Range(info), info);
   }
-  void Whole(std::string_view key, std::int64_t& value, const About& about) override {
-    Row(key, fmt::format("{}", value), Range(about), about);
+  void Integer(std::string_view key, std::int64_t& value, const FieldInfo& info) override {
+    Row(key, fmt::format("{}", value), Range(info), info);
   }
-  void Flag(std::string_view key, bool& value, const About& about) override {
-    Row(key, value ? "true" : "false", "true, false", about);
+  void Boolean(std::string_view key, bool& value, const FieldInfo& info) override {
+    Row(key, value ? "true" : "false", "true, false", info);
   }
-  void Word(std::string_view key, std::string& value, const std::vector<std::string>& choices,
-            const About& about) override {
+  void Text(std::string_view key, std::string& value, const std::vector<std::string>& choices,
+            const FieldInfo& info) override {
     Row(key, fmt::format("\"{}\"", value),
-        choices.empty() ? "text" : fmt::format("{}", fmt::join(choices, ", ")), about);
+        choices.empty() ? "text" : fmt::format("{}", fmt::join(choices, ", ")), info);
   }
-  void Words(std::string_view key, std::vector<std::string>& values, const About& about) override {
+  void TextList(std::string_view key, std::vector<std::string>& values, const FieldInfo& info) override {
     const char* quote = values.empty() ? "" : "\"";
-    Row(key, fmt::format("[{}{}{}]", quote, fmt::join(values, "\", \""), quote), "array of texts", about);
+    Row(key, fmt::format("[{}{}{}]", quote, fmt::join(values, "\", \""), quote), "array of texts", info);
   }
   void Table(std::string_view key, std::string_view text,
-             const std::function<void(Visitor&)>& fields) override {
+             const std::function<void(FieldVisitor&)>& fields) override {
     Inner(key, "[{}]", text, fields);
   }
-  void Tables(std::string_view key, std::string_view text, std::size_t,
-              const std::function<void(std::size_t)>& resize,
-              const std::function<void(std::size_t, Visitor&)>& fields) override {
+  void TableArray(std::string_view key, std::string_view text, std::size_t,
+                  const std::function<void(std::size_t)>& resize,
+                  const std::function<void(std::size_t, FieldVisitor&)>& fields) override {
     resize(0);
     resize(1);
-    Inner(key, "[[{}]]", text, [&](Visitor& v) { fields(0, v); });
+    Inner(key, "[[{}]]", text, [&](FieldVisitor& v) { fields(0, v); });
   }
 
  private:
-  static std::string Range(const About& about) {
-    const char* blank = about.unit.empty() ? "" : " ";
-    return about.most >= 1e12 ? fmt::format("{} or more{}{}", about.least, blank, about.unit)
-                              : fmt::format("{} to {}{}{}", about.least, about.most, blank, about.unit);
+  static std::string Range(const FieldInfo& info) {
+    const char* blank = info.unit.empty() ? "" : " ";
+    return info.max >= 1e12 ? fmt::format("{} or more{}{}", info.min, blank, info.unit)
+                            : fmt::format("{} to {}{}{}", info.min, info.max, blank, info.unit);
   }
-  void Row(std::string_view key, const std::string& value, const std::string& range, const About& about) {
-    rows_ += fmt::format("| `{}` | `{}` | {} | {} |\n", key, value, range, about.text);
+  void Row(std::string_view key, const std::string& value, const std::string& range, const FieldInfo& info) {
+    rows_ += fmt::format("| `{}` | `{}` | {} | {} |\n", key, value, range, info.text);
   }
   void Inner(std::string_view key, fmt::string_view heading, std::string_view text,
-             const std::function<void(Visitor&)>& fields) {
+             const std::function<void(FieldVisitor&)>& fields) {
     Reference inner(path_.empty() ? std::string(key) : fmt::format("{}.{}", path_, key));
     fields(inner);
     inner_ += fmt::format("\n## `{}`\n\n{}\n\n{}", fmt::format(fmt::runtime(heading), inner.path_), text,
@@ -112,7 +115,7 @@
 
 }  // namespace
 
-std::string ShowValues(const std::function<void(Visitor&)>& describe) {
+std::string FormatValues(const std::function<void(FieldVisitor&)>& describe) {
   toml::table root;
   Writer writer(root);
   describe(writer);
@@ -121,7 +124,7 @@
   return out.str();
 }
 
-std::string ShowReference(const std::function<void(Visitor&)>& describe) {
+std::string FormatReference(const std::function<void(FieldVisitor&)>& describe) {
   Reference reference("");
   describe(reference);
   return reference.Text();
--- a/src/config/show.h
+++ b/src/config/show.h
@@ -12,11 +12,11 @@
 namespace copperpoint::config {
 
 // TOML that reads back to the same values.
-std::string ShowValues(const std::function<void(Visitor&)>& describe);
+std::string FormatValues(const std::function<void(FieldVisitor&)>& describe);
 
 // A Markdown table for each section, with key, default, range, unit and text. Of a list of tables the fields
 // of one item are shown, with the defaults of an item that says nothing.
-std::string ShowReference(const std::function<void(Visitor&)>& describe);
+std::string FormatReference(const std::function<void(FieldVisitor&)>& describe);
 
 }  // namespace copperpoint::config
 
--- a/src/fault_testing/plan.cpp
+++ b/src/fault_testing/plan.cpp
@@ -97,83 +97,80 @@
   return std::string(1, static_cast<char>('a' + number % plan.zones));
 }
 
-void Fault::Describe(config::Visitor& v) {
-  v.Choice("kind", kind, kFaults, {.text = "what happens"});
-  v.Number("at_s", at_s, {.text = "after the start", .unit = "s", .most = 86400});
-  v.Number("for_s", for_s, {.text = "0: to the end", .unit = "s", .most = 86400});
-  v.Word(
+void Fault::Describe(config::FieldVisitor& v) {
+  v.Enum("kind", kind, kFaults, {.text = "what happens"});
+  v.Number("at_s", at_s, {.text = "after the start", .unit = "s", .max = 86400});
+  v.Number("for_s", for_s, {.text = "0: to the end", .unit = "s", .max = 86400});
+  v.Text(
       "when", when, {},
       {.text = "at_s counts from when this first holds: `settled`, or `EVENT` or `EVENT:MEMBER` of a log, as "
                "`fleet_suspected:p3`; empty: from the start"});
-  v.Words("who", who,
-          {.text = "members: `all`, `p3`, `p3-p9`, `zone:a`, `seeds`, `share:0.1`; links: senders; "
-                   "freeze, fail, slow, reset: `backends`, `b1`, `b1-b3`, `share:0.5`"});
-  v.Words("to", to,
-          {.text = "links: receivers; none: all that are not in `who`; cut_service: backends, `discovery`"});
-  v.Flag("both", both, {.text = "links: the way back too"});
+  v.TextList("who", who,
+             {.text = "members: `all`, `p3`, `p3-p9`, `zone:a`, `seeds`, `share:0.1`; links: senders; "
+                      "freeze, fail, slow, reset: `backends`, `b1`, `b1-b3`, `share:0.5`"});
+  v.TextList(
+      "to", to,
+      {.text = "links: receivers; none: all that are not in `who`; cut_service: backends, `discovery`"});
+  v.Boolean("both", both, {.text = "links: the way back too"});
   v.Number(
       "amount", amount,
       {.text = "share of datagrams; of a delay milliseconds, of a bandwidth bytes a second, of a start or "
                "jump seconds",
-       .most = 1e9});
-  v.Number("least_ms", least_ms,
-           {.text = "starve: the shortest stop", .unit = "ms", .least = 1, .most = 1e5});
-  v.Number("most_ms", most_ms, {.text = "starve: the longest", .unit = "ms", .least = 1, .most = 1e5});
-  v.Word("file", file, {}, {.text = "change: a plan (docs/rollout.md), beside this file"});
-  v.Check("most_ms", most_ms >= least_ms, "is less than least_ms");
+       .max = 1e9});
+  v.Number("least_ms", least_ms, {.text = "starve: the shortest stop", .unit = "ms", .min = 1, .max = 1e5});
+  v.Number("most_ms", most_ms, {.text = "starve: the longest", .unit = "ms", .min = 1, .max = 1e5});
+  v.Text("file", file, {}, {.text = "change: a plan (docs/rollout.md), beside this file"});
+  v.Require("most_ms", most_ms >= least_ms, "is less than least_ms");
 }
 
-void Property::Describe(config::Visitor& v) {
-  v.Choice("kind", kind, kProperties, {.text = "what has to hold"});
-  v.Number("bound", bound,
-           {.text = "seconds, times, bytes a second or share, as the kind says", .most = 1e9});
-  v.Number("after_s", after_s, {.text = "from when on; -1: as the kind says", .unit = "s", .least = -1});
-  v.Number("until_s", until_s, {.text = "traffic_share: until when; -1: the end", .unit = "s", .least = -1});
-  v.Words("who", who, {.text = "traffic_share: backends"});
-  v.Word("version", version, {}, {.text = "runs_at_end, ever_ran"});
+void Property::Describe(config::FieldVisitor& v) {
+  v.Enum("kind", kind, kProperties, {.text = "what has to hold"});
+  v.Number("bound", bound, {.text = "seconds, times, bytes a second or share, as the kind says", .max = 1e9});
+  v.Number("after_s", after_s, {.text = "from when on; -1: as the kind says", .unit = "s", .min = -1});
+  v.Number("until_s", until_s, {.text = "traffic_share: until when; -1: the end", .unit = "s", .min = -1});
+  v.TextList("who", who, {.text = "traffic_share: backends"});
+  v.Text("version", version, {}, {.text = "runs_at_end, ever_ran"});
 }
 
-void Network::Describe(config::Visitor& v) {
-  v.Number("delay_ms", delay_ms, {.text = "one way", .unit = "ms", .least = 0.01, .most = 1e4});
-  v.Number("jitter", jitter, {.text = "deviation of a delay over its mean", .most = 5});
-  v.Number("loss", loss, {.text = "share of datagrams lost all the time", .most = 0.9});
+void Network::Describe(config::FieldVisitor& v) {
+  v.Number("delay_ms", delay_ms, {.text = "one way", .unit = "ms", .min = 0.01, .max = 1e4});
+  v.Number("jitter", jitter, {.text = "deviation of a delay over its mean", .max = 5});
+  v.Number("loss", loss, {.text = "share of datagrams lost all the time", .max = 0.9});
 }
 
-void Service::Describe(config::Visitor& v) {
-  v.Whole32("backends", backends, {.text = "stand-ins", .least = 1, .most = 500});
-  v.Number("work_ms", work_ms,
-           {.text = "of a request, without another beside it", .unit = "ms", .most = 1e4});
-  v.Whole32("slots", slots, {.text = "requests at once; more are turned away", .least = 1, .most = 10000});
-  v.Number("rate", rate, {.text = "requests a second over all proxies; 0: no clients", .most = 1e5});
+void Service::Describe(config::FieldVisitor& v) {
+  v.Int32("backends", backends, {.text = "stand-ins", .min = 1, .max = 500});
+  v.Number("work_ms", work_ms, {.text = "of a request, without another beside it", .unit = "ms", .max = 1e4});
+  v.Int32("slots", slots, {.text = "requests at once; more are turned away", .min = 1, .max = 10000});
+  v.Number("rate", rate, {.text = "requests a second over all proxies; 0: no clients", .max = 1e5});
   v.Number("cold_from", slow_start_min_capacity,
-           {.text = "share of its speed right after a start", .least = 0.01, .most = 1});
-  v.Number("warm_up_s", warm_up_s, {.text = "until it has the whole", .unit = "s", .most = 600});
-  v.Number(
-      "fall_multiple", overload_factor,
-      {.text = "a cold one that is sent so many times what it can do falls over", .least = 1, .most = 100});
-  v.Number("fall_ms", fall_ms, {.text = "over so long", .unit = "ms", .least = 1, .most = 1e5});
+           {.text = "share of its speed right after a start", .min = 0.01, .max = 1});
+  v.Number("warm_up_s", warm_up_s, {.text = "until it has the whole", .unit = "s", .max = 600});
+  v.Number("fall_multiple", overload_factor,
+           {.text = "a cold one that is sent so many times what it can do falls over", .min = 1, .max = 100});
+  v.Number("fall_ms", fall_ms, {.text = "over so long", .unit = "ms", .min = 1, .max = 1e5});
 }
 
-void Plan::Describe(config::Visitor& v) {
-  v.Word("about", about, {}, {.text = "one line for `fault-test list`"});
-  v.Whole32("members", members, {.text = "proxies", .least = 1, .most = 10000});
-  v.Whole32("zones", zones, {.text = "dealt out in turn", .least = 1, .most = 26});
-  v.Whole32("seeds", seeds, {.text = "members that all others ask first", .least = 1, .most = 100});
-  v.Number("length_s", length_s, {.text = "", .unit = "s", .least = 0.1, .most = 86400});
-  v.Number("start_spread_s", start_spread_s, {.text = "over which they start", .unit = "s", .most = 600});
-  v.Flag("keep", keep,
-         {.text = "each process under a keeper, which has v1 (this program) and v2 (`--other`)"});
+void Plan::Describe(config::FieldVisitor& v) {
+  v.Text("about", about, {}, {.text = "one line for `fault-test list`"});
+  v.Int32("members", members, {.text = "proxies", .min = 1, .max = 10000});
+  v.Int32("zones", zones, {.text = "dealt out in turn", .min = 1, .max = 26});
+  v.Int32("seeds", seeds, {.text = "members that all others ask first", .min = 1, .max = 100});
+  v.Number("length_s", length_s, {.text = "", .unit = "s", .min = 0.1, .max = 86400});
+  v.Number("start_spread_s", start_spread_s, {.text = "over which they start", .unit = "s", .max = 600});
+  v.Boolean("keep", keep,
+            {.text = "each process under a keeper, which has v1 (this program) and v2 (`--other`)"});
   v.Section("network", "In virtual time.", network);
   v.Section("service", "With processes: what the proxies serve.", service);
-  v.Items("fault", "What befalls whom.", faults);
-  v.Items("property", "What has to hold.", properties);
-  v.Check("property", !properties.empty(), "a file that asks for nothing cannot fail");
+  v.ItemList("fault", "What befalls whom.", faults);
+  v.ItemList("property", "What has to hold.", properties);
+  v.Require("property", !properties.empty(), "a file that asks for nothing cannot fail");
   for (const Property& property : properties) {
     if (property.kind != PropertyKind::kTrafficShare) continue;
     try {
       ChosenBackends(*this, property.who, 1);
     } catch (const std::invalid_argument& error) {
-      v.Check("property", false, error.what());
+      v.Require("property", false, error.what());
     }
   }
   for (const Fault& fault : faults) {
@@ -182,13 +179,13 @@
       of_backends ? ChosenBackends(*this, fault.who, 1) : Chosen(*this, fault.who, 1);
       fault.OnService() ? ChosenBackends(*this, fault.to, 1) : Chosen(*this, fault.to, 1);
     } catch (const std::invalid_argument& error) {
-      v.Check("fault", false, error.what());
+      v.Require("fault", false, error.what());
     }
   }
 }
 
 Plan ReadPlan(const std::string& file) {
-  Plan plan = config::Read<Plan>(file);
+  Plan plan = config::LoadFile<Plan>(file);
   const std::size_t slash = file.rfind('/');
   plan.folder = slash == std::string::npos ? "." : file.substr(0, slash);
   return plan;
--- a/src/fault_testing/plan.h
+++ b/src/fault_testing/plan.h
@@ -58,7 +58,7 @@
 
   bool OnLinks() const { return kind <= FaultKind::kCut; }
   bool OnService() const { return kind >= FaultKind::kFreeze; }
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 enum class PropertyKind {
@@ -84,13 +84,13 @@
   std::vector<std::string> who{"backends"};
   std::string version = "v2";  // runs_at_end, ever_ran
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct Network {
   double delay_ms = 0.3, jitter = 0.3, loss = 0;  // one way; in virtual time alone
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct Service {
@@ -102,7 +102,7 @@
   // many times its capacity over how long it bears before it falls over.
   double slow_start_min_capacity = 0.2, warm_up_s = 1, overload_factor = 3, fall_ms = 1000;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct Plan {
@@ -117,7 +117,7 @@
   std::vector<Fault> faults;
   std::vector<Property> properties;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 Plan ReadPlan(const std::string& file);
--- a/src/fault_testing/processes/faults.cpp
+++ b/src/fault_testing/processes/faults.cpp
@@ -67,7 +67,7 @@
       case FaultKind::kChange:
         if (member != members.front()) break;
         Schedule(fault.at_s, [this, member, &fault] {
-          CallOperator(member, "/rollout/start", config::Contents(plan_.folder + "/" + fault.file));
+          CallOperator(member, "/rollout/start", config::ReadFileContents(plan_.folder + "/" + fault.file));
         });
         break;
       case FaultKind::kAbort:
--- a/src/fault_testing/trial.h
+++ b/src/fault_testing/trial.h
@@ -62,7 +62,7 @@
   nlohmann::ordered_json Json() const;
 };
 
-// `plan`: text of a plan (rollout/plan.h). Throws config::BadFile.
+// `plan`: text of a plan (rollout/plan.h). Throws config::InvalidFile.
 TrialResult TryChange(const std::string& plan, const std::string& name_of_file, const TrialOptions& options);
 
 const std::vector<std::pair<std::string, Harm>>& HarmNames();
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -86,15 +86,15 @@
 
 }  // namespace
 
-void Settings::Describe(config::Visitor& v) {
-  v.Choice("level", level, LevelNames(), {.text = "the least severe lines that are written"});
-  v.Choice("format", format, FormatNames(),
-           {.text = "`text`: `TIME LEVEL EVENT key=value ...`; `json`: one object a line"});
-  v.Whole32("lines_per_s", lines_per_s,
-            {.text = "lines below `error` beyond this are left out and counted",
-             .unit = "lines/s",
-             .least = 1,
-             .most = 1e6});
+void Settings::Describe(config::FieldVisitor& v) {
+  v.Enum("level", level, LevelNames(), {.text = "the least severe lines that are written"});
+  v.Enum("format", format, FormatNames(),
+         {.text = "`text`: `TIME LEVEL EVENT key=value ...`; `json`: one object a line"});
+  v.Int32("lines_per_s", lines_per_s,
+          {.text = "lines below `error` beyond this are left out and counted",
+           .unit = "lines/s",
+           .min = 1,
+           .max = 1e6});
 }
 
 std::string Hex(std::uint64_t number) { return fmt::format("{:016x}", number); }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -37,7 +37,7 @@
   Format format = Format::kText;
   int lines_per_s = 200;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 // Names are snake_case; a value of text may hold anything.
--- a/src/proxy/config/configuration_reference.cpp
+++ b/src/proxy/config/configuration_reference.cpp
@@ -27,7 +27,7 @@
 
 std::string ConfigurationReference() {
   OperatorSettings defaults;
-  return kIntroduction + config::ShowReference([&](config::Visitor& v) { defaults.Describe(v); });
+  return kIntroduction + config::FormatReference([&](config::FieldVisitor& v) { defaults.Describe(v); });
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/config/operator_settings.h
+++ b/src/proxy/config/operator_settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The operator's file, as types: time limits, shares of the process's resources, logging and membership of
-// one proxy. config::Read (src/config/read.h) reads it; docs/configuration.md is its reference. The keys of
-// the file have names of their own, which Describe maps to the fields.
+// one proxy. config::LoadFile (src/config/read.h) reads it; docs/configuration.md is its reference. The keys
+// of the file have names of their own, which Describe maps to the fields.
 #ifndef COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
 #define COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
 
@@ -35,7 +35,7 @@
   Ms connection_rest{2};                 // before a connection to a backend is used again
   Ms removed_backend_retention{900000};  // after which the state of a removed backend is dropped
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 // How the descriptors and the memory that the platform allows are divided; `[shares]` in the file.
@@ -48,7 +48,7 @@
   // Retry-After of a response that a limit of this process causes.
   std::chrono::milliseconds process_limit_retry_after{1000};
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 // While another process of the same proxy serves; `[upgrade]` in the file.
@@ -56,7 +56,7 @@
   std::chrono::milliseconds endpoint_list{1500};  // for discovery's first list
   std::chrono::milliseconds listener{1000};       // for the other process's listening socket
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct OperatorSettings {
@@ -66,7 +66,7 @@
   UpgradeTimeouts upgrade;
   FleetSettings fleet;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/settings.cpp
+++ b/src/proxy/membership/settings.cpp
@@ -5,22 +5,23 @@
 
 namespace copperpoint::proxy {
 
-void FleetSettings::Describe(config::Visitor& v) {
-  v.Word("cluster", cluster, {}, {.text = "name of the fleet; empty: this proxy is no member of one"});
-  v.Word("listen", listen, {}, {.text = "`ADDRESS:PORT`, UDP and TCP, for other proxies"});
-  v.Word("advertise", advertise, {}, {.text = "the same as others reach it; empty: `listen`"});
-  v.Words("seeds", seeds, {.text = "addresses of members to join by; one that answers is enough"});
-  v.Word("seeds_file", seeds_file, {}, {.text = "more of them, a line each"});
-  v.Word("key_file", key_file, {}, {.text = "the secret that members share, 16 to 64 bytes, mode 0600"});
-  v.Flag("subsets", subsets,
-         {.text =
-              "proxies of a zone divide the backends evenly by the membership; off: each by its own number"});
+void FleetSettings::Describe(config::FieldVisitor& v) {
+  v.Text("cluster", cluster, {}, {.text = "name of the fleet; empty: this proxy is no member of one"});
+  v.Text("listen", listen, {}, {.text = "`ADDRESS:PORT`, UDP and TCP, for other proxies"});
+  v.Text("advertise", advertise, {}, {.text = "the same as others reach it; empty: `listen`"});
+  v.TextList("seeds", seeds, {.text = "addresses of members to join by; one that answers is enough"});
+  v.Text("seeds_file", seeds_file, {}, {.text = "more of them, a line each"});
+  v.Text("key_file", key_file, {}, {.text = "the secret that members share, 16 to 64 bytes, mode 0600"});
+  v.Boolean(
+      "subsets", subsets,
+      {.text =
+           "proxies of a zone divide the backends evenly by the membership; off: each by its own number"});
   boost::asio::ip::udp::endpoint parsed;
-  v.Check("listen", !on() || peers::ParseAddress(listen, &parsed), "is no ADDRESS:PORT");
-  v.Check("advertise", advertise.empty() || peers::ParseAddress(advertise, &parsed), "is no ADDRESS:PORT");
-  v.Check("key_file", !on() || !key_file.empty(), "is missing");
+  v.Require("listen", !on() || peers::ParseAddress(listen, &parsed), "is no ADDRESS:PORT");
+  v.Require("advertise", advertise.empty() || peers::ParseAddress(advertise, &parsed), "is no ADDRESS:PORT");
+  v.Require("key_file", !on() || !key_file.empty(), "is missing");
   for (const std::string& seed : seeds)
-    v.Check("seeds", peers::ParseAddress(seed, &parsed), "'" + seed + "' is no ADDRESS:PORT");
+    v.Require("seeds", peers::ParseAddress(seed, &parsed), "'" + seed + "' is no ADDRESS:PORT");
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/settings.h
+++ b/src/proxy/membership/settings.h
@@ -22,7 +22,7 @@
   bool subsets = true;  // this proxy's ring offset follows from the membership; false: from its own number
 
   bool on() const { return !cluster.empty(); }
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/settings_loader.cpp
+++ b/src/proxy/membership/settings_loader.cpp
@@ -31,7 +31,7 @@
   if ((status.st_mode & kGroupAndOthers) != 0)
     throw ConfigError(Kind::kInvalid, location,
                       "fleet.key_file may be read by others; its mode has to be 0600");
-  std::string key = config::Contents(settings.key_file);
+  std::string key = config::ReadFileContents(settings.key_file);
   while (!key.empty() && (key.back() == '\n' || key.back() == '\r')) key.pop_back();
   try {
     return peers::FrameCodec(settings.cluster, key);
@@ -43,7 +43,7 @@
 std::vector<std::string> LoadSeeds(const FleetSettings& settings) {
   std::vector<std::string> seeds = settings.seeds;
   if (settings.seeds_file.empty()) return seeds;
-  const std::string text = config::Contents(settings.seeds_file);
+  const std::string text = config::ReadFileContents(settings.seeds_file);
   int line_number = 0;
   for (std::size_t begin = 0; begin < text.size();) {
     const std::size_t end = std::min(text.find('\n', begin), text.size());
--- a/src/proxy/membership/settings_loader.h
+++ b/src/proxy/membership/settings_loader.h
@@ -19,7 +19,7 @@
 peers::FrameCodec LoadFrameCodec(const FleetSettings& settings);
 
 // The seeds of the operator's file, then those of the file of seeds, whose empty lines and lines that begin
-// with '#' are skipped. Throws config::BadFile if that file can't be read.
+// with '#' are skipped. Throws config::InvalidFile if that file can't be read.
 std::vector<std::string> LoadSeeds(const FleetSettings& settings);
 
 boost::asio::ip::udp::endpoint ParseListenAddress(const FleetSettings& settings);
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -38,8 +38,8 @@
     proxy.Reload(Configure(options, ReloadConfig(env), &log));
     log::Global().Set(log);
     log::Global().Info(log::events::kConfigurationReloaded);
-  } catch (const config::BadFile& error) {
-    for (const config::Fault& fault : error.faults())
+  } catch (const config::InvalidFile& error) {
+    for (const config::Diagnostic& fault : error.diagnostics())
       LogRejectedConfig(config::Describe(options.operators_file, fault));
   } catch (const ConfigError& error) {
     LogRejectedConfig(error.what());
@@ -60,9 +60,10 @@
 Config Configure(const ServeOptions& options, Config platform, log::Settings* log) {
   OperatorSettings operator_settings;
   if (!options.operators_file.empty()) {
-    operator_settings = config::Read<OperatorSettings>(options.operators_file);
+    operator_settings = config::LoadFile<OperatorSettings>(options.operators_file);
     if (operator_settings.fleet.on())
-      platform.operator_settings_version = log::Hex(StableHash(config::Contents(options.operators_file)));
+      platform.operator_settings_version =
+          log::Hex(StableHash(config::ReadFileContents(options.operators_file)));
   }
   *log = operator_settings.log;
   log->level = options.log_level.value_or(log->level);
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -18,7 +18,7 @@
   std::optional<log::Format> log_format;
 };
 
-// The platform's configuration with the operator's in it. Throws ConfigError or config::BadFile.
+// The platform's configuration with the operator's in it. Throws ConfigError or config::InvalidFile.
 Config Configure(const ServeOptions& options, Config platform, log::Settings* log);
 
 // Serves until SIGTERM or SIGINT; reloads on SIGHUP. Throws, before it serves, on what is wrong with its
--- a/src/rollout/plan_parser.h
+++ b/src/rollout/plan_parser.h
@@ -33,9 +33,9 @@
 
 // All errors of one plan, in the order of their lines. what() has one line for each: "FILE:LINE:COLUMN: KEY:
 // TEXT".
-class InvalidPlan : public config::BadFile {
+class InvalidPlan : public config::InvalidFile {
  public:
-  InvalidPlan(const std::string& file, const std::vector<config::Fault>& faults);
+  InvalidPlan(const std::string& file, const std::vector<config::Diagnostic>& diagnostics);
   const std::vector<PlanError>& errors() const { return errors_; }
 
  private:
--- a/src/simulation/run/run.h
+++ b/src/simulation/run/run.h
@@ -39,7 +39,7 @@
   double goodput = 0;
 };
 
-// Throws std::invalid_argument on an unknown policy, config::BadFile on a bad replay file.
+// Throws std::invalid_argument on an unknown policy, config::InvalidFile on a bad replay file.
 RunResult Run(const Scenario& scenario, const RunOptions& options);
 
 // Run, and if a rule is violated run again to trace the request of the first violation.
--- a/src/simulation/run/sweep.cpp
+++ b/src/simulation/run/sweep.cpp
@@ -98,7 +98,7 @@
 std::string ScenarioTextOf(const SweepPlan& plan, const Point& point) {
   std::string text = plan.scenario_text;
   for (std::size_t i = 0; i < plan.varied.size(); ++i)
-    text = config::WithKey(text, plan.scenario_file, plan.varied[i].path, point.values[i]);
+    text = config::SetKey(text, plan.scenario_file, plan.varied[i].path, point.values[i]);
   return text;
 }
 
@@ -109,7 +109,7 @@
 };
 
 PlayedPoint RunPoint(const SweepPlan& plan, const Point& point) {
-  const auto scenario = config::ReadFrom<Scenario>(ScenarioTextOf(plan, point), plan.scenario_file);
+  const auto scenario = config::LoadText<Scenario>(ScenarioTextOf(plan, point), plan.scenario_file);
   RunOptions options;
   options.policy = point.policy;
   options.seed = point.seed;
@@ -125,7 +125,7 @@
   const std::vector<std::string>* checked = nullptr;  // points with the same values follow each other
   for (const Point& point : points) {
     if (checked && *checked == point.values) continue;
-    config::ReadFrom<Scenario>(ScenarioTextOf(plan, point), plan.scenario_file);
+    config::LoadText<Scenario>(ScenarioTextOf(plan, point), plan.scenario_file);
     checked = &point.values;
   }
 }
--- a/src/simulation/run/sweep.h
+++ b/src/simulation/run/sweep.h
@@ -39,7 +39,7 @@
 };
 
 // Calls `progress` after each point, from one thread at a time. Throws std::invalid_argument where the folder
-// holds another sweep, config::BadFile where a point makes the scenario invalid; nothing has run then.
+// holds another sweep, config::InvalidFile where a point makes the scenario invalid; nothing has run then.
 SweepReport Sweep(const SweepPlan& plan, const std::string& folder, unsigned threads,
                   const std::function<void(std::size_t done, std::size_t total)>& progress);
 
--- a/src/simulation/scenario/fault.h
+++ b/src/simulation/scenario/fault.h
@@ -40,7 +40,7 @@
   int from_zone = 0;
   int to_zone = 0;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/scenario/scenario.h
+++ b/src/simulation/scenario/scenario.h
@@ -28,7 +28,7 @@
   double zipf = 0.9;        // exponent of their popularity
   double hint_error = 0.3;  // deviation of the log of estimated over true work; below 0: no estimates
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct RequestClass {
@@ -43,7 +43,7 @@
   double deadline_ms = 2500;
   double priority_weight = 1;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct Tenant {
@@ -51,7 +51,7 @@
   double share = 1;  // of the traffic
   double quota = 0;  // requests a second within its share; 0: unlimited
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 enum class ClientRetryMode { kNone, kImmediate, kFixed, kExponential };
@@ -67,7 +67,7 @@
   double failure_detection_ms = 2000;  // until the front end notices that a proxy has crashed
   bool marks_retry = false;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct BackendType {
@@ -93,7 +93,7 @@
   double cached_key_s = 5;            // how long a key stays cached
   std::int64_t max_cached_keys = 100;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 // From what proxies take their ring offset, by which they divide the backends into subsets.
@@ -108,7 +108,7 @@
   RingOffsetSource ring_offsets = RingOffsetSource::kProxyIndex;
   double membership_delay_ms = 3000;  // until proxies know that one of them came or went
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct NetworkSettings {
@@ -122,7 +122,7 @@
   double connect_timeout_ms = 200;
   double idle_s = 60;  // a connection not used for this long is closed
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct DiscoverySettings {
@@ -133,7 +133,7 @@
   double calls_per_s = 1000;                // that it can answer
   double call_timeout_ms = 1000;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 // The weights of the service objective, which the policies are given.
@@ -142,7 +142,7 @@
   double worst_class = 0;
   double worst_tenant = 0;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 // What the rule checker tolerates, and limits that the policies are given.
@@ -154,7 +154,7 @@
   double over_quota_weight = 1;
   double max_poll_interval_ms = 10000;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct Scenario {
@@ -173,7 +173,7 @@
   ObjectiveWeights objective;
   std::vector<Fault> faults;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 
   // Requests a second that the warm backends can do, by the figures of the file (not of drawn backends).
   double Capacity() const;
@@ -181,7 +181,7 @@
   double MaxDeadlineMs() const;
 };
 
-// Throws config::BadFile with all errors.
+// Throws config::InvalidFile with all errors.
 Scenario ReadScenario(const std::string& file);
 
 // The reference of all keys, in Markdown.
--- a/src/simulation/world/arrival_process.h
+++ b/src/simulation/world/arrival_process.h
@@ -20,7 +20,7 @@
 
 class ArrivalProcess {
  public:
-  // Reads the replay file, if one is named; throws config::BadFile on a bad line of it.
+  // Reads the replay file, if one is named; throws config::InvalidFile on a bad line of it.
   ArrivalProcess(const Scenario& scenario, const DrawnScenario& drawn);
 
   // The next arrival; none after the scenario's length.
--- a/src/simulation/world/arrival_replay.cpp
+++ b/src/simulation/world/arrival_replay.cpp
@@ -54,9 +54,9 @@
 std::vector<Arrival> ReadArrivalReplay(const Scenario& scenario) {
   const std::string& file = scenario.load.replay;
   std::ifstream in(file);
-  if (!in) throw config::BadFile(file, {{0, 0, "", "cannot be read"}});
+  if (!in) throw config::InvalidFile(file, {{0, 0, "", "cannot be read"}});
   std::vector<Arrival> arrivals;
-  std::vector<config::Fault> errors;
+  std::vector<config::Diagnostic> errors;
   std::string line;
   for (int number = 1; std::getline(in, line); ++number) {
     if (line.empty() || line[0] == '#') continue;
@@ -68,7 +68,7 @@
       errors.push_back({number, 1, "", error.what()});
     }
   }
-  if (!errors.empty()) throw config::BadFile(file, std::move(errors));
+  if (!errors.empty()) throw config::InvalidFile(file, std::move(errors));
   return arrivals;
 }
 
--- a/src/simulation/world/arrival_replay.h
+++ b/src/simulation/world/arrival_replay.h
@@ -12,7 +12,7 @@
 namespace copperpoint::simulation {
 
 // The arrivals of the file that the scenario names: "at_ms,class,account,key,work_ms" a line, '#' begins a
-// comment. Throws config::BadFile with all bad lines.
+// comment. Throws config::InvalidFile with all bad lines.
 std::vector<Arrival> ReadArrivalReplay(const Scenario& scenario);
 
 }  // namespace copperpoint::simulation
--- a/src/supervisor/settings.cpp
+++ b/src/supervisor/settings.cpp
@@ -10,40 +10,41 @@
 
 namespace copperpoint::supervisor {
 
-void Version::Describe(config::Visitor& v) {
-  v.Word("name", name, {}, {.text = "as a plan names it"});
-  v.Word("program", program, {}, {.text = "its path"});
-  v.Word("settings", settings, {}, {.text = "the operator's file that it runs with; empty: none"});
-  v.Word("digest", digest, {},
+void Version::Describe(config::FieldVisitor& v) {
+  v.Text("name", name, {}, {.text = "as a plan names it"});
+  v.Text("program", program, {}, {.text = "its path"});
+  v.Text("settings", settings, {}, {.text = "the operator's file that it runs with; empty: none"});
+  v.Text("digest", digest, {},
          {.text = "of both, as `copperpoint supervise FILE --digests` prints it; empty: not checked"});
-  v.Check("name", !name.empty() && name.find(' ') == std::string::npos, "is empty or has a space");
-  v.Check("program", !program.empty(), "is missing");
+  v.Require("name", !name.empty() && name.find(' ') == std::string::npos, "is empty or has a space");
+  v.Require("program", !program.empty(), "is missing");
 }
 
-void Settings::Describe(config::Visitor& v) {
+void Settings::Describe(config::FieldVisitor& v) {
   constexpr double kHour = 3600 * 1000;
-  v.Word("first", first, {}, {.text = "the version to start with"});
-  v.Words(
+  v.Text("first", first, {}, {.text = "the version to start with"});
+  v.TextList(
       "operators", admin_addresses,
       {.text = "addresses of the admin interface of its processes, in turn; at least two, as two run at the "
                "same time in a rollout"});
-  v.Millis("ready_ms", limits.ready_timeout,
-           {.text = "from a process's start until it is ready", .least = 100, .most = kHour});
-  v.Millis("heard_ms", limits.contact_timeout,
-           {.text = "from then on, until a new version has membership contact; 0: no limit", .most = kHour});
-  v.Millis("first_wait_ms", limits.initial_backoff,
-           {.text = "before a restart; doubled each time", .least = 10, .most = kHour});
-  v.Millis("longest_wait_ms", limits.max_backoff,
-           {.text = "the longest of these", .least = 10, .most = kHour});
-  v.Millis("steady_ms", limits.stable_after,
-           {.text = "a process that was ready for so long resets the backoff", .most = kHour});
-  v.Whole32("most_ends", limits.max_exits,
-            {.text = "exits in a row; then the supervisor gives up", .least = 1, .most = 1000});
-  v.Whole32("most_ends_of_new", limits.max_exits_on_probation,
-            {.text = "exits in a row; then a new version is rolled back", .least = 1, .most = 1000});
-  v.Flag("json_log", json_log, {.text = "a JSON object a line, as the proxy's own `log.format`"});
-  v.Items("version", "Programs with their settings.", versions);
-  v.Check("first", Find(first) != nullptr, "names no version");
+  v.Milliseconds("ready_ms", limits.ready_timeout,
+                 {.text = "from a process's start until it is ready", .min = 100, .max = kHour});
+  v.Milliseconds(
+      "heard_ms", limits.contact_timeout,
+      {.text = "from then on, until a new version has membership contact; 0: no limit", .max = kHour});
+  v.Milliseconds("first_wait_ms", limits.initial_backoff,
+                 {.text = "before a restart; doubled each time", .min = 10, .max = kHour});
+  v.Milliseconds("longest_wait_ms", limits.max_backoff,
+                 {.text = "the longest of these", .min = 10, .max = kHour});
+  v.Milliseconds("steady_ms", limits.stable_after,
+                 {.text = "a process that was ready for so long resets the backoff", .max = kHour});
+  v.Int32("most_ends", limits.max_exits,
+          {.text = "exits in a row; then the supervisor gives up", .min = 1, .max = 1000});
+  v.Int32("most_ends_of_new", limits.max_exits_on_probation,
+          {.text = "exits in a row; then a new version is rolled back", .min = 1, .max = 1000});
+  v.Boolean("json_log", json_log, {.text = "a JSON object a line, as the proxy's own `log.format`"});
+  v.ItemList("version", "Programs with their settings.", versions);
+  v.Require("first", Find(first) != nullptr, "names no version");
 }
 
 const Version* Settings::Find(const std::string& name) const {
@@ -53,8 +54,8 @@
 }
 
 std::string DigestOf(const Version& version) {
-  const std::string program = config::Contents(version.program);
-  const std::string settings = version.settings.empty() ? "" : config::Contents(version.settings);
+  const std::string program = config::ReadFileContents(version.program);
+  const std::string settings = version.settings.empty() ? "" : config::ReadFileContents(version.settings);
   return log::Hex(XXH64(program.data(), program.size(), XXH64(settings.data(), settings.size(), 0)));
 }
 
--- a/src/supervisor/settings.h
+++ b/src/supervisor/settings.h
@@ -19,7 +19,7 @@
   std::string settings;       // path of the operator's file; empty: none
   std::string digest;         // of both (DigestOf); empty: not checked
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
 };
 
 struct Settings {
@@ -29,12 +29,12 @@
   bool json_log = false;
   std::vector<Version> versions;
 
-  void Describe(config::Visitor& v);
+  void Describe(config::FieldVisitor& v);
   // Null if there is none of that name.
   const Version* Find(const std::string& name) const;
 };
 
-// Of the program's and the file's bytes, in hexadecimal. Throws config::BadFile if one can't be read.
+// Of the program's and the file's bytes, in hexadecimal. Throws config::InvalidFile if one can't be read.
 std::string DigestOf(const Version& version);
 
 }  // namespace copperpoint::supervisor
--- a/tests/config/operator_settings_test.cpp
+++ b/tests/config/operator_settings_test.cpp
@@ -13,18 +13,19 @@
 namespace copperpoint::proxy {
 namespace {
 
-std::string Contents(const std::string& path) {
+std::string ReadFileContents(const std::string& path) {
   std::ifstream in(path);
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
 TEST(OperatorSettings, DocumentationMatchesTheCode) {
-  EXPECT_EQ(Contents(std::string(SOURCE_DIR) + "/docs/configuration.md"), ConfigurationReference())
+  EXPECT_EQ(ReadFileContents(std::string(SOURCE_DIR) + "/docs/configuration.md"), ConfigurationReference())
       << "write it anew: copperpoint config reference > docs/configuration.md";
 }
 
 TEST(OperatorSettings, ShippedFileIsValidAndSaysTheDefaults) {
-  const auto shipped = config::Read<OperatorSettings>(std::string(SOURCE_DIR) + "/deploy/copperpoint.toml");
+  const auto shipped =
+      config::LoadFile<OperatorSettings>(std::string(SOURCE_DIR) + "/deploy/copperpoint.toml");
   const OperatorSettings defaults;
   EXPECT_EQ(shipped.timeouts.keep_alive, defaults.timeouts.keep_alive);
   EXPECT_EQ(shipped.timeouts.response_write, defaults.timeouts.response_write);
@@ -36,40 +37,41 @@
 
 TEST(OperatorSettings, EveryDefaultIsWithinItsRange) {
   OperatorSettings defaults;
-  struct Ranges : config::Visitor {
-    void Number(std::string_view key, double& value, const config::About& about) override {
-      EXPECT_GE(value, about.least) << key;
-      EXPECT_LE(value, about.most) << key;
-      EXPECT_FALSE(about.text.empty()) << key;
+  struct Ranges : config::FieldVisitor {
+    void Number(std::string_view key, double& value, const config::FieldInfo& info) override {
+      EXPECT_GE(value, info.min) << key;
+      EXPECT_LE(value, info.max) << key;
+      EXPECT_FALSE(info.text.empty()) << key;
     }
-    void Whole(std::string_view key, std::int64_t& value, const config::About& about) override {
+    void Integer(std::string_view key, std::int64_t& value, const config::FieldInfo& info) override {
       auto wide = static_cast<double>(value);
-      Number(key, wide, about);
+      Number(key, wide, info);
     }
-    void Flag(std::string_view, bool&, const config::About&) override {}
-    void Word(std::string_view, std::string&, const std::vector<std::string>&,
-              const config::About&) override {}
-    void Words(std::string_view, std::vector<std::string>&, const config::About&) override {}
-    void Table(std::string_view, std::string_view, const std::function<void(Visitor&)>& fields) override {
+    void Boolean(std::string_view, bool&, const config::FieldInfo&) override {}
+    void Text(std::string_view, std::string&, const std::vector<std::string>&,
+              const config::FieldInfo&) override {}
+    void TextList(std::string_view, std::vector<std::string>&, const config::FieldInfo&) override {}
+    void Table(std::string_view, std::string_view,
+               const std::function<void(FieldVisitor&)>& fields) override {
       fields(*this);
     }
-    void Tables(std::string_view, std::string_view, std::size_t, const std::function<void(std::size_t)>&,
-                const std::function<void(std::size_t, Visitor&)>&) override {}
+    void TableArray(std::string_view, std::string_view, std::size_t, const std::function<void(std::size_t)>&,
+                    const std::function<void(std::size_t, FieldVisitor&)>&) override {}
   } ranges;
   defaults.Describe(ranges);
 }
 
 std::string ErrorOf(const std::string& text) {
   try {
-    config::ReadFrom<OperatorSettings>(text, "f");
-  } catch (const config::BadFile& error) {
+    config::LoadText<OperatorSettings>(text, "f");
+  } catch (const config::InvalidFile& error) {
     return error.what();
   }
   return "";
 }
 
 TEST(OperatorSettings, ReadsEverySectionAndLeavesTheOtherKeysAtTheirDefaults) {
-  const auto settings = config::ReadFrom<OperatorSettings>(
+  const auto settings = config::LoadText<OperatorSettings>(
       "[log]\nlevel = \"debug\"\n[patience]\nkept_ms = 5\n[shares]\nclients = 0.5\nkept_body = 65536\n"
       "[upgrade]\nlist_ms = 7\n[fleet]\ncluster = \"c\"\nlisten = \"127.0.0.1:9\"\nkey_file = \"k\"\n"
       "seeds = [\"127.0.0.1:10\"]\nsubsets = false\n",
@@ -90,7 +92,7 @@
 }
 
 TEST(OperatorSettings, EmptyFileHasTheDefaults) {
-  const auto settings = config::ReadFrom<OperatorSettings>("", "f");
+  const auto settings = config::LoadText<OperatorSettings>("", "f");
   EXPECT_EQ(settings.timeouts.keep_alive, Timeouts().keep_alive);
   EXPECT_FALSE(settings.fleet.on());
 }
@@ -122,9 +124,9 @@
 
 TEST(OperatorSettings, RejectsValueOutOfRangeWithItsKey) {
   try {
-    config::ReadFrom<OperatorSettings>("[shares]\nclients = 0.95\n[patience]\nkept_ms = -1\n", "f");
+    config::LoadText<OperatorSettings>("[shares]\nclients = 0.95\n[patience]\nkept_ms = -1\n", "f");
     FAIL();
-  } catch (const config::BadFile& error) {
+  } catch (const config::InvalidFile& error) {
     EXPECT_STREQ(error.what(),
                  "f:2:11: shares.clients: 0.95 is out of range: 0.1 to 0.9\n"
                  "f:4:11: patience.kept_ms: -1 is out of range: 1 to 86400000 ms");
--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -13,9 +13,9 @@
 struct Item {
   std::string name = "one";
   double share = 0.5;
-  void Describe(Visitor& v) {
-    v.Word("name", name, {}, {.text = "its name"});
-    v.Number("share", share, {.text = "of the whole", .most = 1});
+  void Describe(FieldVisitor& v) {
+    v.Text("name", name, {}, {.text = "its name"});
+    v.Number("share", share, {.text = "of the whole", .max = 1});
   }
 };
 
@@ -27,36 +27,36 @@
   std::vector<std::string> tags;
   std::vector<Item> items;
   Item inner;
-  void Describe(Visitor& v) {
-    v.Number("ratio", ratio, {.text = "a ratio", .unit = "ms", .least = 0.1, .most = 2});
-    v.Whole("count", count, {.text = "a count", .least = 1, .most = 10});
-    v.Flag("on", on, {.text = "a switch"});
-    v.Word("colour", colour, {"red", "green"}, {.text = "a colour"});
-    v.Words("tags", tags, {.text = "some tags"});
+  void Describe(FieldVisitor& v) {
+    v.Number("ratio", ratio, {.text = "a ratio", .unit = "ms", .min = 0.1, .max = 2});
+    v.Integer("count", count, {.text = "a count", .min = 1, .max = 10});
+    v.Boolean("on", on, {.text = "a switch"});
+    v.Text("colour", colour, {"red", "green"}, {.text = "a colour"});
+    v.TextList("tags", tags, {.text = "some tags"});
     v.Section("inner", "An inner table.", inner);
-    v.Items("item", "Items.", items);
-    v.Check("count", count != 7, "seven is not wanted");
+    v.ItemList("item", "Items.", items);
+    v.Require("count", count != 7, "seven is not wanted");
   }
 };
 
 std::string FaultsOf(const std::string& text) {
   try {
-    ReadFrom<Sample>(text, "f.toml");
-  } catch (const BadFile& error) {
+    LoadText<Sample>(text, "f.toml");
+  } catch (const InvalidFile& error) {
     return error.what();
   }
   return "";
 }
 
 TEST(Schema, AbsentKeysKeepTheirDefaults) {
-  const auto read = ReadFrom<Sample>("", "f.toml");
+  const auto read = LoadText<Sample>("", "f.toml");
   EXPECT_EQ(read.ratio, 0.25);
   EXPECT_EQ(read.colour, "red");
   EXPECT_TRUE(read.items.empty());
 }
 
 TEST(Schema, ReadsEveryKindOfKey) {
-  const auto read = ReadFrom<Sample>(
+  const auto read = LoadText<Sample>(
       "ratio = 1\ncount = 4\non = true\ncolour = \"green\"\ntags = [\"a\", \"b\"]\n"
       "[inner]\nshare = 0.75\n[[item]]\nname = \"x\"\n[[item]]\n",
       "f.toml");
@@ -102,21 +102,23 @@
   EXPECT_EQ(faults.find("f.toml:2:"), 0u) << faults;
 }
 
-TEST(Schema, AFileThatIsNotThereIsAFault) { EXPECT_THROW(Read<Sample>("/nowhere/at/all.toml"), BadFile); }
+TEST(Schema, AFileThatIsNotThereIsAFault) {
+  EXPECT_THROW(LoadFile<Sample>("/nowhere/at/all.toml"), InvalidFile);
+}
 
 TEST(Schema, WhatIsShownReadsBack) {
-  auto sample = ReadFrom<Sample>("ratio = 0.3\n[[item]]\nname = \"q \\\"uote\\\"\"\n", "f.toml");
-  const std::string shown = ShowValues([&](Visitor& v) { sample.Describe(v); });
-  auto again = ReadFrom<Sample>(shown, "shown");
+  auto sample = LoadText<Sample>("ratio = 0.3\n[[item]]\nname = \"q \\\"uote\\\"\"\n", "f.toml");
+  const std::string shown = FormatValues([&](FieldVisitor& v) { sample.Describe(v); });
+  auto again = LoadText<Sample>(shown, "shown");
   EXPECT_EQ(again.ratio, 0.3);
   ASSERT_EQ(again.items.size(), 1u);
   EXPECT_EQ(again.items[0].name, "q \"uote\"");
-  EXPECT_EQ(ShowValues([&](Visitor& v) { again.Describe(v); }), shown);
+  EXPECT_EQ(FormatValues([&](FieldVisitor& v) { again.Describe(v); }), shown);
 }
 
 TEST(Schema, TheReferenceHasARowForEachKey) {
   Sample sample;
-  const std::string page = ShowReference([&](Visitor& v) { sample.Describe(v); });
+  const std::string page = FormatReference([&](FieldVisitor& v) { sample.Describe(v); });
   for (const char* row :
        {"| `ratio` | `0.25` | 0.1 to 2 ms | a ratio |", "| `colour` | `\"red\"` | red, green |",
         "## `[inner]`", "## `[[item]]`", "| `share` | `0.5` | 0 to 1 | of the whole |"})
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -105,8 +105,8 @@
 TEST(Plan, FaultsOfAFileAreToldWithLineAndKey) {
   const auto read = [](const std::string& text) {
     try {
-      config::ReadFrom<Plan>(text, "f.toml");
-    } catch (const config::BadFile& error) {
+      config::LoadText<Plan>(text, "f.toml");
+    } catch (const config::InvalidFile& error) {
       return std::string(error.what());
     }
     return std::string();
--- a/tests/rollout/plan_parser_test.cpp
+++ b/tests/rollout/plan_parser_test.cpp
@@ -18,7 +18,7 @@
 std::string ErrorTextOf(const std::string& text) {
   try {
     ParsePlan(text, "f.toml");
-  } catch (const config::BadFile& error) {
+  } catch (const config::InvalidFile& error) {
     return error.what();
   }
   return "";
--- a/tests/simulation/lab_testing.h
+++ b/tests/simulation/lab_testing.h
@@ -34,7 +34,7 @@
   s.fleet.backends = 1;
   s.fleet.proxies = 1;
   s.network = {0, 0, 0, 0, 0, 200, 0, 200, 60};
-  if (!more.empty()) config::ReadText(more, "test", [&](config::Visitor& v) { s.Describe(v); });
+  if (!more.empty()) config::ParseText(more, "test", [&](config::FieldVisitor& v) { s.Describe(v); });
   return s;
 }
 
--- a/tests/simulation/overload_lab_test.cpp
+++ b/tests/simulation/overload_lab_test.cpp
@@ -29,7 +29,7 @@
 RunResult Play(const std::string& text, const std::string& policy) {
   RunOptions options;
   options.policy = policy;
-  return Run(config::ReadFrom<Scenario>(text, "s.toml"), options);
+  return Run(config::LoadText<Scenario>(text, "s.toml"), options);
 }
 
 TEST(Gates, EachKeepsAnOverloadedFleetUsefulAndLetsACalmOneBe) {
--- a/tests/simulation/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -46,14 +46,14 @@
 }
 
 TEST(Edit, SetsKeysInTablesAndArraysAndMakesTables) {
-  const std::string text = config::WithKey("[[class]]\nname = \"a\"\n", "f", "class.0.work_ms", "5");
+  const std::string text = config::SetKey("[[class]]\nname = \"a\"\n", "f", "class.0.work_ms", "5");
   EXPECT_NE(text.find("work_ms = 5"), std::string::npos) << text;
-  EXPECT_NE(config::WithKey("", "f", "load.shape", "daily").find("shape = 'daily'"), std::string::npos);
+  EXPECT_NE(config::SetKey("", "f", "load.shape", "daily").find("shape = 'daily'"), std::string::npos);
   for (const char* bad : {"class.1.name", "class.x.name", "class", "title.deeper", ""}) {
     if (std::string(bad) == "class") continue;  // a whole table may be set; the schema judges it
-    EXPECT_THROW(config::WithKey("title = \"t\"\n[[class]]\n", "f", bad, "1"), std::invalid_argument) << bad;
+    EXPECT_THROW(config::SetKey("title = \"t\"\n[[class]]\n", "f", bad, "1"), std::invalid_argument) << bad;
   }
-  EXPECT_THROW(config::WithKey("a = = 1", "f", "b", "1"), config::BadFile);
+  EXPECT_THROW(config::SetKey("a = = 1", "f", "b", "1"), config::InvalidFile);
 }
 
 TEST(Sweep, GoesOnWhereItStoppedAndDoesTornFilesAnew) {
@@ -106,18 +106,18 @@
   const TemporaryFolder folder;
   SweepPlan plan = Small();
   plan.varied = {ParseVariedKey("fleet.backends=1,many")};
-  EXPECT_THROW(Sweep(plan, folder / "sweep", 1, {}), config::BadFile);
+  EXPECT_THROW(Sweep(plan, folder / "sweep", 1, {}), config::InvalidFile);
   EXPECT_FALSE(std::filesystem::exists(folder / "sweep"));
 }
 
 TEST(Scenario, FaultsOfAFileAreNamedTogether) {
   try {
-    config::ReadFrom<Scenario>(
+    config::LoadText<Scenario>(
         "length_s = -1\n[load]\nshape = \"odd\"\n[[trouble]]\nkind = \"rain\"\n[[class]]\naim_ms = "
         "100\ndeadline_ms = 50\n[fleet]\nbackend = 3\n",
         "s.toml");
     FAIL();
-  } catch (const config::BadFile& error) {
+  } catch (const config::InvalidFile& error) {
     const std::string what = error.what();
     for (const char* part :
          {"s.toml:1:12: length_s: -1 is out of range",
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -203,9 +203,9 @@
   try {
     simulation::Run(s, RunOptions{});
     FAIL();
-  } catch (const config::BadFile& error) {
+  } catch (const config::InvalidFile& error) {
     std::vector<int> lines;
-    for (const auto& fault : error.faults()) lines.push_back(fault.line);
+    for (const auto& fault : error.diagnostics()) lines.push_back(fault.line);
     EXPECT_EQ(lines, (std::vector<int>{2, 3, 4, 5})) << error.what();
   }
 }
--- a/tests/supervisor/settings_test.cpp
+++ b/tests/supervisor/settings_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 TEST(SupervisorSettings, EachKeyIsReadIntoItsField) {
-  const auto settings = config::ReadFrom<Settings>(
+  const auto settings = config::LoadText<Settings>(
       "first = \"v1\"\noperators = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nready_ms = 101\nheard_ms = 102\n"
       "first_wait_ms = 103\nlongest_wait_ms = 104\nsteady_ms = 105\nmost_ends = 6\nmost_ends_of_new = 7\n"
       "json_log = true\n[[version]]\nname = \"v1\"\nprogram = \"/p\"\nsettings = \"/s\"\ndigest = \"d\"\n",
@@ -36,9 +36,9 @@
 
 TEST(SupervisorSettings, FirstVersionThatIsNotThereIsRejected) {
   try {
-    config::ReadFrom<Settings>("first = \"v3\"\n[[version]]\nname = \"v1\"\nprogram = \"/p\"\n", "f.toml");
+    config::LoadText<Settings>("first = \"v3\"\n[[version]]\nname = \"v1\"\nprogram = \"/p\"\n", "f.toml");
     FAIL();
-  } catch (const config::BadFile& error) {
+  } catch (const config::InvalidFile& error) {
     EXPECT_STREQ(error.what(), "f.toml:1:9: first: names no version");
   }
 }
