--- a/src/simulation/world/membership_model.h
+++ b/src/simulation/world/membership_model.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What proxies know of each other by their membership (docs/membership.md), as far as the service is affected by
-// it: their ring offsets among the proxies of their zone, updated some time after each change. The membership
-// protocol itself is tested by `copperpoint fault-test`.
+// What proxies know of each other by their membership (docs/membership.md), as far as the service is affected
+// by it: their ring offsets among the proxies of their zone, updated some time after each change. The
+// membership protocol itself is tested by `copperpoint fault-test`.
 #ifndef COPPERPOINT_SIMULATION_WORLD_MEMBERSHIP_MODEL_H_
 #define COPPERPOINT_SIMULATION_WORLD_MEMBERSHIP_MODEL_H_
 
--- a/tests/fault_testing/change_test.cpp
+++ b/tests/fault_testing/change_test.cpp
@@ -18,8 +18,8 @@
 Finished Play(const std::string& name, const std::string& more = "") {
   Finished finished;
   for (int tries = 0; tries < 3; ++tries) {
-    finished =
-        RunProgram(PROGRAM_PATH, "fault-test run " + std::string(SOURCE_DIR) + "/lab/rig/" + name + ".toml" + more);
+    finished = RunProgram(PROGRAM_PATH,
+                          "fault-test run " + std::string(SOURCE_DIR) + "/lab/rig/" + name + ".toml" + more);
     if (finished.code != 3) break;  // the rig was late: the run says nothing
   }
   return finished;
