--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -4,9 +4,9 @@
 namespace copperpoint {
 namespace {
 
-// To make slow start gentler lower both. kBudgetFraction: part of the overload factor that is used; the rest
-// covers random variation and proxies with stale endpoint lists. kMaxSubsetMultiple: upper bound of their
-// product where only some proxies send to a backend.
+// To make slow start gentler lower both, and kMinWarmCores for the least rate. kBudgetFraction: part of the
+// overload factor that is used; the rest covers random variation and proxies with stale endpoint lists.
+// kMaxSubsetMultiple: upper bound of their product where only some proxies send to a backend.
 constexpr double kBudgetFraction = 0.6;
 constexpr double kMaxSubsetMultiple = 0.75;
 // The rate per backend is computed for at least this fraction of the recent mean number in service.
--- a/src/proxy/membership/membership_host.cpp
+++ b/src/proxy/membership/membership_host.cpp
@@ -75,7 +75,7 @@
 
 void MembershipHost::ProcessOutput() {
   ExchangeWithRollout();
-  ReportConnected();
+  ReportMembershipContact();
   UpdateRingOffset();
   ScheduleTick();
 }
@@ -113,7 +113,7 @@
   return !output.messages.empty() || !output.documents.empty();
 }
 
-void MembershipHost::ReportConnected() {
+void MembershipHost::ReportMembershipContact() {
   if (membership_.established() && membership_.members().living().size() > 1) rollout_.OnConnected();
 }
 
--- a/src/proxy/membership/membership_host.h
+++ b/src/proxy/membership/membership_host.h
@@ -71,7 +71,7 @@
   void ExchangeWithRollout();
   void PublishFromRollout();
   bool DeliverToRollout(const membership::Output& output);
-  void ReportConnected();
+  void ReportMembershipContact();
   void UpdateRingOffset();
   void ScheduleTick();
 
--- a/src/proxy/membership/rollout_host.cpp
+++ b/src/proxy/membership/rollout_host.cpp
@@ -42,7 +42,7 @@
   if (!supervisor_) return agent;
   const SupervisorLink::History& history = supervisor_->history();
   agent.version = history.version;
-  agent.progress = history.mark;
+  agent.progress = history.progress;
   agent.failed_version = history.failed_version;
   agent.failure = history.failure;
   return agent;
@@ -75,7 +75,7 @@
                        {{"change", event.rollout_name},
                         {"why", event.reason},
                         {"may_have_changed", event.admitted_members}});
-  if (supervisor_ && output.progress != 0) supervisor_->StoreMark(output.progress);
+  if (supervisor_ && output.progress != 0) supervisor_->StoreProgress(output.progress);
   if (supervisor_ && output.requested_version) supervisor_->RequestVersion(*output.requested_version);
   return output;
 }
@@ -89,7 +89,7 @@
 
 void RolloutHost::OnConnected() {
   if (std::exchange(connected_, true)) return;
-  if (supervisor_) supervisor_->ReportConnected();
+  if (supervisor_) supervisor_->ReportMembershipContact();
 }
 
 std::optional<FleetCallResult> RolloutHost::Handle(membership::Time now, const FleetCallRequest& request) {
--- a/src/proxy/membership/rollout_host.h
+++ b/src/proxy/membership/rollout_host.h
@@ -35,7 +35,7 @@
   struct Callbacks {
     std::function<bool(const std::string& name)> is_living;  // whether a member of that name lives
     LivingMembers living_members;
-    std::function<void()> on_output;  // Take has something that no call from outside has caused
+    std::function<void()> on_output;  // TakeOutput has something that no call from outside has caused
   };
 
   static bool IsRolloutCall(std::string_view target);
@@ -62,7 +62,7 @@
   RequestCounts& counts() { return counts_; }
 
   // ---- from the admin interface: targets of which IsRolloutCall is true ----
-  // Nothing: there is no such call. To be followed by Take after a POST.
+  // Nothing: there is no such call. To be followed by TakeOutput after a POST.
   std::optional<AdminHandler::FleetCallResult> Handle(membership::Time now,
                                                       const AdminHandler::FleetCallRequest& request);
 
--- a/src/proxy/membership/supervisor_link.cpp
+++ b/src/proxy/membership/supervisor_link.cpp
@@ -32,7 +32,7 @@
   history.version = Variable("COPPERPOINT_VERSION");
   history.failed_version = Variable("COPPERPOINT_FAILED");
   history.failure = Variable("COPPERPOINT_FAILURE");
-  history.mark = std::strtoull(Variable("COPPERPOINT_MARK").c_str(), nullptr, kMarkBase);
+  history.progress = std::strtoull(Variable("COPPERPOINT_MARK").c_str(), nullptr, kMarkBase);
   history.unexpected_exits = static_cast<std::uint32_t>(std::atoi(Variable("COPPERPOINT_ENDS").c_str()));
   return std::unique_ptr<SupervisorLink>(
       new SupervisorLink(io, descriptor, std::move(history), std::move(on_version_failed)));
@@ -48,11 +48,11 @@
 
 void SupervisorLink::ReportServing() { SendLine("ready"); }
 
-void SupervisorLink::ReportConnected() { SendLine("heard"); }
+void SupervisorLink::ReportMembershipContact() { SendLine("heard"); }
 
 void SupervisorLink::RequestVersion(const std::string& version) { SendLine("run " + version); }
 
-void SupervisorLink::StoreMark(std::uint64_t mark) { SendLine("mark " + log::Hex(mark)); }
+void SupervisorLink::StoreProgress(std::uint64_t progress) { SendLine("mark " + log::Hex(progress)); }
 
 // Does not block: a process sends a few short lines, which fit into the socket's buffer.
 void SupervisorLink::SendLine(const std::string& line) {
--- a/src/proxy/membership/supervisor_link.h
+++ b/src/proxy/membership/supervisor_link.h
@@ -21,12 +21,12 @@
   // What the supervisor remembers of itself and of the processes before this one.
   struct History {
     std::string version;         // that this process runs, by the supervisor's name for it
-    std::string failed_version;  // that was taken back last, and why; empty: none
+    std::string failed_version;  // that was rolled back last, and why; empty: none
     std::string failure;
-    std::uint64_t mark = 0;              // as stored last; 0: none
+    std::uint64_t progress = 0;          // as stored last; 0: none
     std::uint32_t unexpected_exits = 0;  // of processes of this version
   };
-  // The supervisor has taken a version back.
+  // The supervisor has rolled a version back.
   using OnVersionFailed = std::function<void(const std::string& version, const std::string& reason)>;
 
   // Null if no supervisor started this process.
@@ -36,9 +36,9 @@
   const History& history() const { return history_; }
 
   void ReportServing();                             // this process serves clients
-  void ReportConnected();                           // it is in contact with other members
+  void ReportMembershipContact();                   // it is in contact with other members
   void RequestVersion(const std::string& version);  // to be run in place of this process
-  void StoreMark(std::uint64_t mark);               // for processes to come
+  void StoreProgress(std::uint64_t progress);       // for processes to come
 
  private:
   SupervisorLink(boost::asio::io_context& io, int descriptor, History history,
--- a/src/simulation/world/fault_injector.cpp
+++ b/src/simulation/world/fault_injector.cpp
@@ -61,7 +61,14 @@
     case FaultKind::kRollingRestart:
       if (starts) ScheduleRollingRestart(fault, targets);
       return;
-    default:
+    case FaultKind::kPartition:
+    case FaultKind::kTrafficBurst:
+    case FaultKind::kPoisonRequest:
+    case FaultKind::kDiscoveryDown:
+    case FaultKind::kDiscoveryOverload:
+    case FaultKind::kLostResponses:
+    case FaultKind::kConnectionResets:
+    case FaultKind::kShortTimeouts:
       return OnSystemFault(fault, starts);
   }
 }
