--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -212,6 +212,20 @@
   EXPECT_GT(slow_start, 0);
 }
 
+// Logs of one proxy as a process, of that commit and of this version, that was sent the same requests: what
+// the simulation doesn't write is in them. The times are not the same, so only sums are compared.
+TEST(Count, SavedLogsOfAProxyOfTheVersionBeforeCountAsThisVersions) {
+  const std::string folder = SOURCE_DIR "/tests/log_analysis/saved_logs";
+  const LogCounter before = CountOf(folder + "/proxy_before"), now = CountOf(folder + "/proxy_now");
+  EXPECT_EQ(before.Requests(), now.Requests());
+  EXPECT_EQ(before.Attempts(), now.Attempts());
+  EXPECT_EQ(before.unreadable() + now.unreadable(), 0);
+  for (const char* name : {"client_error", "client_disconnected", "rejected:request_body_consumed"})
+    EXPECT_EQ(Of(before.Requests(), name), 1) << name;
+  EXPECT_EQ(before.dropped_lines(), 18);
+  EXPECT_EQ(now.dropped_lines(), 19);
+}
+
 TEST(Count, CountsEjectionsOfThisVersionAndTheOneBefore) {
   LogCounter counter({});
   counter.StartProxy("n1");
