--- a/src/membership/convergence_tracker.h
+++ b/src/membership/convergence_tracker.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Tells whether this member and those it receives messages of have the same table, and notices a partition:
+// Decides whether this member and those it receives messages of have the same table, and notices a partition:
 // tables that stay different.
 #ifndef COPPERPOINT_MEMBERSHIP_CONVERGENCE_TRACKER_H_
 #define COPPERPOINT_MEMBERSHIP_CONVERGENCE_TRACKER_H_
@@ -24,8 +24,8 @@
     agreements_ = 0;
   }
   // A member reported the hash of its table. True: the two should be synchronized, since they have differed
-  // for sync_delay without a change here, or since this member has agreed with nobody for kLostSyncDelays of
-  // them: where changes never cease, it has missed some.
+  // for sync_delay without a change here, or since this member has agreed with no other for kLostSyncDelays
+  // of them: where changes never cease, it has missed some.
   bool OnComparison(bool equal, Time now) {
     if (equal) {
       agreements_ = std::min(kMaxAgreements, agreements_ + 1);
@@ -36,7 +36,8 @@
     return now - last_agreement_ >= kLostSyncDelays * options_.sync_delay ||
            now - last_change_ >= options_.sync_delay;
   }
-  // Whether the last members heard from, four or all others, had the same table. `living` counts this one.
+  // Whether the last members that sent a message, four or all others, had the same table. `living` counts
+  // this one.
   bool Agrees(std::size_t living) const {
     return agreements_ >= static_cast<int>(std::min<std::size_t>(kMaxAgreements, living - 1));
   }
--- a/src/membership/local_clock.h
+++ b/src/membership/local_clock.h
@@ -11,7 +11,7 @@
 namespace copperpoint::membership {
 
 // A process that was stopped or starved has received nothing meanwhile, and must not conclude that the others
-// were silent (Lifeguard). It notices only by its own delayed wake-up; the delay is left out of its time, in
+// had stopped (Lifeguard). It notices only by its own delayed wake-up; the delay is left out of its time, in
 // which all timeouts of the membership are measured.
 //
 // Owns the sum of the pauses and the wake-up that is expected next.
--- a/src/membership/local_member.h
+++ b/src/membership/local_member.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This process as a member: its own record, which nobody else writes, and whether it takes part.
+// This process as a member: its own record, which no other member writes, and whether it takes part.
 #ifndef COPPERPOINT_MEMBERSHIP_LOCAL_MEMBER_H_
 #define COPPERPOINT_MEMBERSHIP_LOCAL_MEMBER_H_
 
--- a/src/membership/member_lifecycle.h
+++ b/src/membership/member_lifecycle.h
@@ -44,7 +44,7 @@
   void BecomeConfirmer(int index, Time now);
   // Dead or left, as `reported_by` declared so long ago.
   void Bury(int index, MemberStatus status, const std::string& reported_by, std::uint32_t age_ms, Time now);
-  // Somebody received a message of the member at `contact`; of a suspect, the others are informed.
+  // Another member received a message of it at `contact`; of a suspect, the others are informed.
   void RecordContact(int index, Time contact, Time now);
   // Removes tombstones that are older than their lifetime.
   void RemoveExpired(Time now);
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -69,7 +69,7 @@
   // in bytes distinguishes a tombstone.
   using Key = std::tuple<std::uint64_t, std::uint32_t, std::uint32_t, std::size_t>;
   std::map<Key, std::weak_ptr<const Record>> records_;
-  std::size_t sweep_at_ = kMinSweep;  // records, at which those that nobody uses are removed
+  std::size_t sweep_at_ = kMinSweep;  // records, at which those that no table uses are removed
 };
 
 // Owns the members, living ones and tombstones, and the hashes by which two tables are compared. A member is
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One member's knowledge of the fleet, from messages of the other members alone (docs/membership.md). No I/O,
+// One member's knowledge of the fleet, from messages of the other members only (docs/membership.md). No I/O,
 // no clock, no thread: time and frames come in, frames and events go out. The proxy and the fault tests host
 // the same class.
 #ifndef COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
@@ -94,7 +94,7 @@
   bool established() const { return local_.established(); }
   // It has left, or lost its name, and sends nothing more.
   bool stopped() const { return local_.stopped(); }
-  // Nobody is suspected, and the last members heard from, up to four, had the same table.
+  // No member is suspected, and the last members that sent a message, up to four, had the same table.
   bool converged() const;
   const Counters& counters() const { return counters_; }
   std::size_t gossip_dropped() const { return gossip_queue_.dropped(); }
--- a/src/membership/name_conflict.h
+++ b/src/membership/name_conflict.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides which of two processes with one name keeps it.
+// Decides which of two processes with one name may use it.
 #ifndef COPPERPOINT_MEMBERSHIP_NAME_CONFLICT_H_
 #define COPPERPOINT_MEMBERSHIP_NAME_CONFLICT_H_
 
@@ -16,8 +16,8 @@
 
 namespace copperpoint::membership {
 
-// The process whose claim supersedes the other's keeps the name, and the other stops. A process that has only
-// just started takes the name over, as after a restart.
+// The process whose claim supersedes the other's retains the name, and the other stops. A process that has
+// only just started takes the name over, as after a restart.
 //
 // Owns the time by which a process that others report under this name must have sent a message itself.
 class NameConflict {
--- a/src/membership/options.h
+++ b/src/membership/options.h
@@ -23,8 +23,8 @@
   int indirect_probes = 3;                       // other members that repeat it
   Time contact_timeout = milliseconds(2500);     // without contact with any member, before a death
   Time min_suspicion = milliseconds(1000);       // from the first accusation to a death
-  int max_suspicion_factor = 4;            // contact_timeouts until a death that nobody else has confirmed
-  int confirmers = 4;                      // members that probe a suspect besides its accuser
+  int max_suspicion_factor = 4;  // contact_timeouts until a death that no other member has confirmed
+  int confirmers = 4;            // members that probe a suspect besides its accuser
   Time gossip_period = milliseconds(100);  // between rounds, while claims are queued
   int fanout = 3;                          // recipients of a round
   int retransmit_factor = 4;               // times log10(n + 1): transmissions of a claim by each member
--- a/src/membership/output.h
+++ b/src/membership/output.h
@@ -34,7 +34,7 @@
   };
   Kind kind = Kind::kJoined;
   std::string name;           // of the member; kTooNew: the sender's address
-  std::string reported_by;    // the member that accused or declared; empty where nobody did
+  std::string reported_by;    // the member that accused or declared; empty where there is none
   Time time_since_contact{};  // kDead
 };
 // The name that log lines use.
--- a/src/membership/reply_limiter.h
+++ b/src/membership/reply_limiter.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Limits the replies to senders whose messages are not accepted, so that nobody can make a member send much.
+// Limits the replies to senders whose messages are not accepted, so that no sender can make a member send
+// much.
 #ifndef COPPERPOINT_MEMBERSHIP_REPLY_LIMITER_H_
 #define COPPERPOINT_MEMBERSHIP_REPLY_LIMITER_H_
 
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -115,7 +115,7 @@
                      });
   }
 
-  // The buffer grows as bytes arrive, so that a length alone allocates nothing.
+  // The buffer grows as bytes arrive, so that a length without data allocates nothing.
   void ReadBody(std::size_t size) {
     constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;
     const std::size_t received = incoming_.size();
--- a/src/subsetting/ring_position.h
+++ b/src/subsetting/ring_position.h
@@ -39,7 +39,8 @@
     membership::Time min_move_interval = std::chrono::seconds(2);
     // A membership that does not converge is used as it is after so long.
     membership::Time max_unconverged_wait = std::chrono::seconds(10);
-    // For how long a proxy counts after it stopped serving: a restart, as in a rolling change, moves nobody.
+    // For how long a proxy counts after it stopped serving: a restart, as in a rolling change, moves no other
+    // proxy.
     membership::Time departed_retention = std::chrono::seconds(10);
   };
 
