--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -21,7 +21,7 @@
 namespace http = boost::beast::http;
 
 constexpr std::chrono::seconds kCallTimeout{2};
-constexpr std::uint64_t kMaxResponseBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{64} * 1024 * 1024;
 constexpr int kHttp11 = 11;
 
 boost::asio::ip::tcp::endpoint EndpointOf(const std::string& address) {
--- a/src/cli/fault_test_plot_command.cpp
+++ b/src/cli/fault_test_plot_command.cpp
@@ -98,10 +98,10 @@
   const nlohmann::json_pointer<std::string> properties("/properties");
   const Json& first = result.runs[0]["properties"];
   for (std::size_t i = 0; i < first.size(); ++i) {
-    const std::string kind = first[i]["kind"].get<std::string>();
+    const std::string prefix = first[i]["kind"].get<std::string>() + "_";
     for (const auto& [name, value] : first[i].items()) {
       if (!value.is_number() || name == "bound") continue;
-      AddBar(kind + "_" + name, result, Values(result.runs, properties / i / name), charts);
+      AddBar(prefix + name, result, Values(result.runs, properties / i / name), charts);
     }
   }
 }
--- a/src/cli/rollout_simulate_command.cpp
+++ b/src/cli/rollout_simulate_command.cpp
@@ -127,6 +127,7 @@
 template <typename Value>
 std::vector<std::string> NamesOf(const std::vector<std::pair<std::string, Value>>& values) {
   std::vector<std::string> names;
+  names.reserve(values.size());
   for (const auto& [name, value] : values) names.push_back(name);
   return names;
 }
--- a/src/cli/serve_command.cpp
+++ b/src/cli/serve_command.cpp
@@ -20,6 +20,7 @@
                          const std::vector<std::pair<std::string, Value>>& names, std::optional<Value>* value,
                          const char* description) {
   std::vector<std::string> choices;
+  choices.reserve(names.size());
   for (const auto& [name, named] : names) choices.push_back(name);
   const auto assign = [&names, value](const std::string& chosen) {
     for (const auto& [name, named] : names) {
--- a/src/simulation/policies/pickers.h
+++ b/src/simulation/policies/pickers.h
@@ -38,7 +38,7 @@
 
 // Null if there is none of that name. `probe` sends a probe to a backend.
 std::unique_ptr<Picker> MakePicker(const std::string& name, std::uint64_t seed,
-                                   std::function<void(int index)> probe);
+                                   const std::function<void(int index)>& probe);
 std::vector<std::string> PickerNames();
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/run/simulation.cpp
+++ b/src/simulation/run/simulation.cpp
@@ -114,7 +114,7 @@
   world_.Release(slot);
 }
 
-// One case for each kind of event, hence the length.
+// NOLINTNEXTLINE(readability-function-size): one case for each kind of event
 void Simulation::Dispatch(const ScheduledEvent& event) {
   const auto slot = static_cast<std::uint32_t>(event.argument);
   switch (static_cast<EventKind>(event.kind)) {
--- a/src/simulation/world/arrival_process.cpp
+++ b/src/simulation/world/arrival_process.cpp
@@ -19,6 +19,7 @@
 template <typename Items>
 std::vector<double> SharesOf(const Items& items) {
   std::vector<double> shares;
+  shares.reserve(items.size());
   for (const auto& item : items) shares.push_back(item.share);
   return shares;
 }
--- a/src/simulation/world/fault_injector.cpp
+++ b/src/simulation/world/fault_injector.cpp
@@ -145,7 +145,8 @@
   const std::size_t batches = (backends.size() + batch - 1) / batch;
   const double length_s = std::min(fault.for_s, world_.scenario.length_s - fault.at_s);
   for (std::size_t i = 0; i < backends.size(); ++i) {
-    const double at_s = length_s * static_cast<double>(i / batch) / static_cast<double>(batches);
+    const std::size_t batch_index = i / batch;
+    const double at_s = length_s * static_cast<double>(batch_index) / static_cast<double>(batches);
     Schedule(at_s * kMsPerSecond, kDrainBackend, backends[i], 0);
   }
 }
