--- a/include/copperpoint/balancer.h
+++ b/include/copperpoint/balancer.h
@@ -3,9 +3,9 @@
 // The interface of the decision module: settings, events, actions, and the Balancer that maps events to
 // actions.
 //
-// A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
-// event and randomness derives from the seed alone. Classes, tenants, zones and machine kinds are indices
-// into the lists of the settings, so that no decision can depend on a name.
+// A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: each event carries its time
+// and all randomness derives from the seed. Classes, tenants, zones and machine kinds are indices into the
+// lists of the settings, so that no decision can depend on a name.
 #ifndef COPPERPOINT_BALANCER_H_
 #define COPPERPOINT_BALANCER_H_
 
@@ -29,9 +29,9 @@
 using Duration = Clock::duration;
 using TimePoint = Clock::time_point;
 
-// A logical request over all of its attempts; chosen by the caller and unique while the request is open.
+// Identifies a logical request over all of its attempts. The caller chooses it; unique while it is open.
 using RequestId = std::uint64_t;
-// A backend; chosen by the caller and stable while the backend is listed.
+// Identifies a backend. The caller chooses it; stable while the backend is in the endpoint list.
 using BackendId = std::uint32_t;
 
 // ---- settings -----------------------------------------------------------------------------------------
@@ -49,94 +49,94 @@
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;  // for kIdempotencyKey
-  Duration deduplication_window{0};  // for kIdempotencyKey: how long a key is remembered
-  Duration latency_objective{0};     // an answer within this earns the full weight
-  Duration deadline{0};              // clients usually give up after this
-  double priority_weight = 1;        // what one answer within the objective is worth
+  Duration deduplication_window{0};  // for kIdempotencyKey: how long backends remember a key
+  Duration latency_objective{0};     // an answer within this time earns the full priority weight
+  Duration deadline{0};              // clients usually give up after this time
+  double priority_weight = 1;        // value of one answer within the latency objective
   double late_weight_fraction =
       0;  // part of the weight that an answer after the objective still earns, 0 to 1
 };
 
 struct TenantSettings {
-  double quota_per_s = 0;  // requests a second that count in full, over all proxies
+  double quota_per_s = 0;  // requests per second with full priority weight, summed over all proxies
 };
 
-// What service is measured by: weights of the fraction of priority weight served overall, in the worst-served
-// class, and for the worst-served tenant within its quota.
+// How service is measured: the weights of three fractions of served priority weight: over all requests, in
+// the worst-served class, and for the worst-served tenant within its quota.
 struct ServiceObjective {
   double overall = 1, worst_class = 0, worst_tenant = 0;
 };
 
-// Defaults are the documented meaning of an absent optional setting; none of them steers a decision.
+// Each default is the documented meaning of an absent optional setting, not a tuning value.
 struct Settings {
   int proxy_count = 1;
-  int proxy_index = 0;  // of this proxy, from 0
-  int zone = 0;         // of this proxy
+  int proxy_index = 0;  // index of this proxy, 0 to proxy_count - 1
+  int zone = 0;         // zone of this proxy
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   ServiceObjective service_objective;
-  double over_quota_weight = 1;  // factor on the priority weight of a request over its tenant's quota
-  double cross_zone_cost = 0;  // of an attempt to a backend of another zone, as a part of a request's weight
-  bool key_affinity = false;   // a backend that served a key lately serves it again with less work
-  bool polls_endpoints = false;        // the endpoint list is polled for; otherwise discovery pushes changes
-  Duration max_poll_interval{0};       // for polls_endpoints: the rules want a poll at least this often
-  int max_attempts = 1;                // of one request, the first included
-  Duration max_retry_after{0};         // longest Retry-After that clients follow; 0: they follow none
-  Duration tick{1};                    // granularity of the caller's timers
-  double slow_start_min_capacity = 1;  // fraction of its capacity that a starting backend has at once
-  Duration slow_start_window{0};       // after this it has all of it
+  double over_quota_weight = 1;   // factor on the priority weight of a request over its tenant's quota
+  double cross_zone_cost = 0;     // part of a request's weight that an attempt in another zone costs, 0 to 1
+  bool key_affinity = false;      // a backend that served a key lately serves it again with less work
+  bool polls_endpoints = false;   // the proxy polls the endpoint list; otherwise discovery pushes changes
+  Duration max_poll_interval{0};  // for polls_endpoints: discovery requires a poll at least this often
+  int max_attempts = 1;           // attempts for one request, the first included
+  Duration max_retry_after{0};    // longest Retry-After that clients follow; 0: they follow none
+  Duration tick{1};               // granularity of the caller's timers
+  double slow_start_min_capacity = 1;  // fraction of its full capacity that a backend has when it starts
+  Duration slow_start_window{0};       // a backend reaches its full capacity this long after its start
   double overload_factor = 1;   // a starting backend fails when sent more than this multiple of its capacity
-  Duration overload_window{0};  // within this time
+  Duration overload_window{0};  // ... within this time
 };
 
 // ---- endpoints ----------------------------------------------------------------------------------------
 
-// What discovery says of a backend. The order is that of the simulator's wire.
+// The state of a backend as discovery reports it. The simulator's protocol has the states in this order.
 enum class EndpointState { kRemoved, kReady, kDraining };
 
-// How an endpoint list was obtained. The order is that of the simulator's wire.
+// How an endpoint list was obtained. The simulator's protocol has the kinds in this order.
 enum class EndpointUpdateKind {
   kIncremental,  // only the endpoints that changed
-  kSnapshot,     // all endpoints; those not named are removed
-  kCached,       // all endpoints, as known before this process started; may be old
+  kSnapshot,     // all endpoints; a backend that isn't among them is removed
+  kCached,       // all endpoints as they were before this process started; may be out of date
   kFailed,       // the poll or watch failed; no endpoints
 };
 
 struct Endpoint {
   BackendId backend = 0;
   int zone = 0;
-  int kind = 0;  // of machine
+  int kind = 0;  // machine kind
   int cell = 0;
   EndpointState state = EndpointState::kReady;
   double weight = 1;
-  TimePoint up_since{};  // start of its process; zero: long ago
+  TimePoint up_since{};  // when the backend's process started; zero: long ago
 };
 
-// How an attempt ended. Of a rejection, a connect failure and an attempt that was not sent it is certain that
-// the backend did not execute the request.
+// How an attempt ended. After kBackendRejected, kConnectFailure and kNotSent it is certain that the backend
+// did not execute the request.
 enum class AttemptOutcome {
   kSuccess,
   kServerError,
   kBackendRejected,
   kTimeout,
-  kConnectFailure,  // no connection, or the request was not written completely: it did not run
+  kConnectFailure,  // no connection, or the request was not written completely
   kConnectionReset,
   kCancelled,
   kNotSent,
-  kUnknown,  // the backend rejected the request itself (4xx): says nothing of the backend's health
+  kUnknown,  // the backend found the request invalid (4xx), which says nothing about the backend's health
 };
 
 // Why a request was rejected or failed.
 enum class RejectReason {
   kNone,
-  kUnknownClass,          // no settings for its class
-  kDeadlineUnreachable,   // its work takes longer than it is useful for
-  kLoadShed,              // shed early, by its fingerprint, under overload
-  kNoCapacity,            // queued, and no capacity came free in time
-  kNotRetriable,          // its last attempt failed and another is not permitted
-  kRetryBudgetExhausted,  // another attempt is permitted, but retries are over their budget
-  kProcessLimit,          // the proxy's own limit of connections or memory
-  kRequestBodyConsumed,   // part of its body has been forwarded and is no longer here
+  kUnknownClass,          // the settings don't have the request's class
+  kDeadlineUnreachable,   // its answer would come too late to have any weight
+  kLoadShed,              // shed on arrival under overload, by its fingerprint
+  kNoCapacity,            // it was queued and no capacity came free in time
+  kNotRetriable,          // its last attempt failed and another one is not permitted
+  kRetryBudgetExhausted,  // another attempt is permitted, but the retry budget is spent
+  kProcessLimit,          // the proxy reached its own limit of connections or memory
+  kRequestBodyConsumed,   // part of its body has been forwarded and is no longer in memory
 };
 
 // ---- events -------------------------------------------------------------------------------------------
@@ -150,13 +150,13 @@
 // A client's request. It gets exactly one final answer: a successful attempt, RejectRequest or FailRequest.
 struct RequestReceived {
   RequestId request = 0;
-  TimePoint deadline{};  // the client gives up then
+  TimePoint deadline{};  // when the client gives up
   int request_class = 0;
   int tenant = 0;
-  std::uint64_t key = 0;           // for affinity; 0: none
+  std::uint64_t key = 0;           // key for affinity; 0: none
   bool has_work_estimate = false;  // the client gave estimated_work_ms
-  bool client_retry = false;       // the client marks it as a retry
-  double estimated_work_ms = 0;    // on a standard core
+  bool client_retry = false;       // the client marked the request as a retry
+  double estimated_work_ms = 0;    // time on a standard core, in milliseconds
 };
 
 // The response to an attempt has begun: the request has its answer.
@@ -175,7 +175,7 @@
   Duration duration{0};
 };
 
-// The client has closed its connection: nothing more is owed to it.
+// The client has closed its connection: the request needs no answer any more.
 struct ClientDisconnected {
   RequestId request = 0;
 };
@@ -189,8 +189,8 @@
 struct BackendSnapshot {
   BackendId backend = 0;
   int ejection_multiplier = 0;
-  Duration ejection_remaining{0};  // 0: not ejected
-  double slow_start_work = 0;      // ms of work sent to it within the overload window, while it warms up
+  Duration ejection_remaining{0};  // time until the ejection ends; 0: not ejected
+  double slow_start_work = 0;      // work sent within the overload window while warming up, in ms
 };
 
 // The state that the predecessor of this process exported.
@@ -198,10 +198,10 @@
   std::vector<BackendSnapshot> backends;
 };
 
-// Where this proxy's subset begins on the ring of backends, as the proxies agree among themselves. Without
-// this event the offset follows from Settings::proxy_index.
+// Where this proxy's subset begins on the ring of backends, as agreed among the proxies by gossip. Until such
+// an event, the offset follows from Settings::proxy_index.
 struct SubsetPosition {
-  double ring_offset = 0;  // 0 to below 1
+  double ring_offset = 0;  // fraction of the ring, 0 to below 1
 };
 
 using Event = std::variant<EndpointUpdate, RequestReceived, ResponseStarted, AttemptCompleted,
@@ -213,13 +213,13 @@
 struct StartAttempt {
   RequestId request = 0;
   BackendId backend = 0;
-  Duration timeout{0};  // 0: until the client's deadline
+  Duration timeout{0};  // 0: no timeout but the client's deadline
 };
 
-// Final answer: the request had no effect, and a client retry is harmless.
+// Final answer: the request had no effect, or repeating it has none, so that a client retry is harmless.
 struct RejectRequest {
   RequestId request = 0;
-  Duration retry_after{0};  // 0: no advice
+  Duration retry_after{0};  // how long the client should wait before a retry; 0: no advice
   RejectReason reason = RejectReason::kNone;
 };
 
@@ -229,7 +229,7 @@
   RejectReason reason = RejectReason::kNone;
 };
 
-struct SetTimer {
+struct SetTimer {  // requests a TimerFired with `token` at time `at`
   TimePoint at{};
   std::uint64_t token = 0;
 };
@@ -242,7 +242,7 @@
   BackendId backend = 0;
 };
 
-// A line for the log.
+// Write a line to the log.
 struct Log {
   std::string text;
 };
@@ -252,21 +252,21 @@
 
 // ---- the module ---------------------------------------------------------------------------------------
 
-// Makes every decision of one proxy. Owns all state that decisions rest on; not thread-safe.
+// Makes every decision of one proxy. Owns all state that the decisions depend on. Not thread-safe.
 class Balancer {
  public:
-  // `seed`: of all random draws.
+  // `seed` determines all random draws.
   Balancer(Settings settings, std::uint64_t seed);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Appends to `actions` what is to be done at `now` because of `event`. `now` must not go back. Events about
-  // requests, attempts or backends that are not known are ignored; nothing is thrown for the content of an
-  // event.
+  // Appends to `actions` what the caller has to do at time `now` in response to `event`. `now` must not go
+  // back from one call to the next. Events about unknown requests, attempts or backends are ignored; no
+  // content of an event makes this throw.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  // What a successor should know at its start, as its StateRestored event.
+  // Returns the state for the StateRestored event of this process's successor.
   std::vector<BackendSnapshot> ExportState(TimePoint now);
 
  private:
