--- a/src/decision/attempt_timeout.h
+++ b/src/decision/attempt_timeout.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides after which time an attempt is given up so that another one can still succeed.
+// Decides after how long an attempt is cancelled so that a retry can still succeed before the deadline.
 #ifndef COPPERPOINT_DECISION_ATTEMPT_TIMEOUT_H_
 #define COPPERPOINT_DECISION_ATTEMPT_TIMEOUT_H_
 
@@ -10,17 +10,18 @@
 
 struct AttemptTimeoutInputs {
   bool may_retry = false;    // idempotency, attempts and budget permit another attempt after this one
-  bool has_samples = false;  // the two latencies below rest on enough answers
-  bool backend_has_attempts = false;  // attempts are outstanding at the backend
-  Duration time_since_activity{0};    // since its last activity
-  Duration unlikely_latency{0};       // of such a request
-  Duration usual_latency{0};          // that the retry needs
-  TimePoint now{}, deadline{};        // the deadline is the client's
+  bool has_samples = false;  // unlikely_latency and usual_latency are based on enough answers
+  bool backend_has_attempts = false;  // other attempts are outstanding at the backend
+  Duration time_since_activity{0};    // time since BackendState::last_activity of the backend
+  Duration unlikely_latency{0};       // latency that such a request exceeds only rarely
+  Duration usual_latency{0};          // latency that is expected of the retry
+  TimePoint now{}, deadline{};        // current time and the client's deadline
 };
 
-// The timeout of an attempt, 0 for none. Only a backend that owes answers, and has been silent for longer
-// than such requests take (mean and four deviations), gets one: a timeout of what is merely late doubles its
-// work. None either where a retry isn't permitted or would come too late.
+// Returns the timeout of an attempt, 0 for none. An attempt gets a timeout only if other attempts are
+// outstanding at its backend and the backend has been silent for longer than such requests take (mean plus
+// four deviations): cancelling an attempt that is merely late and retrying it would double its work. There is
+// no timeout either if a retry isn't permitted or could not be answered before the deadline.
 inline Duration AttemptTimeoutFor(const AttemptTimeoutInputs& inputs) {
   if (!inputs.may_retry || !inputs.has_samples || !inputs.backend_has_attempts) return Duration(0);
   if (inputs.time_since_activity < inputs.unlikely_latency) return Duration(0);
--- a/src/decision/backend_picker.cpp
+++ b/src/decision/backend_picker.cpp
@@ -11,10 +11,13 @@
 namespace copperpoint {
 namespace {
 
-constexpr double kSlownessWeight = 1;  // of the time lost at a slow backend, against outstanding work
-constexpr double kAffinityWeight = 2;  // of the work of a request, at a backend that served its key lately
+// Weight of the time lost at a slow backend, relative to outstanding work.
+constexpr double kSlownessWeight = 1;
+// A backend that served the request's key lately is credited with this multiple of the request's work.
+constexpr double kAffinityWeight = 2;
 
-// A plain loop, as there are few attempts and at the first pick none: std::any_of is unrolled for many.
+// A plain loop is faster here: there are few attempts, none at the first pick, and the compiler unrolls
+// std::any_of for many.
 bool WasAttempted(const RequestState& request, BackendIndex index) {
   for (const AttemptState& attempt : request.attempts) {
     if (attempt.backend == index) return true;
@@ -24,7 +27,7 @@
 
 }  // namespace
 
-// One pick: what it is for, and the best backend so far.
+// State of one pick: its request and the best backend found so far.
 struct BackendPicker::Search {
   const RequestState& request;
   const Endpoint* deduplication_anchor;
@@ -33,13 +36,15 @@
   Random& random;
 
   BackendState* best = nullptr;
-  int best_rank = 0;  // 0: in service; 1: and attempted before; 2, 3: the same out of service
+  // 0: in service and not attempted before, 1: in service and attempted before; 2 and 3: the same out of
+  // service.
+  int best_rank = 0;
   double best_score = 0;
-  int ties = 0;
-  double crossing_work_ms = 0;
+  int ties = 0;                 // backends with the best rank and score
+  double crossing_work_ms = 0;  // added to the score of backends in other zones
   PreferredBackends preferred{};
-  bool any_in_service = false;  // though perhaps over its budget
-  BackendState* over_budget = nullptr;
+  bool any_in_service = false;          // a candidate is in service, with or without slow start budget
+  BackendState* over_budget = nullptr;  // the first candidate without slow start budget
 
   bool best_in_service() const { return best != nullptr && best_rank < 2; }
 };
@@ -67,8 +72,8 @@
          (backend.endpoint.zone != in_.settings.zone ? search.crossing_work_ms : 0);
 }
 
-// Inlined into the loops of a pick, which call it for dozens of backends: a call would cost as much as it
-// does.
+// Inlined because a pick calls this for dozens of backends, and a function call would cost as much as the
+// function's work.
 [[gnu::always_inline]] inline void BackendPicker::Consider(BackendIndex index, Search& search) const {
   BackendState& backend = in_.endpoints[index];
   if (!backend.ready()) return;
@@ -117,7 +122,8 @@
     if (BackendState* picked = PickFromSample(candidates, search)) return picked;
   }
   for (const BackendIndex index : candidates) Consider(index, search);
-  // Where backends in service lack only slow start budget: wait rather than use one that is out of service.
+  // If the backends in service lack only slow start budget, the request waits instead of being sent to a
+  // backend that is out of service.
   return search.best && !search.best_in_service() && search.any_in_service ? nullptr : search.best;
 }
 
@@ -149,7 +155,7 @@
   }
 }
 
-// So that the memory of several backends is waited for once.
+// Prefetches a candidate so that the memory accesses of several candidates overlap.
 void BackendPicker::Prefetch(BackendIndex index) const {
   const char* const at = reinterpret_cast<const char*>(&in_.endpoints[index]);
   __builtin_prefetch(at);
--- a/src/decision/backend_picker.h
+++ b/src/decision/backend_picker.h
@@ -21,7 +21,7 @@
 
 namespace copperpoint {
 
-// What a pick reads. All of it outlives the picker.
+// The state that a pick reads. All of it must outlive the picker.
 struct PickerInputs {
   const Settings& settings;
   EndpointSet& endpoints;
@@ -32,28 +32,28 @@
   const LatencyStatistics& latencies;
 };
 
-// Picks the backend with the least outstanding work of this proxy, ties at random. To that work are added the
-// time that a slow backend would lose, and what a crossing of zones counts as; a backend that is expected to
-// serve the key with less work is preferred by what it saves. Backends over their slow start budget are
-// passed over. Those that have had an attempt of the request come last; where no backend is in service, an
-// ejected one is picked rather than the request rejected.
+// Picks the backend with the least outstanding work of this proxy; ties are broken at random. The time that
+// would be lost at a slow backend and the cost of crossing zones are added to that work. The work that a
+// backend is expected to save for the request's key is subtracted. Backends over their slow start budget are
+// skipped. Backends that have already had an attempt of the request are ranked last. If no backend is in
+// service, an ejected one is picked, so that the request isn't rejected.
 //
-// Looks in the subset first, then at all ready backends. Of more than kMaxRanked it ranks a sample:
-// kSampleSize drawn at random, the last kRecentPicks picked, and those that the key was sent to lately, so
-// that a pick doesn't cost more the more backends there are. Of a sample one is nearly always idle; that it
-// is fast is known of those picked before (two choices with memory, Mitzenmacher, Prabhakar and Shah 2002).
-// Where none of the sample can be used, all are ranked.
+// The subset is searched first, then all ready backends. Of more than kMaxRanked candidates only a sample is
+// ranked, so that the cost of a pick doesn't grow with the number of backends: kSampleSize drawn at random,
+// the last kRecentPicks picked, and those that the key was sent to lately. At least one of such a sample is
+// nearly always idle, and the recent picks are known to be fast (two choices with memory, Mitzenmacher,
+// Prabhakar and Shah 2002). If no backend of the sample can be used, all candidates are ranked.
 //
-// Owns the list of recent picks.
+// Owns the list of recent picks. Not thread-safe.
 class BackendPicker {
  public:
   explicit BackendPicker(const PickerInputs& inputs) : in_(inputs) {}
 
   struct Result {
-    BackendState* backend = nullptr;      // null: none can be used now
-    BackendState* over_budget = nullptr;  // the first that was passed over for its slow start budget
+    BackendState* backend = nullptr;      // null: no backend can be used now
+    BackendState* over_budget = nullptr;  // first backend that was skipped for its slow start budget, or null
   };
-  // `deduplication_anchor`: see RetryPolicy::Permission.
+  // Picks a backend for the next attempt of `request`. `deduplication_anchor`: see RetryPolicy::Permission.
   Result Pick(const RequestState& request, std::optional<BackendIndex> deduplication_anchor, TimePoint now,
               Random& random);
 
@@ -72,7 +72,7 @@
   void Prefetch(BackendIndex index) const;
 
   const PickerInputs in_;
-  std::vector<BackendIndex> recent_;  // a ring buffer, written at next_recent_
+  std::vector<BackendIndex> recent_;  // ring buffer; the next pick is written at next_recent_ % size
   std::size_t next_recent_ = 0;
 };
 
--- a/src/decision/backend_ring.h
+++ b/src/decision/backend_ring.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Backends in an order that all proxies share: by a hash of their ids.
+// The backends in the order of a hash of their ids, which is the same at all proxies.
 #ifndef COPPERPOINT_DECISION_BACKEND_RING_H_
 #define COPPERPOINT_DECISION_BACKEND_RING_H_
 
@@ -14,12 +14,13 @@
 
 namespace copperpoint {
 
+// A sorted list of backend indices. `id_of(index)` of the methods below returns the BackendId of an index.
 class BackendRing {
  public:
   const std::vector<BackendIndex>& order() const { return order_; }
   std::size_t size() const { return order_.size(); }
 
-  // Inserts a backend unless it is there, without sorting all. `id_of(index)` is the BackendId.
+  // Inserts a backend at its position, unless it is in the ring already. Doesn't sort the other backends.
   template <typename IdOf>
   void Insert(BackendIndex index, const IdOf& id_of) {
     const auto at = std::lower_bound(
@@ -28,7 +29,7 @@
     if (at == order_.end() || *at != index) order_.insert(at, index);
   }
 
-  // All backends of index 0 to below `count`.
+  // Replaces the contents by the backends of index 0 to `count` - 1.
   template <typename IdOf>
   void Rebuild(std::size_t count, const IdOf& id_of) {
     std::vector<Position> positions;
@@ -49,7 +50,7 @@
 
  private:
   struct Position {
-    std::uint32_t hash = 0;  // of the id
+    std::uint32_t hash = 0;  // hash of the BackendId
     BackendIndex index = 0;
     friend bool operator<(const Position& a, const Position& b) {
       return a.hash != b.hash ? a.hash < b.hash : a.index < b.index;
--- a/src/decision/backend_set_updater.cpp
+++ b/src/decision/backend_set_updater.cpp
@@ -66,7 +66,7 @@
   if (!state_.outlier_detector.OnOutcome(backend.health, backend.ready(), success, state_.now, state_.random))
     return;
   OnBackendSetChanged();
-  // At low traffic the ejection lasts, and other proxies may need the connections.
+  // At low traffic ejections are long, and other proxies may need the connections meanwhile.
   if (state_.outlier_detector.low_traffic()) state_.Emit(CloseIdleConnections{backend.endpoint.backend});
   if (state_.MayLog(LogKind::kHealth))
     state_.WriteLog("backend " + std::to_string(backend.endpoint.backend) +
--- a/src/decision/backend_set_updater.h
+++ b/src/decision/backend_set_updater.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What changes the set of backends that are listed or in service, and the subset with it: endpoint lists,
-// ejections, zone outages, and their ends.
+// Updates the set of backends that are listed or in service, and with it the subset: on endpoint lists, and
+// when ejections and zone outages begin and end.
 #ifndef COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
 #define COPPERPOINT_DECISION_BACKEND_SET_UPDATER_H_
 
@@ -20,17 +20,19 @@
   void OnEndpointUpdate(const EndpointUpdate& update);
   void OnStateRestored(const StateRestored& restored);
   void OnSubsetPosition(const SubsetPosition& position);
+  // Returns the state of the backends that have been ejected or are warming up, for the successor.
   std::vector<BackendSnapshot> Export(TimePoint now);
 
-  // An attempt at the backend got no answer: its zone may be out of service.
+  // Records that an attempt at the backend got no answer. May take the backend's zone out of service.
   void OnNoAnswer(BackendState& backend);
-  // Counts an outcome for outlier detection.
+  // Records the outcome of an attempt for outlier detection. May eject the backend.
   void OnOutcome(BackendState& backend, bool success);
 
-  // Ends intervals, ejections and outages that are over.
+  // Ends the outlier detection interval, ejections and zone outages whose time is over.
   void Advance();
+  // Recomputes DecisionState::capacity.
   void CountCapacity();
-  // Fits the subset and outlier detection to this proxy's traffic.
+  // Adapts the interval of outlier detection and the size of the subset to this proxy's traffic.
   void FitToTraffic();
 
  private:
--- a/src/decision/backend_state.h
+++ b/src/decision/backend_state.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a proxy knows of one backend: a record in which each rule owns a part.
+// What a proxy knows of one backend: a record of several parts, each owned by one rule.
 #ifndef COPPERPOINT_DECISION_BACKEND_STATE_H_
 #define COPPERPOINT_DECISION_BACKEND_STATE_H_
 
@@ -12,18 +12,18 @@
 
 namespace copperpoint {
 
-// Of the dense array of backends in EndpointSet.
+// Index of a backend in EndpointSet::backends().
 using BackendIndex = std::uint32_t;
 
-// Owned by RelativeLatency (relative_latency.h).
+// The relative latency of a backend. Owned by RelativeLatency (relative_latency.h).
 struct LatencyState {
-  double ratio = 1;  // latency of its answers over what all backends take for the like
+  double ratio = 1;  // latency of the backend's answers over the mean of their class, averaged
   TimePoint updated_at{};
 };
 
-// Owned by OutlierDetector.
+// The outcomes and the ejection of a backend. Owned by OutlierDetector.
 struct BackendHealth {
-  int successes = 0, failures = 0;  // of this interval
+  int successes = 0, failures = 0;  // attempts that ended in this interval
   int ejection_multiplier = 0;
   bool ejected = false;
   TimePoint ejected_until{};
@@ -35,7 +35,7 @@
  public:
   void Add(TimePoint now, double work_ms) { sent_.emplace_back(now, work_ms); }
   void Clear() { sent_.clear(); }
-  // Sum in ms of the work sent within the last `window`. Forgets what was sent before.
+  // Returns the work sent within the last `window`, in ms. Erases what was sent before.
   double Within(TimePoint now, Duration window) {
     std::erase_if(sent_, [&](const auto& sent) { return now - sent.first > window; });
     double sum = 0;
@@ -47,27 +47,30 @@
   std::vector<std::pair<TimePoint, double>> sent_;
 };
 
-// Owned by SlowStart.
+// What has been sent to a backend that is warming up. Owned by SlowStart.
 struct SlowStartState {
   WorkWindow sent;
-  TimePoint last_sent{};  // or the start of its process
+  TimePoint last_sent{};  // when the last attempt was sent; before the first, when the backend was listed
   double wait_fraction =
-      1;  // of the slow start wait that must pass before the next attempt; random for the first
+      1;  // fraction of the slow start wait that the next attempt must wait for; random for the first attempt
 };
 
+// The record of one backend. Members without a named owner are updated by the steps of a decision.
 struct BackendState {
-  // What a pick reads stands first and together: with thousands of backends a pick waits for memory.
+  // The members that a pick reads come first and together: with thousands of backends, memory access limits
+  // the speed of a pick.
   Endpoint endpoint;
-  double outstanding_work_ms = 0;  // of this proxy's attempts
+  double outstanding_work_ms = 0;  // estimated work of this proxy's outstanding attempts
   LatencyState latency;
   BackendHealth health;
-  int subset_generation = 0;    // the last subset that contained it; owned by Subset
-  int snapshot_generation = 0;  // the last snapshot that listed it; owned by EndpointSet
+  int subset_generation = 0;    // last subset that contained the backend; owned by Subset
+  int snapshot_generation = 0;  // last full list that contained the backend; owned by EndpointSet
   int outstanding_attempts = 0;
   bool in_zone_outage = false;
   SlowStartState slow_start;
-  TimePoint last_activity{};  // last outcome but a timeout, or start of an attempt while none was outstanding
-  TimePoint removed_at{};     // owned by EndpointSet
+  // When an attempt last ended otherwise than by a timeout, or was started while none was outstanding.
+  TimePoint last_activity{};
+  TimePoint removed_at{};  // when the backend was removed; owned by EndpointSet
 
   bool ready() const { return endpoint.state == EndpointState::kReady; }
   bool in_service() const { return !(health.ejected || in_zone_outage); }
--- a/src/decision/balancer.cpp
+++ b/src/decision/balancer.cpp
@@ -18,7 +18,7 @@
 
 namespace copperpoint {
 
-// Owns the state of all rules, and conducts the steps that work on it.
+// Owns the state of all rules and the steps that work on it, and passes each event to the steps concerned.
 class Balancer::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed) : state_(std::move(settings), seed) {}
@@ -26,7 +26,8 @@
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
     state_.now = now;
     state_.actions = actions;
-    // The event comes first: a list may remove a backend that a due retry would go to.
+    // The event is handled before the timers: an endpoint list may remove a backend that a retry which is due
+    // now would be sent to.
     std::visit([this](const auto& e) { On(e); }, event);
     AdvanceTime();
     scheduler_.DispatchQueued();
@@ -41,7 +42,7 @@
   void On(const StateRestored& event) { backend_set_.OnStateRestored(event); }
   void On(const SubsetPosition& event) { backend_set_.OnSubsetPosition(event); }
   void On(const RequestReceived& event) { admission_.OnRequestReceived(event); }
-  void On(const TimerFired&) {}  // the time is all that it brings
+  void On(const TimerFired&) {}  // AdvanceTime does all that is due
 
   void On(const ResponseStarted& event) {
     const auto found = state_.requests.find(event.request);
@@ -97,7 +98,7 @@
   OutcomeObserver observer_{state_, backend_set_};
   RequestAdmission admission_{state_, scheduler_};
   RateSampler sampler_{state_, backend_set_, observer_};
-  TimePoint timer_at_ = kNever;  // the timer that is set
+  TimePoint timer_at_ = kNever;  // when the earliest pending timer fires
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/decision/client_retry_detector.cpp
+++ b/src/decision/client_retry_detector.cpp
@@ -32,7 +32,7 @@
   if (entry.open > 0 || now < entry.served_until) entry.shared_until = now + kSharedMemory;
   ++entry.open;
   if (now < entry.shared_until || now >= entry.may_return_until) return {now};
-  entry.may_return_until = TimePoint{};  // each attempt that ended has one retry
+  entry.may_return_until = TimePoint{};  // the client retries each failed attempt once at most
   LogicalRequest request = entry.last_failed;
   ++request.client_attempts;
   return request;
--- a/src/decision/client_retry_detector.h
+++ b/src/decision/client_retry_detector.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Recognises a client's retry of a request that was rejected or failed a moment ago.
+// Recognises client retries: requests that repeat one which was rejected or failed shortly before.
 #ifndef COPPERPOINT_DECISION_CLIENT_RETRY_DETECTOR_H_
 #define COPPERPOINT_DECISION_CLIENT_RETRY_DETECTOR_H_
 
@@ -12,32 +12,32 @@
 
 namespace copperpoint {
 
-// A hash of what all attempts of a client's request have in common: class, tenant, key and estimated work. 0:
-// the client says too little to recognise it by.
+// Returns a hash of the fields that all attempts of a client at one request have in common: class, tenant,
+// key and estimated work. Returns 0 if the request has neither a key nor an estimate to be recognised by.
 std::uint64_t FingerprintOf(const RequestReceived& request);
 
-// A client's request over all the attempts that the client made of it through this proxy.
+// A client's request over all attempts that the client made at it through this proxy.
 struct LogicalRequest {
-  TimePoint first_received{};  // its first attempt
-  int client_attempts = 1;     // up to and including the current one
-  bool within_quota = true;    // of its tenant, as found at the first attempt
+  TimePoint first_received{};  // when the client's first attempt arrived
+  int client_attempts = 1;     // the client's attempts up to and including the current one
+  bool within_quota = true;    // whether the first attempt was within its tenant's quota
 };
 
-// Clients that mark their retries need no detection; others give each attempt a new id and are recognised by
-// the fingerprint. A fingerprint that several open requests share, or one that was answered lately,
-// identifies no request: with a constant estimate or a popular key nothing is recognised, rather than the
-// wrong request (docs/overload.md has the rates).
+// Clients give each attempt a new request id, so that a retry is recognised by its fingerprint. A fingerprint
+// that several open requests share, or whose last request was answered lately, identifies no request: with a
+// constant work estimate or a popular key, no retry is recognised, instead of one of the wrong request
+// (docs/overload.md has the rates). Retries that the client marks need no detection.
 //
 // Owns the fingerprints seen within the clients' deadlines, at most kMaxFingerprints of them.
 class ClientRetryDetector {
  public:
-  static constexpr std::size_t kMaxFingerprints = 65536;  // further ones are not remembered
-  static constexpr Duration kSharedMemory{30000};         // a shared fingerprint is not trusted for this long
+  static constexpr std::size_t kMaxFingerprints = 65536;  // further fingerprints are not recorded
+  static constexpr Duration kSharedMemory{30000};  // how long a shared fingerprint identifies no request
 
-  // The logical request that an attempt received at `now` belongs to; a new one unless it is a retry.
+  // Returns the logical request of an attempt received at `now`: a new one unless the attempt is a retry.
   LogicalRequest OnReceived(std::uint64_t fingerprint, TimePoint now);
-  // Each attempt received ends once: without an answer, so that the client may retry until `until`; or with
-  // one, so that the same fingerprint is no retry until `until`.
+  // Each attempt passed to OnReceived ends by one call: OnUnserved if it was not answered, and the client may
+  // retry it until `until`; OnServed if it was answered, and the same fingerprint is no retry until `until`.
   void OnUnserved(std::uint64_t fingerprint, const LogicalRequest& request, TimePoint until);
   void OnServed(std::uint64_t fingerprint, TimePoint until);
 
@@ -46,7 +46,7 @@
  private:
   struct Entry {
     int open = 0;                // attempts received that have not ended
-    LogicalRequest last_failed;  // of the last attempt that ended without an answer
+    LogicalRequest last_failed;  // logical request of the last attempt that ended without an answer
     TimePoint may_return_until{}, served_until{}, shared_until{};
     TimePoint ExpiresAt() const;
   };
@@ -58,7 +58,7 @@
   void RemoveExpired(TimePoint now);
 
   boost::unordered_flat_map<std::uint64_t, Entry> entries_;
-  std::deque<Expiry> expiries_;  // roughly by time
+  std::deque<Expiry> expiries_;  // in the order in which attempts ended, which is roughly that of `at`
 };
 
 }  // namespace copperpoint
--- a/src/decision/client_timeouts.h
+++ b/src/decision/client_timeouts.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Estimates how much of its client's time a request has already used when it arrives.
+// Estimates how long a client has already been waiting for its answer when a request arrives.
 #ifndef COPPERPOINT_DECISION_CLIENT_TIMEOUTS_H_
 #define COPPERPOINT_DECISION_CLIENT_TIMEOUTS_H_
 
@@ -12,16 +12,18 @@
 
 namespace copperpoint {
 
-// What has passed of a client's deadline has passed of its latency objective too. A client gives each attempt
-// but the last one of a few usual timeouts, which differ among clients; the last attempt has what is left of
-// the deadline. The usual timeouts of a class are found by counting how often each recurs.
+// The time that has passed of a client's deadline has also passed of its latency objective. Each client uses
+// one of a few usual timeouts for all of its attempts but the last, which has the rest of the deadline. A
+// request that arrives with a usual timeout therefore is no last attempt, and its remaining time doesn't tell
+// how much has passed. The usual timeouts of a class are found by counting how often each recurs.
 //
-// Owns the counts of one class, of at most kTimeouts timeouts; a new one replaces the one counted rarest.
+// Owns the counts of at most kTimeouts timeouts of one class. A new timeout replaces the one with the lowest
+// count.
 class ClientTimeouts {
  public:
-  // Counts a request that arrived with `remaining` until its deadline, where the settings' is `deadline`, and
-  // returns how much time it has used, 0 while too few requests were counted. `client_retry`: the client
-  // marks it as such.
+  // Counts a request that arrived with `remaining` until its deadline, where the class has the deadline
+  // `deadline`. Returns how long its client has been waiting for; 0 while too few requests were counted.
+  // `client_retry`: the client marked the request as a retry.
   Duration ElapsedOnArrival(Duration remaining, Duration deadline, bool client_retry) {
     const Duration elapsed = std::max(Duration(0), deadline - remaining);
     if (Count(remaining) >= kMinCount) return client_retry ? elapsed * 0.5 : Duration(0);
@@ -30,9 +32,9 @@
 
  private:
   static constexpr int kTimeouts = 8;
-  static constexpr int kMinCount = 10;            // of a usual timeout
-  static constexpr double kEqualFraction = 0.04;  // by which equal timeouts may differ
-  static constexpr int kHalvingRequests = 256;    // after so many, all counts are halved
+  static constexpr int kMinCount = 10;            // a timeout counted this often is a usual one
+  static constexpr double kEqualFraction = 0.04;  // timeouts that differ by less are counted as equal
+  static constexpr int kHalvingRequests = 256;    // all counts are halved each time after this many requests
 
   struct Timeout {
     Duration time{0};
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -7,14 +7,17 @@
 namespace copperpoint {
 namespace {
 
-constexpr double kMaxObjectiveFraction = 0.33;  // of the mean objective that an attempt may take, in the mean
-constexpr double kMaxLatencyMultiple = 3;       // of the uncongested latency that it may take, in the mean
-constexpr double kDeviations = 1;  // standard deviations of a Poisson number in flight that are still normal
-constexpr double kMinPerBackend = 3;         // in flight at one backend, of all proxies, always permitted
+// The mean latency of attempts may be this fraction of the mean latency objective ...
+constexpr double kMaxObjectiveFraction = 0.33;
+// ... and this multiple of the uncongested latency.
+constexpr double kMaxLatencyMultiple = 3;
+// The number in flight varies like a Poisson variable; this many standard deviations are permitted.
+constexpr double kDeviations = 1;
+constexpr double kMinPerBackend = 3;         // attempts per backend, over all proxies, always permitted
 constexpr double kMaxMinInFlight = 4;        // upper bound of MinInFlight(), reached without congestion
-constexpr double kCongestionGain = 0.1;      // of one answer
-constexpr double kMaxCongestion = 16;        // that one answer counts as
-constexpr Duration kCongestionMemory{8000};  // without further answers
+constexpr double kCongestionGain = 0.1;      // weight of one answer in the average
+constexpr double kMaxCongestion = 16;        // upper bound of the ratio that one answer adds to the average
+constexpr Duration kCongestionMemory{8000};  // time constant of the return to 1 without further answers
 
 }  // namespace
 
@@ -27,7 +30,8 @@
   return in_flight_ - overdue_ < std::max(always_permitted, mean + kDeviations * std::sqrt(mean));
 }
 
-// With many proxies this bounds the queues at the backends: 4 up to a congestion of 1.5, falling to 1 at 6.
+// Attempts that are permitted at any rate of answers: 4 up to a congestion of 1.5, falling to 1 at a
+// congestion of 6. With many proxies this bounds the queues at the backends.
 double ConcurrencyLimit::MinInFlight() const {
   return std::clamp(1.5 * kMaxMinInFlight / std::max(congestion_, 0.1), 1.0, kMaxMinInFlight);
 }
--- a/src/decision/decision_state.h
+++ b/src/decision/decision_state.h
@@ -42,18 +42,18 @@
 // The open requests.
 using Requests = boost::unordered_flat_map<RequestId, RequestState>;
 
-// Of the backends listed as ready.
+// The capacity of the backends listed as ready, in backends.
 struct BackendSetCapacity {
-  double ready = 0;  // one that is warming up counts as its capacity fraction
-  // Those that are not ejected; zone outages are not subtracted. A backend that is warming up counts as the
-  // square root of its capacity fraction, between the fraction itself (which overstates the rate of the warm
-  // backends) and 1 (which starves backends that are all warming up).
+  double ready = 0;  // all of them; a backend that is warming up counts as its capacity fraction
+  // The backends that are not ejected; zone outages are not subtracted. A backend that is warming up counts
+  // as the square root of its capacity fraction. The fraction itself would overstate the rate of the warm
+  // backends; 1 would starve the backends while all of them are warming up.
   double in_service = 0;
   bool any_warming_up = false;
 };
 
-// The state that the steps of a decision share. Each rule owns its own state and is used by its public
-// methods only. Not copyable, as rules refer to each other.
+// The state that the steps of a decision share. Each rule owns its own state, and the steps use it through
+// its public methods only. Not copyable, since the picker holds references to other members.
 struct DecisionState {
   DecisionState(Settings settings_of_proxy, std::uint64_t seed)
       : settings(std::move(settings_of_proxy)), random(seed), client_timeouts(settings.classes.size()) {}
@@ -73,7 +73,7 @@
   const Settings settings;
   Random random;
 
-  // The event that is being handled.
+  // The time of the event that is being handled, and the list that its actions are appended to.
   TimePoint now{};
   std::vector<Action>* actions = nullptr;
 
@@ -91,13 +91,13 @@
   // Requests.
   Requests requests;
   RequestQueue queue;
-  bool recheck_queue = false;  // capacity may have come free: DispatchQueued tries the queued requests
-  TimePoint last_outcome{};    // last outcome that reflects its backend's health
+  bool recheck_queue = false;  // capacity may have come free: DispatchQueued has to try the queued requests
+  TimePoint last_outcome{};    // time of the last outcome that reflects its backend's health
   RequestPriority priority{settings};
   RetryPolicy retry_policy{settings.max_attempts};
   RetryBudget retry_budget;
   ClientRetryDetector client_retries;
-  std::vector<ClientTimeouts> client_timeouts;  // of the classes
+  std::vector<ClientTimeouts> client_timeouts;  // by class
   TenantQuotas tenant_quotas{settings};
   ConcurrencyLimit concurrency_limit;
   LoadShedder load_shedder;
@@ -107,7 +107,7 @@
   ServiceTime service_time;
   TrafficRates traffic;
   OverloadMonitor overload_monitor;
-  OverloadCounts overload_counts;  // since the last sample
+  OverloadCounts overload_counts;  // counts since the last sample
   LogLimiter log_limiter;
 
   BackendPicker picker{{settings, endpoints, subset, key_memory, slow_start, zone_locality, latencies}};
--- a/src/decision/endpoint_poller.h
+++ b/src/decision/endpoint_poller.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides when discovery is polled for the endpoint list, where it doesn't push changes by itself.
+// Decides when discovery is polled for the endpoint list, for discovery that doesn't push changes.
 #ifndef COPPERPOINT_DECISION_ENDPOINT_POLLER_H_
 #define COPPERPOINT_DECISION_ENDPOINT_POLLER_H_
 
@@ -12,15 +12,15 @@
 
 namespace copperpoint {
 
-// Polls at once after the start of the process, again with jittered exponential backoff after a failure, and
-// again if no answer comes. The list has to be up to date 6 s after discovery has a change and can be
-// reached; kMaxBackoff and kMaxAnswerTime keep that whatever failed before.
+// Polls at once after the start of the process, after a failure with jittered exponential backoff, and again
+// if a poll gets no answer. Within 6 s of a change, the list has to be up to date if discovery can be
+// reached; kMaxBackoff and kMaxAnswerTime ensure this after any earlier failures.
 class EndpointPoller {
  public:
   // `max_interval`: Settings::max_poll_interval.
   explicit EndpointPoller(Duration max_interval) : max_interval_(max_interval) {}
 
-  // The result of a poll or a watch; kCached is the list that a process starts with.
+  // Handles the result of a poll or a watch. kCached is the list that a process starts with.
   void OnUpdate(EndpointUpdateKind kind, TimePoint now, Random& random) {
     if (kind == EndpointUpdateKind::kCached) {
       next_poll_at_ = now;
@@ -33,10 +33,10 @@
     }
   }
 
-  // True once when it is time to poll.
+  // Returns true once when a poll is due.
   bool TakeDuePoll(TimePoint now) {
     if (now < next_poll_at_) return false;
-    next_poll_at_ = now + std::min(max_interval_ / 2, kMaxAnswerTime);  // an answer may never come
+    next_poll_at_ = now + std::min(max_interval_ / 2, kMaxAnswerTime);  // in case the answer never comes
     return true;
   }
 
--- a/src/decision/endpoint_set.cpp
+++ b/src/decision/endpoint_set.cpp
@@ -49,7 +49,8 @@
   return found == index_.end() ? nullptr : &backends_[found->second];
 }
 
-// A record for a new backend: one removed so long ago that no request refers to it, or another.
+// Returns the record for a new backend: that of a backend removed longer than kRemovedMemory ago, or a new
+// one.
 BackendIndex EndpointSet::Add(TimePoint now) {
   BackendIndex index = 0;
   if (!TakeForgotten(now, &index)) {
--- a/src/decision/endpoint_set.h
+++ b/src/decision/endpoint_set.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The backends that discovery has listed, and what is known of each.
+// The backends that discovery has listed, with the record of each.
 #ifndef COPPERPOINT_DECISION_ENDPOINT_SET_H_
 #define COPPERPOINT_DECISION_ENDPOINT_SET_H_
 
@@ -15,25 +15,25 @@
 
 namespace copperpoint {
 
-// Owns the records of all backends. A removed backend leaves its record as it is for kRemovedMemory, since
-// requests and a later list may refer to it; then the next new backend takes it over. An index is valid until
-// then.
+// Owns the records of all backends. The record of a removed backend stays unchanged for kRemovedMemory, since
+// requests and a later list may refer to it; then it is reused for the next new backend. A BackendIndex is
+// valid until its record is reused.
 class EndpointSet {
  public:
   static constexpr Duration kRemovedMemory{600000};
 
-  // What an update changed.
+  // The changes that an update made.
   struct Changes {
     struct Listed {
       BackendIndex index = 0;
-      bool started = false;  // new, or with another start of its process
+      bool started = false;  // the backend is new, or its process was started anew
     };
     std::vector<Listed> listed;  // for each endpoint of the update, in its order
     int ready = 0;               // change of the number of ready backends
-    int ejected = 0;             // and of those among them that are ejected
+    int ejected = 0;             // change of the number of ready backends that are ejected
   };
 
-  // Applies a list; an update of kind kFailed must not be applied.
+  // Applies an endpoint list. The kind of `update` must not be kFailed.
   Changes Apply(const EndpointUpdate& update, TimePoint now);
 
   std::vector<BackendState>& backends() { return backends_; }
@@ -43,16 +43,17 @@
   BackendIndex IndexOf(const BackendState& backend) const {
     return static_cast<BackendIndex>(&backend - backends_.data());
   }
-  // Null if the backend was never listed or is forgotten.
+  // Returns null if the backend was never listed or its record has been reused.
   BackendState* Find(BackendId id);
 
-  // The ready backends in the order that all proxies share. After an update that order holds others too until
-  // RemoveUnreadyFromRing.
+  // The ready backends in the order that all proxies share. After an update, the ring also contains backends
+  // that are not ready, until RemoveUnreadyFromRing is called.
   const BackendRing& ring() const { return ring_; }
   void RemoveUnreadyFromRing();
 
  private:
-  // Incremental updates of at most so many endpoints are inserted one by one; larger ones sort the ring anew.
+  // Endpoints of an incremental update are inserted one by one up to this number; for more, the ring is
+  // rebuilt.
   static constexpr std::size_t kMaxRingInsertions = 64;
 
   BackendIndex Add(TimePoint now);
@@ -64,7 +65,7 @@
   std::vector<BackendState> backends_;
   boost::unordered_flat_map<BackendId, BackendIndex> index_;
   int snapshot_generation_ = 0;
-  // By the time of removal. An entry is stale if its backend was listed again since.
+  // Removed backends in the order of their removal. An entry is stale if its backend was listed again since.
   std::deque<std::pair<TimePoint, BackendIndex>> removed_;
   BackendRing ring_;
 };
