--- a/src/decision/key_affinity.h
+++ b/src/decision/key_affinity.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides which backends are taken to serve a key with less work, because they served it lately or because
-// all proxies prefer them for it.
+// Decides which backends are expected to serve a key with less work: those that served it lately, and those
+// that all proxies prefer for it.
 #ifndef COPPERPOINT_DECISION_KEY_AFFINITY_H_
 #define COPPERPOINT_DECISION_KEY_AFFINITY_H_
 
@@ -19,7 +19,7 @@
 
 namespace copperpoint {
 
-// Which backends each key was sent to within kMemory. Owns that history.
+// Records which backends each key was sent to within the last kMemory. Owns that history.
 class KeyMemory {
  public:
   static constexpr Duration kMemory{4000};
@@ -33,7 +33,7 @@
     expiries_.emplace_back(now, key);
   }
 
-  // Calls visit(backend) for the last backends that the key was sent to, the latest first.
+  // Calls visit(backend) for up to kMaxLatest backends that the key was sent to, the latest first.
   template <typename Visit>
   void ForLatest(std::uint64_t key, TimePoint now, const Visit& visit) const {
     const auto found = uses_.find(key);
@@ -71,15 +71,15 @@
   std::deque<std::pair<TimePoint, std::uint64_t>> expiries_;
 };
 
-// The backends that all of many proxies prefer for a key, by rendezvous hashing (Thaler and Ravishankar
-// 1998): when a backend is added or removed, only its own keys move. With many proxies, each sees a key too
-// seldom to know which backend served it lately. kCount backends are few enough to have the key in their
-// caches, and enough that a popular key overloads none.
+// The kCount backends that all proxies prefer for a key, by rendezvous hashing (Thaler and Ravishankar 1998):
+// when a backend is added or removed, only its own keys move. Used with many proxies, where each sees a key
+// too seldom to know which backend served it lately. kCount is small enough that the backends keep the key in
+// their caches, and large enough that a popular key overloads none of them.
 class PreferredBackends {
  public:
   static constexpr int kCount = 4;
 
-  // Offers a backend that is in service as a candidate for `key`.
+  // Considers a backend for `key`. Only backends in service may be offered.
   void Offer(std::uint64_t key, BackendId id, BackendIndex index) {
     Candidate candidate(MixBits(static_cast<std::uint32_t>(key) ^ MixBits(id)), index);
     for (Candidate& better : best_) {
@@ -94,7 +94,7 @@
 
  private:
   using Candidate = std::pair<std::uint32_t, BackendIndex>;
-  std::array<Candidate, kCount> best_{};  // by hash, the highest first; hash 0: none
+  std::array<Candidate, kCount> best_{};  // by hash, the highest first; a hash of 0 marks a free place
 };
 
 }  // namespace copperpoint
--- a/src/decision/latency_statistics.h
+++ b/src/decision/latency_statistics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What requests of each class usually take: work, latency, and the latency that would be unlikely.
+// Statistics of each class: the work of its requests, their latency, and the latency that is rarely exceeded.
 #ifndef COPPERPOINT_DECISION_LATENCY_STATISTICS_H_
 #define COPPERPOINT_DECISION_LATENCY_STATISTICS_H_
 
@@ -13,16 +13,16 @@
 
 namespace copperpoint {
 
-// Owns the averages of all classes. Latencies are averaged after division by WorkScale, so that requests of
-// different work compare.
+// Owns the averages of all classes. Latencies are divided by WorkScale before they are averaged, so that
+// requests of different work are comparable.
 class LatencyStatistics {
  public:
-  static constexpr int kMinSamples = 10;            // before, no latency is called unlikely
-  static constexpr double kUnlikelyDeviations = 4;  // above the mean, as in RFC 6298
+  static constexpr int kMinSamples = 10;            // with fewer samples, UnlikelyLatency isn't used
+  static constexpr double kUnlikelyDeviations = 4;  // mean deviations above the mean, as in RFC 6298
 
   explicit LatencyStatistics(std::size_t classes) : classes_(classes) {}
 
-  // The work of a request: the client's estimate, or the mean where there is none.
+  // Returns the work of a request in ms: the client's estimate, or the mean if there is none.
   double WorkOf(std::optional<double> estimate_ms) const {
     return estimate_ms ? *estimate_ms : work_.samples > 0 ? work_.mean : 1;
   }
@@ -38,24 +38,24 @@
     classes_[request_class].latency.Add(latency_ms / WorkScale(request_class, work_ms));
   }
 
-  // How much longer than the mean a request of its class takes by its work: proportional above the mean work,
-  // half of it below.
+  // Returns the expected latency of a request as a multiple of the mean of its class. Above the mean work it
+  // is proportional to the work; below, half of the latency is.
   double WorkScale(int request_class, double work_ms) const {
     const double mean = classes_[request_class].work.mean;
     const double ratio = mean > 0 ? work_ms / mean : 1;
     return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
   }
 
-  // Mean and deviation in ms, at a scale of 1.
+  // Returns the latency of the class, in ms, for a request with a WorkScale of 1.
   const RunningMean& LatencyOf(int request_class) const { return classes_[request_class].latency; }
   bool HasSamples(int request_class) const { return LatencyOf(request_class).samples >= kMinSamples; }
-  // Answers take hardly longer than this; only where HasSamples.
+  // Returns a latency that answers rarely exceed. Requires HasSamples.
   Duration UnlikelyLatency(int request_class, double work_ms) const {
     const RunningMean& latency = LatencyOf(request_class);
     return Duration((latency.mean + kUnlikelyDeviations * latency.deviation) *
                     WorkScale(request_class, work_ms));
   }
-  // And usually not longer than this.
+  // Returns a latency that answers usually don't exceed: the mean plus one deviation.
   Duration UsualLatency(int request_class, double work_ms) const {
     const RunningMean& latency = LatencyOf(request_class);
     return Duration((latency.mean + latency.deviation) * WorkScale(request_class, work_ms));
@@ -66,10 +66,10 @@
 
  private:
   struct ClassStatistics {
-    RunningMean latency, work;  // ms
+    RunningMean latency, work;  // in ms
   };
   std::vector<ClassStatistics> classes_;
-  RunningMean work_, objective_;  // ms, of all classes
+  RunningMean work_, objective_;  // over all classes, in ms
 };
 
 }  // namespace copperpoint
--- a/src/decision/load_shedder.cpp
+++ b/src/decision/load_shedder.cpp
@@ -6,20 +6,20 @@
 namespace copperpoint {
 namespace {
 
-constexpr double kSheddingExponent = 2;  // of the pressure, by which fewer requests are admitted
-constexpr double kGain = 0.05;           // of one answer
-constexpr double kNoCapacityFraction = 1;
-constexpr double kMaxFraction = 16;  // that one answer counts as
-constexpr Duration kMemory{8000};    // without further answers
+constexpr double kSheddingExponent = 2;    // the admitted fraction is the pressure to minus this power
+constexpr double kGain = 0.05;             // weight of one answer in the average
+constexpr double kNoCapacityFraction = 1;  // fraction of its objective that a request without capacity took
+constexpr double kMaxFraction = 16;        // upper bound of the fraction that one answer adds to the average
+constexpr Duration kMemory{8000};          // time constant of the decay without further answers
 
 }  // namespace
 
 bool LoadShedder::ShouldShed(const Arrival& arrival, bool concurrency_limit_suffices, Random& random) const {
   const double pressure_now = pressure();
   if (concurrency_limit_suffices || pressure_now <= 1) return false;
-  // Position of the logical request in [0, 1), the same at every proxy; those above the admitted fraction are
-  // shed. Without an estimate, all requests of one key have one fingerprint, and that key would always be
-  // shed.
+  // The position of the logical request in [0, 1), which is the same at every proxy. Requests above the
+  // admitted fraction are shed. Without a work estimate, all requests of a key have the same fingerprint, so
+  // that the same keys would always be shed: their position is random.
   const double position = arrival.has_work_estimate
                               ? MixBits(static_cast<std::uint32_t>(arrival.fingerprint)) * 0x1.0p-32
                               : random.Unit();
--- a/src/decision/log_limiter.h
+++ b/src/decision/log_limiter.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Bounds the log lines of the decision module: each kind at most once within its interval.
+// Limits the log lines of the decision module: at most one of each kind per interval.
 #ifndef COPPERPOINT_DECISION_LOG_LIMITER_H_
 #define COPPERPOINT_DECISION_LOG_LIMITER_H_
 
@@ -11,11 +11,13 @@
 
 namespace copperpoint {
 
+// kHealth: a backend or a zone leaves or returns to service. kRequestEnd: a request is rejected or failed.
+// kSlowStart: a backend is skipped for its slow start budget.
 enum class LogKind { kHealth, kRequestEnd, kSlowStart };
 
 class LogLimiter {
  public:
-  // True if a line of this kind may be written now; it then counts as written.
+  // Returns true if a line of this kind may be written now, and counts it as written.
   bool TakePermit(LogKind kind, TimePoint now) {
     TimePoint& next = next_[static_cast<std::size_t>(kind)];
     if (now < next) return false;
--- a/src/decision/log_names.h
+++ b/src/decision/log_names.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The names by which logs call the values of the decision interface. One reader serves the logs of the proxy
-// and of the simulator.
+// The names of the values of the decision interface in logs. They are the same in the logs of the proxy and
+// of the simulator, so that one reader can read both.
 #ifndef COPPERPOINT_DECISION_LOG_NAMES_H_
 #define COPPERPOINT_DECISION_LOG_NAMES_H_
 
--- a/src/decision/machine_kind_rates.h
+++ b/src/decision/machine_kind_rates.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How much work a backend of each machine kind serves, compared with the mean backend.
+// The rate at which backends of each machine kind serve work, relative to the mean backend.
 #ifndef COPPERPOINT_DECISION_MACHINE_KIND_RATES_H_
 #define COPPERPOINT_DECISION_MACHINE_KIND_RATES_H_
 
@@ -11,14 +11,16 @@
 
 namespace copperpoint {
 
-// Rates are of work served, not of latency: a least-work pick gives slow machines less until their answers
-// take hardly longer. Only backends at full capacity count. Owns the averages, over `memory`.
+// Compares the work served and not the latencies, which hardly differ: a least-work pick sends a slow machine
+// less until its answers take hardly longer than those of others. Only backends at full capacity count. Owns
+// the sums of work and of time, which decay with the time constant `memory`.
 class MachineKindRates {
  public:
   explicit MachineKindRates(Duration memory) : memory_(memory) {}
 
+  // Records `work_ms` of work that a backend of the kind has served.
   void OnServed(int kind, double work_ms) { kinds_[kind].work_ms += work_ms; }
-  // One backend of the kind was in service for `elapsed_ms`.
+  // Records that one backend of the kind was in service for `elapsed_ms`.
   void OnInService(int kind, double elapsed_ms) { kinds_[kind].service_ms += elapsed_ms; }
   void Decay(Duration elapsed) {
     const double remaining = std::exp(-elapsed / memory_);
@@ -31,8 +33,9 @@
     }
   }
 
-  // The rate of a backend of the kind over that of the mean one. `prior_work_ms`: of work as at the mean
-  // rate, which counts beside what was seen.
+  // Returns the rate of a backend of the kind over that of the mean backend; 1 if nothing is known. Work of
+  // `prior_work_ms`, served at the mean rate, is added to what was recorded, so that a few outcomes move the
+  // result little.
   double RelativeRate(int kind, double prior_work_ms) const {
     const auto found = kinds_.find(kind);
     if (found == kinds_.end() || all_.service_ms <= 0) return 1;
--- a/src/decision/never.h
+++ b/src/decision/never.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The time of what is not scheduled.
+// The time of events that are not scheduled.
 #ifndef COPPERPOINT_DECISION_NEVER_H_
 #define COPPERPOINT_DECISION_NEVER_H_
 
--- a/src/decision/outcome_observer.cpp
+++ b/src/decision/outcome_observer.cpp
@@ -78,7 +78,8 @@
                             latency_ms / state_.latencies.WorkScale(request_class, request.work_ms),
                             state_.latencies.LatencyOf(request_class).mean, state_.now);
   }
-  // A timeout where the whole zone has not answered since tells of an outage, not of congestion.
+  // If the whole zone has not answered since the attempt started, its timeout indicates an outage and not
+  // congestion.
   const bool in_outage = timeout && state_.zone_outages.LastAnswer(backend.endpoint.zone) <
                                         request.attempts[completed.attempt].started_at;
   if (in_outage || !state_.service_time.known() || !(latency_ms > 0)) return;
--- a/src/decision/outcome_observer.h
+++ b/src/decision/outcome_observer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Passes the outcome of an attempt to the rules and statistics that learn from it.
+// Passes the outcomes of attempts to the rules and statistics that depend on them.
 #ifndef COPPERPOINT_DECISION_OUTCOME_OBSERVER_H_
 #define COPPERPOINT_DECISION_OUTCOME_OBSERVER_H_
 
@@ -17,9 +17,10 @@
   OutcomeObserver(DecisionState& state, BackendSetUpdater& backend_set)
       : state_(state), backend_set_(backend_set) {}
 
-  // The attempt `completed.attempt` of `request` has ended; it is no longer outstanding.
+  // Handles the end of the attempt `completed.attempt` of `request`, which is marked as no longer
+  // outstanding.
   void OnAttemptCompleted(const RequestState& request, const AttemptCompleted& completed);
-  // Marks attempts that are outstanding for longer than such answers take.
+  // Marks attempts as overdue that have been outstanding for longer than LatencyStatistics::UnlikelyLatency.
   void MarkOverdueAttempts();
 
  private:
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -7,9 +7,10 @@
 namespace copperpoint {
 namespace {
 
-// At low traffic: failures that coincide less often than this are taken for a fault.
+// At low traffic, failures in a row that would coincide with a lower probability indicate a fault.
 constexpr double kMaxChanceProbability = 0.01;
-constexpr double kPriorFailures = 0.1;  // assumed at the other backends before any outcome
+// Failures that are added to those of the other backends, so that their failure rate is never 0.
+constexpr double kPriorFailures = 0.1;
 
 }  // namespace
 
@@ -25,7 +26,7 @@
   if (!(100.0 * random.Unit() < kEnforcingPercent)) return false;
   ++health.ejection_multiplier;
   health.ejected = true;
-  ejected_ += ready;  // a draining backend's late answers may fail too
+  ejected_ += ready;  // a draining backend, which isn't ready, may still have attempts that fail
   failures_ -= health.failures;
   attempts_ -= health.attempts();
   const Duration base = interval_ * (kBaseEjectionTime / kInterval);
@@ -40,14 +41,15 @@
   const int other_failures = failures_ - health.failures, other_attempts = attempts_ - health.attempts();
   const double failing_elsewhere =
       other_attempts > 0 ? static_cast<double>(other_failures) / other_attempts : 0;
-  // Twice the fraction that fails elsewhere while that is small, and below 1 while it is: a backend at which
-  // all attempts fail is always ejected.
+  // For a small fraction failing elsewhere, the threshold is twice that fraction. It stays below 1 while that
+  // fraction is below 1, so that a backend at which all attempts fail is ejected.
   const double threshold = std::max(kThresholdFraction, failing_elsewhere * (2 - failing_elsewhere));
   if (health.attempts() < RequestVolume(other_failures, other_attempts)) return false;
   return health.failures > threshold * health.attempts();
 }
 
-// At low traffic: as many attempts as could hardly all fail by chance, by the fraction that fails elsewhere.
+// Returns how many attempts a backend must have had to be evaluated. At low traffic this is the number that
+// all fail by chance with at most kMaxChanceProbability, given the fraction that fails at the other backends.
 int OutlierDetector::RequestVolume(int other_failures, int other_attempts) const {
   if (!low_traffic_) return kRequestVolume;
   const double failing_elsewhere = (other_failures + kPriorFailures) / (other_attempts + 1);
--- a/src/decision/overload_monitor.cpp
+++ b/src/decision/overload_monitor.cpp
@@ -38,7 +38,7 @@
   const Duration lasted = now - signs_since_;
   if (signs > state_ || (state_ == OverloadState::kRecovery && signs != OverloadState::kCalm))
     return lasted >= kEnterAfter ? signs : state_;
-  // Rejected clients keep retrying for a while: a storm is not followed by calm at once.
+  // Rejected clients keep retrying for a while, so that a storm is followed by recovery and not by calm.
   if (state_ == OverloadState::kStorm && signs != OverloadState::kStorm)
     return lasted >= kLeaveAfter ? OverloadState::kRecovery : state_;
   if (state_ == OverloadState::kSurge && signs == OverloadState::kCalm)
--- a/src/decision/overload_monitor.h
+++ b/src/decision/overload_monitor.h
@@ -12,35 +12,36 @@
 namespace copperpoint {
 
 enum class OverloadState {
-  kCalm,      // all requests are served
-  kSurge,     // demand exceeds capacity by clients' first attempts
-  kStorm,     // a good part of the demand are client retries, or no request is answered
-  kRecovery,  // a storm is over; its backlog of retries may still arrive
+  kCalm,      // nearly all requests are served
+  kSurge,     // the first attempts of clients exceed the capacity
+  kStorm,     // client retries are a large part of the requests, or hardly any request is answered
+  kRecovery,  // a storm is over; retries that it caused may still arrive
 };
 const char* NameOf(OverloadState state);
 
-// Requests since the last call.
+// Numbers of requests.
 struct OverloadCounts {
   double received = 0,
-         client_retries = 0;           // client_retries: those of the received that were recognised as such
+         client_retries = 0;           // client_retries: the received ones that were recognised as retries
   double unserved = 0, succeeded = 0;  // unserved: rejected or failed by a decision
 };
 
-// A state is entered when its signs have lasted for kEnterAfter and left only after they have been absent for
-// kLeaveAfter, so that it doesn't flap. Owns the counts,
-// decayed exponentially over kMemory.
+// A more severe state is entered when the counts have indicated it for kEnterAfter; a state is left only
+// after the counts have not indicated it for kLeaveAfter, so that states don't flap. Owns the counts, which
+// decay exponentially with the time constant kMemory.
 class OverloadMonitor {
  public:
-  static constexpr double kRejectedFraction = 0.05;    // of the received, above which it is a surge
-  static constexpr double kClientRetryFraction = 0.2;  // of the received, above which it is a storm
+  static constexpr double kRejectedFraction = 0.05;    // a surge is indicated above it
+  static constexpr double kClientRetryFraction = 0.2;  // with a surge, a storm is indicated above it
   static constexpr Duration kEnterAfter{500}, kLeaveAfter{2000}, kRecoveryTime{5000};
   static constexpr Duration kMemory{500};
 
-  // Adds the counts of the last `elapsed`; returns the new state if it changed.
+  // Adds the counts of the last `elapsed`. Returns the new state if it changed.
   std::optional<OverloadState> Update(TimePoint now, Duration elapsed, const OverloadCounts& counts);
   OverloadState state() const { return state_; }
-  // A log line on the last change and the decayed counts it rests on.
+  // Returns a log line about the last change of state, with the fractions that it is based on.
   std::string Describe() const;
+  // Fractions of the requests received.
   double RejectedFraction() const {
     return decayed_.received > 0 ? decayed_.unserved / decayed_.received : 0;
   }
--- a/src/decision/proxy_count.h
+++ b/src/decision/proxy_count.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Where the number of proxies changes what one proxy can know by itself.
+// Whether so many proxies share the traffic that one of them seldom sees the same client or key again.
 #ifndef COPPERPOINT_DECISION_PROXY_COUNT_H_
 #define COPPERPOINT_DECISION_PROXY_COUNT_H_
 
@@ -8,7 +8,7 @@
 
 namespace copperpoint {
 
-// With fewer proxies, one sees the same client and the same key again soon.
+// With fewer proxies than this, each sees the same client and the same key again soon.
 inline constexpr int kManyProxies = 16;
 
 inline bool HasManyProxies(const Settings& settings) { return settings.proxy_count >= kManyProxies; }
--- a/src/decision/random.h
+++ b/src/decision/random.h
@@ -9,20 +9,21 @@
 
 namespace copperpoint {
 
-// Deterministic from its seed alone; the standard distributions differ between libraries.
+// A generator whose numbers depend on its seed alone. The standard distributions are not used, since they
+// differ between libraries.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
-  // Uniform from 0 to below 1.
+  // Returns a number that is uniform from 0 to below 1.
   double Unit() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
-  // Uniform from 0 to below `n`.
+  // Returns an integer that is uniform from 0 to `n` - 1.
   std::uint64_t Below(std::uint64_t n) { return engine_() % n; }
 
  private:
   std::mt19937_64 engine_;
 };
 
-// The final mix of MurmurHash3: every bit of the result depends on every bit of `x`.
+// The finalizer of MurmurHash3: every bit of the result depends on every bit of `x`.
 inline std::uint32_t MixBits(std::uint32_t x) {
   x = (x ^ (x >> 16)) * 0x85ebca6bu;
   x = (x ^ (x >> 13)) * 0xc2b2ae35u;
--- a/src/decision/rate_sampler.cpp
+++ b/src/decision/rate_sampler.cpp
@@ -14,7 +14,7 @@
   state_.tenant_quotas.Refill(elapsed.count());
   sampled_at_ = state_.now;
   next_sample_at_ = state_.now + kInterval;
-  state_.recheck_queue = true;  // slow start budgets have grown
+  state_.recheck_queue = true;  // slow start budgets have grown since the last sample
 }
 
 void RateSampler::UpdateRates(Duration elapsed) {
--- a/src/decision/rate_sampler.h
+++ b/src/decision/rate_sampler.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The periodic step: samples rates, decays averages, updates the rules that depend on them, and marks overdue
-// attempts, which may begin a zone outage.
+// The periodic step of the decision module: samples rates, decays averages, updates the rules that depend on
+// them, and marks overdue attempts, which may begin a zone outage.
 #ifndef COPPERPOINT_DECISION_RATE_SAMPLER_H_
 #define COPPERPOINT_DECISION_RATE_SAMPLER_H_
 
@@ -18,7 +18,7 @@
   RateSampler(DecisionState& state, BackendSetUpdater& backend_set, OutcomeObserver& observer)
       : state_(state), backend_set_(backend_set), observer_(observer) {}
 
-  // Takes a sample if kInterval is over.
+  // Takes a sample if kInterval has passed since the last one.
   void Advance();
   TimePoint next_sample_at() const { return next_sample_at_; }
 
