--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -12,8 +12,9 @@
 namespace copperpoint {
 namespace {
 
-constexpr double kMaxWorkMs = 1e6;  // a larger estimate counts as this
-// Part of the latency objective that a request may wait in the queue while the concurrency limit is reached.
+constexpr double kMaxWorkMs = 1e6;  // upper bound of clients' work estimates; larger ones are reduced to it
+// Fraction of the latency objective that a request may wait in the queue while the concurrency limit is
+// reached.
 constexpr double kMaxWaitFraction = 0.08;
 
 std::optional<double> WorkEstimateMs(const RequestReceived& received) {
@@ -28,7 +29,7 @@
   if (state_.requests.contains(received.request)) return;
   if (received.request_class < 0 ||
       received.request_class >= static_cast<int>(state_.settings.classes.size())) {
-    // It never ran, so that a retry is harmless whatever its class.
+    // The request was never sent to a backend, so that a client retry is harmless whatever its class.
     state_.Emit(RejectRequest{received.request, Duration(0), RejectReason::kUnknownClass});
     return;
   }
@@ -88,7 +89,7 @@
 
 void RequestAdmission::WeighByServiceTime(RequestState& request, Duration remaining_objective) {
   const ClassSettings& settings = state_.ClassOf(request);
-  // Where it takes capacity from no other request, it may as well be tried.
+  // While there is capacity to spare, even a request that will be late is tried.
   const bool relaxed = state_.outlier_detector.low_traffic() && state_.load_shedder.IsRelaxed();
   const Duration service_time(relaxed ? 0 : state_.service_time.ReliableOfWork(request.work_ms));
   if (service_time > remaining_objective)
--- a/src/decision/request_priority.h
+++ b/src/decision/request_priority.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides in which order queued requests are served while capacity is short: first the one whose work adds
-// most to the operators' service objective.
+// Decides in which order queued requests are served: the request that adds most to the service objective per
+// ms of work comes first.
 #ifndef COPPERPOINT_DECISION_REQUEST_PRIORITY_H_
 #define COPPERPOINT_DECISION_REQUEST_PRIORITY_H_
 
@@ -11,30 +11,30 @@
 
 namespace copperpoint {
 
-// The objective is a weighted sum of the fraction of priority weight served overall, in the worst-served
-// class and for the worst-served tenant. Strict order by priority weight would starve the class of least
-// weight; the gradient of the objective doesn't, since the fraction served of a small class rises faster for
-// the same work.
+// The service objective is a weighted sum of the fractions of priority weight served overall, in the
+// worst-served class and for the worst-served tenant. Strict order by priority weight would starve the class
+// of least weight. The gradient of the objective doesn't, since the same work raises the fraction served of a
+// small class faster.
 //
-// Owns what each class and tenant offered and was served within its latency objective, as work (ms) times
-// priority weight, averaged over kMemory.
+// Owns what each class and tenant offered, and was served within the latency objective. Both are sums of work
+// (ms) times priority weight, which decay with the time constant kMemory.
 class RequestPriority {
  public:
   static constexpr Duration kMemory{20000};
 
   explicit RequestPriority(const Settings& settings);
 
-  // Records the first attempt of a client's request, and a response within the latency objective. Requests
-  // over their tenant's quota count for their class only; classes and tenants that the settings don't have
-  // are ignored.
+  // OnOffered records the client's first attempt of a request, OnServedInTime an answer within the latency
+  // objective. Requests over their tenant's quota count for their class only. Classes and tenants that the
+  // settings don't have are ignored.
   void OnOffered(int request_class, int tenant, double work_ms, bool within_quota);
   void OnServedInTime(int request_class, int tenant, double work_ms, bool within_quota);
-  // Ages the averages by `elapsed`.
+  // Decays the sums for the last `elapsed`.
   void Decay(Duration elapsed);
 
-  // What one ms of work of this class and tenant adds to the objective, in units of priority weight: the
-  // class's own weight unless it or the tenant is the worst served. 0 for an unknown class; tenant -1 counts
-  // for none.
+  // Returns what one ms of work of this class and tenant adds to the objective, in units of priority weight:
+  // the weight of the class, times the objective's weight `overall`, and more if the class or the tenant is
+  // the worst served. 0 for an unknown class. Tenant -1 stands for a request that counts for no tenant.
   double PriorityOf(int request_class, int tenant) const;
 
  private:
@@ -46,9 +46,9 @@
   void Count(int request_class, int tenant, double work_ms, bool within_quota, double Service::*sum);
 
   ServiceObjective objective_;
-  std::vector<double> weights_;  // of the classes
+  std::vector<double> weights_;  // priority weights, by class
   std::vector<Service> classes_, tenants_;
-  double offered_ = 0;  // of all classes
+  double offered_ = 0;  // sum over all classes
 };
 
 }  // namespace copperpoint
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests that wait for capacity, in the order in which they are served, and the times at which they are
-// looked at again.
+// The requests that wait for capacity, in the order in which they are served, and the times at which their
+// waits end.
 #ifndef COPPERPOINT_DECISION_REQUEST_QUEUE_H_
 #define COPPERPOINT_DECISION_REQUEST_QUEUE_H_
 
@@ -15,8 +15,8 @@
 
 namespace copperpoint {
 
-// The highest queue_priority first, and of equal ones the oldest. Owns RequestState::queued; the priority of
-// a queued request must not change.
+// Requests are ordered by queue_priority, the highest first, and among equal ones by age, the oldest first.
+// The queue_priority of a queued request must not change. Owns RequestState::queued.
 class RequestQueue {
  public:
   void Add(RequestState& request) {
@@ -31,8 +31,8 @@
   std::size_t size() const { return queue_.size(); }
   bool empty() const { return queue_.empty(); }
 
-  // Calls visit(id) in the order of service until it returns false. It may remove the request that it is
-  // called with.
+  // Calls visit(id) in the order of service until `visit` returns false. `visit` may remove the request that
+  // it is called with.
   template <typename Visit>
   void VisitInOrder(const Visit& visit) {
     for (auto it = queue_.begin(); it != queue_.end();) {
@@ -41,10 +41,10 @@
     }
   }
 
-  // Has the wait of the request checked at `at` (not the client's deadline). Requests that have ended since
-  // are still returned.
+  // Schedules a check of the request's wait at `at`, which may be before the client's deadline. TakeDue
+  // returns the request even if it has ended meanwhile.
   void AddWakeUp(TimePoint at, RequestId id) { wake_ups_.insert({at, id}); }
-  // Removes and returns a request whose wake-up is due, the earliest first.
+  // Removes the earliest wake-up that is due and returns its request.
   std::optional<RequestId> TakeDue(TimePoint now) {
     if (wake_ups_.empty() || wake_ups_.begin()->at > now) return std::nullopt;
     const RequestId id = wake_ups_.begin()->id;
@@ -58,7 +58,7 @@
     double priority = 0;
     TimePoint received_at{};
     RequestId id = 0;
-    // In the order of service.
+    // An entry that is served earlier compares as less.
     friend bool operator<(const Entry& a, const Entry& b) {
       if (a.priority != b.priority) return a.priority > b.priority;
       return a.received_at != b.received_at ? a.received_at < b.received_at : a.id < b.id;
--- a/src/decision/request_scheduler.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -10,7 +10,8 @@
 namespace copperpoint {
 namespace {
 
-constexpr int kMaxQueueMisses = 8;  // queued requests tried in one event without capacity for any
+// Number of queued requests without capacity after which an event tries no further ones.
+constexpr int kMaxQueueMisses = 8;
 
 }  // namespace
 
@@ -129,7 +130,8 @@
   MarkFinished(request, reject || state_.ClassOf(request).idempotency == Idempotency::kIdempotent);
 }
 
-// For operators, seldom; the reason of each request is in the event request_completed, at level debug.
+// Writes a sample of the ended requests to the log, limited by LogLimiter. The reason of each single request
+// is in the event request_completed at level debug.
 void RequestScheduler::LogEnd(const RequestState& request, bool rejected) {
   std::string cause = "not in time";
   if (!request.attempts.empty()) {
@@ -169,8 +171,8 @@
   }
 }
 
-// While no request has been answered since this one arrived, the cause is no congestion but an interruption,
-// which may end at any time: it waits for longer.
+// If no request has been answered since this one arrived, the cause is not congestion but an interruption,
+// which may end at any time: the request is allowed to wait until max_wait_until.
 void RequestScheduler::OnMaxQueueTime(RequestState& request) {
   if (state_.last_outcome > request.received_at || state_.now >= request.max_wait_until)
     return RejectForNoCapacity(request);
--- a/src/decision/request_scheduler.h
+++ b/src/decision/request_scheduler.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Starts attempts, queues requests while there is no capacity, and ends those that can't be served.
+// Starts attempts, queues requests while there is no capacity, and ends requests that can't be served.
 #ifndef COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
 #define COPPERPOINT_DECISION_REQUEST_SCHEDULER_H_
 
@@ -16,25 +16,27 @@
  public:
   explicit RequestScheduler(DecisionState& state) : state_(state) {}
 
-  // Starts an attempt, or queues the request, or ends it; true if an attempt was started.
+  // Starts an attempt, queues the request or ends it. Returns whether an attempt was started.
   bool Dispatch(RequestState& request);
-  // After a failed attempt: another one where permitted and, if it adds load, within the retry budget.
+  // Retries after a failed attempt if the retry policy permits it, otherwise ends the request. `adds_load`:
+  // the failed attempt put load on its backend, so that the retry must also be within the retry budget.
   void Retry(RequestState& request, bool adds_load);
-  // Ends the request: rejected where that is true to its attempts, otherwise failed.
+  // Ends the request: as rejected if RetryPolicy::Permission allows it, otherwise as failed.
   void Finish(RequestState& request, RejectReason reason, Duration retry_after = Duration(0));
-  // Notes the end of a request, whoever brought it about. `client_may_retry`: as clients do after a
-  // rejection, and where it is idempotent after any failure.
+  // Records that a request has ended for any cause. `client_may_retry`: the client may retry it, as clients
+  // do after a rejection, and after any failure of an idempotent request.
   void MarkFinished(RequestState& request, bool client_may_retry);
-  // Erases a finished request that has no outstanding attempt; removes a finished one from the queue.
+  // Removes a finished request from the queue, and erases it if it has no outstanding attempt.
   void EraseIfDone(Requests::iterator entry);
 
   // Ends queued requests whose maximum wait is over, or extends the wait during an interruption.
   void EndExpiredWaits();
-  // Tries queued requests, in order of priority, if capacity may have come free.
+  // Dispatches queued requests in the order of the queue if DecisionState::recheck_queue is set.
   void DispatchQueued();
 
+  // Returns whether the concurrency limit permits another attempt.
   bool HasCapacity() const;
-  // What the client of a rejected request is told.
+  // Returns the Retry-After for the client of a rejected request, 0 for none.
   Duration RetryAfter(const RequestState& request);
 
  private:
--- a/src/decision/request_state.h
+++ b/src/decision/request_state.h
@@ -19,19 +19,19 @@
   TimePoint started_at{};
   bool outstanding = true;
   bool may_have_run = true;  // the backend may have executed it
-  bool overdue = false;      // outstanding for longer than such answers take: it may never end by itself
+  bool overdue = false;      // outstanding for longer than such answers take; it may never end by itself
 };
 
 struct RequestState {
   RequestId id = 0;
   int request_class = 0, tenant = -1;
-  double work_ms = 1;          // estimated, on a standard core
-  double priority_weight = 0;  // after quota and latency objective
-  double queue_priority = 0;   // while queued
-  std::uint64_t key = 0;       // for affinity; 0: none
+  double work_ms = 1;          // estimated work on a standard core
+  double priority_weight = 0;  // lowered if it is over its tenant's quota or will be late
+  double queue_priority = 0;   // set while the request is queued
+  std::uint64_t key = 0;       // key for affinity; 0: none
   TimePoint received_at{}, deadline{};
-  // While queued: rejected at wait_until, or then allowed to wait until max_wait_until if no request was
-  // answered since its arrival.
+  // A queued request is rejected at wait_until. If no request was answered since its arrival, it may then
+  // wait until max_wait_until.
   TimePoint wait_until{}, max_wait_until{};
   std::uint64_t fingerprint = 0;
   bool has_work_estimate = false;
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides whether retries are within their budget: a token bucket that first attempts fill.
+// Decides whether a retry is within the retry budget, a token bucket that is filled by first attempts.
 #ifndef COPPERPOINT_DECISION_RETRY_BUDGET_H_
 #define COPPERPOINT_DECISION_RETRY_BUDGET_H_
 
@@ -8,12 +8,12 @@
 
 namespace copperpoint {
 
-// Bounds the load that retries add when many attempts fail to kRetriesPerRequest of the first attempts, after
-// a burst of kMaxTokens. Owns the tokens.
+// When many attempts fail, the budget limits retries to a burst of kMaxTokens and then to kRetriesPerRequest
+// per first attempt. Owns the tokens.
 class RetryBudget {
  public:
   static constexpr double kRetriesPerRequest = 0.1;
-  static constexpr double kMaxTokens = 20;  // retries
+  static constexpr double kMaxTokens = 20;  // in retries
 
   void OnFirstAttempt() { tokens_ = std::min(kMaxTokens, tokens_ + kRetriesPerRequest); }
   void OnRetry() { tokens_ = std::max(0.0, tokens_ - 1); }
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides whether a request may be forwarded (again), to which backends, and how it may end.
+// Decides whether a request may be forwarded for the first time or again, to which backends, and how it may
+// end.
 #ifndef COPPERPOINT_DECISION_RETRY_POLICY_H_
 #define COPPERPOINT_DECISION_RETRY_POLICY_H_
 
@@ -12,18 +13,18 @@
 
 namespace copperpoint {
 
-// An attempt that may have been executed must not be repeated unless the request is idempotent, or has an
-// idempotency key and goes to a backend that still recognises the duplicate. Nor may such a request be
-// rejected, as a rejection promises the client that it had no effect. A request has one outstanding attempt
-// at a time.
+// If an attempt may have been executed, another one may start only if the request is idempotent, or has an
+// idempotency key and goes to a backend that still recognises the duplicate. A request for which a repetition
+// could have an effect may not be rejected after such an attempt either, as a rejection tells the client that
+// a retry is harmless. A request has at most one outstanding attempt at a time.
 class RetryPolicy {
  public:
   explicit RetryPolicy(int max_attempts) : max_attempts_(max_attempts) {}
 
   struct Permission {
-    bool may_dispatch = false;  // another attempt (the first included) may start
-    bool may_reject = false;    // the request may end as rejected; otherwise it can only fail
-    // If set, the attempt may only go to backends that recognise duplicates of what this one executed.
+    bool may_dispatch = false;  // the first or another attempt may start
+    bool may_reject = false;    // the request may end as rejected; if false, it can only end as failed
+    // If set, the attempt may only go to backends that recognise duplicates of what this backend executed.
     std::optional<BackendIndex> deduplication_anchor;
   };
   Permission PermissionFor(const RequestState& request, const ClassSettings& settings, TimePoint now) const;
@@ -32,7 +33,7 @@
     return static_cast<int>(request.attempts.size()) + 1 >= max_attempts_;
   }
 
-  // Whether the backend of `candidate` recognises duplicates of what that of `anchor` executed.
+  // Returns whether the backend `candidate` recognises duplicates of requests that `anchor` executed.
   static bool InDeduplicationScope(DeduplicationScope scope, const Endpoint& anchor,
                                    const Endpoint& candidate) {
     switch (scope) {
@@ -46,14 +47,15 @@
     return false;
   }
 
-  // Whether a backend may have executed an attempt that ended so.
+  // Returns whether a backend may have executed an attempt that ended with `outcome`.
   static bool MayHaveRun(AttemptOutcome outcome) {
     return !(outcome == AttemptOutcome::kBackendRejected || outcome == AttemptOutcome::kConnectFailure ||
              outcome == AttemptOutcome::kNotSent);
   }
 
  private:
-  static constexpr double kWindowMargin = 0.9;  // of the deduplication window, for delays
+  // Fraction of the deduplication window in which a retry may start; the rest allows for delays.
+  static constexpr double kWindowMargin = 0.9;
 
   int max_attempts_;
 };
--- a/src/decision/running_mean.h
+++ b/src/decision/running_mean.h
@@ -9,7 +9,7 @@
 
 namespace copperpoint {
 
-// The unit of `mean` and `deviation` is that of the samples. The first samples count evenly.
+// `mean` and `deviation` have the unit of the samples. The first 1 / kMinGain samples have equal weights.
 struct RunningMean {
   double mean = 0, deviation = 0;
   int samples = 0;
@@ -25,7 +25,7 @@
   }
 
  private:
-  static constexpr double kMinGain = 0.02;  // of one sample
+  static constexpr double kMinGain = 0.02;  // lowest weight of a new sample
 };
 
 }  // namespace copperpoint
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -4,15 +4,17 @@
 namespace copperpoint {
 namespace {
 
-// To make slow start gentler lower both, and kMinWarmCores for the least rate. kBudgetFraction: part of the
-// overload factor that is used; the rest covers random variation and proxies with stale endpoint lists.
-// kMaxSubsetMultiple: upper bound of their product where only some proxies send to a backend.
+// Lower values of kBudgetFraction and kMaxSubsetMultiple make slow start gentler; a lower kMinWarmCores
+// lowers the least rate. kBudgetFraction: fraction of the overload factor that is used. The rest covers
+// random variation and proxies with outdated endpoint lists. kMaxSubsetMultiple: upper bound of
+// kBudgetFraction times the overload factor if only some proxies send to a backend.
 constexpr double kBudgetFraction = 0.6;
 constexpr double kMaxSubsetMultiple = 0.75;
-// The rate per backend is computed for at least this fraction of the recent mean number in service.
+// The rate per backend is computed for at least this fraction of the recent mean number of backends in
+// service.
 constexpr double kMinServingFraction = 0.5;
-constexpr double kMinWarmCores = 0.25;  // standard cores that a warm backend has at least
-constexpr double kWindowSlack = 1.1;    // over the overload window, for delays
+constexpr double kMinWarmCores = 0.25;  // a warm backend has at least this many standard cores
+constexpr double kWindowSlack = 1.1;    // factor on the overload window that allows for delays
 
 }  // namespace
 
@@ -29,8 +31,9 @@
   const Duration window = Window();
   const double sent_ms = backend.slow_start.sent.Within(now, window);
   if (!budget.in_subset) return false;
-  // With subsets, only some proxies send to a backend, and each may send so much the more. The warm rate is
-  // that of the mean machine: one of a slow kind gets less, one of a fast kind no more.
+  // With subsets, only some of the proxies send to a backend, and each may send proportionally more. The warm
+  // rate is that of the mean machine: a machine of a slow kind gets less, one of a fast kind doesn't get
+  // more.
   const double multiple = kBudgetFraction * overload_factor_;
   const double per_slot = budget.backends_per_subset_slot;
   const double rate =
@@ -38,7 +41,7 @@
       budget.capacity_fraction * warm_rate_ *
       std::min(1.0, kinds_.RelativeRate(backend.endpoint.kind, kMinOutcomes * budget.mean_work_ms));
   if (sent_ms + work_ms <= rate * overload_window_.count()) return true;
-  // Where the budget is below one request, it may go once enough time has passed to pay for it.
+  // A request that exceeds the budget may be sent once enough time has passed since the last one.
   const double min_rate = overload_factor_ * min_capacity_ * kMinWarmCores * per_slot / proxy_count_;
   const double paying_rate = std::max(rate, min_rate);
   return paying_rate > 0 &&
@@ -58,13 +61,13 @@
   state.wait_fraction = 1;
 }
 
-// Pooled over all backends, as the outcomes of one are too few. A rate once seen is forgotten slowly: while a
-// rolling deployment leaves no warm backend, a budget of what is served just now would reduce itself. After
-// the loss of most backends, the rest can't serve the work of all: mean_in_service keeps the rate from rising
-// with it.
+// The rate is computed over all backends, as one backend has too few outcomes. It rises at once and falls
+// slowly: while a rolling deployment leaves no warm backend, budgets from the present rate would reduce
+// themselves further and further. After the loss of most backends, the remaining ones can't serve the work of
+// all; mean_in_service then keeps the rate per backend from rising.
 void SlowStart::UpdateWarmRate(const ServiceRates& rates, Duration elapsed) {
   if (rates.in_service <= 0) return;
-  // A proxy that has just started has no outcomes yet, and goes by what it receives.
+  // A proxy that has just started has too few outcomes, and uses the work that it receives.
   const double served =
       outcomes_ < kMinOutcomes ? std::max(rates.served_work, rates.received_work) : rates.served_work;
   const double current_rate =
--- a/src/decision/tenant_quotas.h
+++ b/src/decision/tenant_quotas.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides whether a request is within its tenant's quota: a token bucket for each tenant.
+// Decides whether a request is within its tenant's quota, by a token bucket per tenant.
 #ifndef COPPERPOINT_DECISION_TENANT_QUOTAS_H_
 #define COPPERPOINT_DECISION_TENANT_QUOTAS_H_
 
@@ -12,8 +12,8 @@
 
 namespace copperpoint {
 
-// Each proxy takes its part of the quota, evenly over the proxies. A bucket stores kBurstMs of that rate, and
-// at least one request. Owns the tokens, in requests.
+// The quota is split evenly over the proxies. A bucket holds the tokens of up to kBurstMs of this proxy's
+// part, and at least one. Owns the tokens, one per request.
 class TenantQuotas {
  public:
   explicit TenantQuotas(const Settings& settings) : tokens_(settings.tenants.size(), 1) {
@@ -22,7 +22,8 @@
       rates_per_ms_.push_back(tenant.quota_per_s / settings.proxy_count / 1000);
   }
 
-  // Takes a token; false if there is none. Tenants that the settings don't have have no quota to exceed.
+  // Takes a token; returns false if there is none. A tenant that isn't in the settings has no quota to
+  // exceed.
   bool TakeToken(int tenant) {
     if (tenant < 0 || tenant >= static_cast<int>(tokens_.size())) return true;
     double& tokens = tokens_[static_cast<std::size_t>(tenant)];
--- a/src/decision/traffic_rates.h
+++ b/src/decision/traffic_rates.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Rates of this proxy's traffic of late: work received, work served, answers.
+// Recent rates of this proxy's traffic: work received, work served, and answers.
 #ifndef COPPERPOINT_DECISION_TRAFFIC_RATES_H_
 #define COPPERPOINT_DECISION_TRAFFIC_RATES_H_
 
@@ -10,9 +10,9 @@
 
 namespace copperpoint {
 
-// Owns the sums since the last sample and the averages. The first samples count evenly: a proxy that has just
-// started begins with small rates and trusts what it sees, since sending too much at the start leaves queues
-// that take far longer to drain.
+// The first samples have equal weights: a proxy that has just started begins with low rates and follows what
+// it observes, since sending too much at the start leaves queues that take far longer to drain. Owns the sums
+// since the last sample and the averages.
 class TrafficRates {
  public:
   void OnReceived(double work_ms) { received_work_ms_ += work_ms; }
@@ -21,7 +21,7 @@
     ++successes_;
   }
 
-  // Ends a sample of `elapsed_ms`, in which `backends_in_service` (see BackendSetCapacity) served.
+  // Ends a sample of `elapsed_ms`. `backends_in_service`: BackendSetCapacity::in_service.
   void Sample(double elapsed_ms, double backends_in_service) {
     const double even_gain = 1.0 / ++samples_;
     const double answer_gain = std::min(1.0, std::max(elapsed_ms / kAnswerMemory.count(), even_gain));
@@ -34,10 +34,10 @@
   }
 
   double answers_per_ms() const { return answers_per_ms_; }
-  // ms of work a ms.
+  // Rates of work, in ms of work per ms.
   double served_work_rate() const { return served_work_rate_; }
   double received_work_rate() const { return received_work_rate_; }
-  double mean_in_service() const { return mean_in_service_; }  // backends
+  double mean_in_service() const { return mean_in_service_; }  // in backends
 
  private:
   static constexpr Duration kAnswerMemory{1500}, kWorkMemory{8000};
--- a/src/decision/zone_locality.h
+++ b/src/decision/zone_locality.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides when a pick may leave the proxy's own zone although that has a cost.
+// Decides when a pick may ignore the cost of sending a request to another zone.
 #ifndef COPPERPOINT_DECISION_ZONE_LOCALITY_H_
 #define COPPERPOINT_DECISION_ZONE_LOCALITY_H_
 
@@ -11,38 +11,39 @@
 
 namespace copperpoint {
 
-// The cost of a crossing counts, in the pick, as so much work in flight at a backend of another zone. With
-// few requests in flight the least-work pick doesn't see that the backends of the own zone are overloaded; so
-// where their answers lose more than a crossing costs, compared with those of the other zones, the cost is
-// left out of a growing part of the picks.
+// The pick adds the cost of crossing zones to the outstanding work of each backend in another zone. With few
+// requests in flight, the least-work pick doesn't notice that the backends of the own zone are overloaded.
+// Therefore, while the answers of the own zone lose more priority weight than those of the other zones, by
+// more than the cost of a crossing, the cost is ignored in a growing fraction of the picks.
 //
-// Owns the losses of the two sides: the fraction of priority weight that late or failed answers lose.
+// Owns the mean losses of the own zone and of the other zones: the fraction of priority weight that is lost
+// by late and failed answers.
 class ZoneLocality {
  public:
   explicit ZoneLocality(double cross_zone_cost) : cross_zone_cost_(cross_zone_cost) {}
 
-  // The outcome of an attempt: `loss` is the fraction of its priority weight that was lost, 0 to 1.
+  // Records the outcome of an attempt. `loss`: the fraction of its priority weight that was lost, 0 to 1.
   void OnOutcome(bool own_zone, double loss) {
     double& mean_loss = own_zone ? own_zone_loss_ : other_zones_loss_;
     mean_loss += kGain * (loss - mean_loss);
-    // Zones that get no attempts any more may have recovered.
+    // The loss of the other zones decays, since zones that get no attempts may have recovered.
     if (own_zone) other_zones_loss_ *= 1 - kGain / 4;
     const bool crossing_pays = own_zone_loss_ - other_zones_loss_ > cross_zone_cost_;
     preference_ = std::clamp(preference_ + (crossing_pays ? -kGain : kGain), 0.0, 1.0);
   }
 
-  // What a crossing counts as in one pick, in ms of work.
+  // Returns the work in ms that one pick adds to each backend in another zone.
   double CrossingWorkMs(double mean_work_ms, Random& random) const {
     if (!(cross_zone_cost_ > 0 && random.Unit() < preference_)) return 0;
     return kFullCostRequests * cross_zone_cost_ * mean_work_ms;
   }
 
-  // The fraction of the picks that prefer the own zone.
+  // The fraction of the picks in which the cost counts.
   double preference() const { return preference_; }
 
  private:
-  static constexpr double kFullCostRequests = 10;  // mean requests that a cost of the whole weight counts as
-  static constexpr double kGain = 0.1;             // of one outcome
+  static constexpr double kFullCostRequests = 10;  // a cross_zone_cost of 1 counts as this many mean requests
+  static constexpr double kGain = 0.1;             // weight of one outcome
 
   double cross_zone_cost_;
   double preference_ = 0.5;
--- a/src/decision/zone_outage_detector.cpp
+++ b/src/decision/zone_outage_detector.cpp
@@ -24,7 +24,7 @@
   ++state.unanswered;
   const bool enough = state.several_backends && state.unanswered >= kUnansweredAttempts;
   if (!enough || state.outage_until > now || !others_answer) return false;
-  // Jittered, so that proxies don't return together.
+  // Jittered, so that the proxies don't all send to the zone again at the same time.
   state.outage_until = now + OutlierDetector::kBaseEjectionTime * (0.75 + 0.5 * random.Unit());
   next_return_at_ = std::min(next_return_at_, state.outage_until);
   return true;
--- a/src/decision/zone_outage_detector.h
+++ b/src/decision/zone_outage_detector.h
@@ -13,34 +13,35 @@
 
 namespace copperpoint {
 
-// A network cut or the loss of a zone concerns all of its backends at once; found backend by backend, each
-// would cost a connect timeout or a client's deadline, over and over. kUnansweredAttempts in a row, at
-// several backends of the zone and while other zones answer, take it out of service for about as long as an
-// ejection. Any answer from the zone ends the outage.
+// A network partition or the loss of a zone affects all of its backends at once. If it were detected for each
+// backend separately, each detection would cost connect timeouts or clients' deadlines, again and again. A
+// zone is taken out of service, for about as long as a first ejection, after kUnansweredAttempts attempts in
+// a row without an answer, at more than one of its backends, while other zones answer. Any answer from the
+// zone ends the outage. An answer is any response, including errors and rejections.
 //
-// Owns what is known of the zones. An answer is any response, also an error or a rejection.
+// Owns the state of the zones.
 class ZoneOutageDetector {
  public:
   static constexpr int kUnansweredAttempts = 3;
 
   void OnAnswer(int zone, TimePoint now);
-  // An attempt without an answer; true if the zone is out of service from now on.
+  // Records an attempt without an answer. Returns true if this takes the zone out of service.
   bool OnNoAnswer(int zone, BackendIndex backend, TimePoint now, Random& random);
 
   bool InOutage(int zone, TimePoint now) const { return StateOf(zone).outage_until > now; }
-  // The last answer of the zone, and of any zone.
+  // The time of the last answer from the zone, and from any zone.
   TimePoint LastAnswer(int zone) const { return StateOf(zone).last_answer; }
   TimePoint last_answer() const { return last_answer_; }
 
-  // When the next outage ends. Between ResetNextReturn and the last call of UpdateReturn that time is found
-  // anew: call it for the zone of each backend. UpdateReturn returns whether the zone is still out.
+  // When the next outage ends. To recompute that time, call ResetNextReturn and then UpdateReturn for the
+  // zone of each backend. UpdateReturn returns whether the zone is still out of service.
   void ResetNextReturn() { next_return_at_ = kNever; }
   bool UpdateReturn(int zone, TimePoint now);
   TimePoint next_return_at() const { return next_return_at_; }
 
  private:
   struct Zone {
-    int unanswered = 0;  // attempts in a row
+    int unanswered = 0;  // attempts in a row without an answer
     BackendIndex last_unanswered = 0;
     bool several_backends = false;  // the unanswered attempts are not all of one backend
     TimePoint last_answer{}, unanswered_since{}, outage_until{};
