--- a/src/rollout/agent.h
+++ b/src/rollout/agent.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member's part in rollouts (docs/rollout.md): takes part in one rollout at a time, follows its progress,
-// answers its leader, and leads if it is elected. Without I/O and without a clock: time, documents and
-// messages come in with each call, and what is to be done is taken with TakeOutput.
+// The agent is a member's side of rollouts (docs/rollout.md): it takes part in one rollout at a time, follows
+// its progress, answers its leader, and leads if it is elected. It does no I/O and reads no clock: the caller
+// passes in the time, documents and messages, and takes the resulting actions with TakeOutput.
 #ifndef COPPERPOINT_ROLLOUT_AGENT_H_
 #define COPPERPOINT_ROLLOUT_AGENT_H_
 
@@ -32,73 +32,78 @@
 
 // The states of a member:
 //
-//   kIdle, kEnded, kExpired -- a plan is received or started here --> kInProgress
-//   kAwaitingPlan ------------ its plan is received ----------------> kInProgress
-//   kAwaitingPlan ------------ progress: it has ended --------------> kIdle
-//   kInProgress -------------- admits no member in time ------------> kExpired
-//   kExpired ----------------- progress: it admits members ---------> kInProgress
-//   kInProgress, kExpired ---- progress: it has ended --------------> kRollingBack or kEnded
-//   kInProgress -------------- progress of a later rollout ---------> kEnded (stopped)
-//   kRollingBack ------------- the old version was requested -------> kEnded
+//   kIdle, kEnded, kExpired -- a plan is received or started here -----> kInProgress
+//   kAwaitingPlan ------------ the rollout's plan is received ---------> kInProgress
+//   kAwaitingPlan ------------ progress: the rollout has ended --------> kIdle
+//   kInProgress -------------- no member is admitted in time ----------> kExpired
+//   kExpired ----------------- progress: the rollout admits members ---> kInProgress
+//   kInProgress, kExpired ---- progress: the rollout has ended --------> kRollingBack or kEnded
+//   kInProgress -------------- progress of a later rollout ------------> kEnded (stopped)
+//   kRollingBack ------------- the old version was requested ----------> kEnded
 //
-// kRollingBack is for a member that runs the new version, if the end requires the old one. In kAwaitingPlan,
-// kInProgress and kRollingBack the member is busy: it takes part in no other rollout.
+// A member enters kRollingBack if it runs the new version and the rollout's end requires the old one. In
+// kAwaitingPlan, kInProgress and kRollingBack the member is busy: it takes part in no other rollout.
 enum class MemberState {
   kIdle,
-  kAwaitingPlan,  // the process before this one took part in a rollout whose plan has not been received yet
+  kAwaitingPlan,  // The previous process took part in a rollout whose plan this one has not received yet.
   kInProgress,
   kExpired,
   kRollingBack,
   kEnded,
 };
 
+// Owns the member's view of the current rollout, and its leader while this member leads.
 class Agent {
  public:
   struct Identity {
     std::string name;
-    // That this process runs, as its supervisor names it. Empty: no supervisor; it cannot be upgraded.
+    // The version that this process runs, as its supervisor names it. Without a supervisor it is empty, and
+    // the member cannot be upgraded.
     std::string version;
     std::uint64_t incarnation = 0;
-    // What its supervisor has stored of the processes before this one.
-    std::uint64_t progress = 0;  // encoded
-    std::string failed_version, failure;
+    // The supervisor stored the following on behalf of the previous processes.
+    std::uint64_t progress = 0;           // Encoded rollout progress (Progress::Encode).
+    std::string failed_version, failure;  // The version that failed, and the reason.
   };
-  // What this process has counted so far. The agent adds version, incarnation and supervisor.
+  // Returns what this process has counted so far. The agent adds the version, the incarnation and whether
+  // there is a supervisor.
   using CollectReport = std::function<wire::MemberReport()>;
 
   Agent(Identity identity, Election::IsAlive is_alive, CollectReport collect_report);
 
   // ---- events ----
-  // Whether the membership may replace its document of that topic: not while this member is busy with another
-  // rollout.
+  // Returns whether the membership may replace its document of `topic` by `version`. It may not while this
+  // member is busy with another rollout.
   bool AcceptsDocument(std::uint32_t topic, std::uint64_t version) const;
   void OnDocument(Time now, std::uint32_t topic, std::uint64_t version, const std::string& body);
   void OnMessage(Time now, const std::string& from, std::string_view body);
   void OnTick(Time now);
-  // Without a rollout never, so that an idle process is not woken up.
+  // The time of the next OnTick. It is never reached without a rollout, so that an idle process is not woken.
   Time next_tick_at() const { return rollout_ ? next_tick_at_ : Time::max() / 2; }
-  // The supervisor has rolled a version back.
+  // The supervisor has rolled `version` back because of `failure`.
   void OnVersionFailed(const std::string& version, const std::string& failure);
 
-  // ---- commands of an operator, at any member; nothing: done ----
+  // ---- operator commands, accepted at any member; they return nothing on success ----
   std::optional<CommandFailure> Start(Time now, const Plan& plan, const std::vector<MemberInfo>& members);
   std::optional<CommandFailure> Abort(Time now);
   std::optional<CommandFailure> Pause(Time now);
   std::optional<CommandFailure> Resume(Time now);
-  std::string StatusJson(Time now) const;  // status.h
-  std::string HistoryJson() const;         // of the last rollout
+  std::string StatusJson(Time now) const;  // The status in the format of status.h.
+  std::string HistoryJson() const;         // The history of the last rollout that this member knows.
 
+  // Actions for the caller.
   struct Output {
     struct Message {
-      std::string to;  // a member's name
+      std::string to;  // The name of the receiving member.
       std::string body;
     };
     std::vector<Message> messages;
     std::vector<Document> documents;
     std::vector<Event> events;
-    std::optional<std::string> requested_version;  // for the supervisor to run from now on
-    std::uint64_t progress = 0;                    // encoded, for the supervisor to store; 0: nothing new
+    std::optional<std::string> requested_version;  // The supervisor is to run this version from now on.
+    std::uint64_t progress = 0;  // The supervisor is to store this encoded progress; 0 if unchanged.
   };
+  // Returns the actions since the last call.
   Output TakeOutput();
 
   MemberState state() const;
@@ -132,15 +137,15 @@
   History history_;
   ReportRequests report_requests_;
 
-  std::unique_ptr<Rollout> rollout_;          // the latest that this member took part in; null before
-  int own_rank_ = UpgradeOrder::kNotAMember;  // in its order
-  Time received_at_{};
-  Progress progress_;               // of rollout_
-  bool expired_ = false;            // it has admitted nobody in time, as far as this member knows
-  std::unique_ptr<Leader> leader_;  // if this member leads it
-  // Without a rollout: what is known of the latest one, at first from the process before this one.
+  std::unique_ptr<Rollout> rollout_;          // The latest rollout that this member joined; null before.
+  int own_rank_ = UpgradeOrder::kNotAMember;  // This member's rank in the order of rollout_.
+  Time received_at_{};                        // When rollout_ was received.
+  Progress progress_;                         // The progress of rollout_.
+  bool expired_ = false;            // As far as this member knows, rollout_ admitted no member in time.
+  std::unique_ptr<Leader> leader_;  // Null unless this member leads rollout_.
+  // While rollout_ is null: the known progress of the latest rollout, at first as the supervisor stored it.
   Progress known_progress_;
-  // The greatest that were received, of whichever rollout.
+  // The greatest encoded progress received under each of the two topics, of any rollout.
   std::uint64_t received_progress_ = 0, received_final_progress_ = 0;
   std::uint32_t last_epoch_ = 0;
   Time next_tick_at_{};
--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Canary analysis of one stage: decides whether the upgraded members do worse than the others, at the same
-// time and on the same kind of traffic. It may be evaluated at any time; the probability of a false alarm
-// holds over all evaluations together.
+// The canary analysis of one stage decides whether the upgraded members perform worse than the others, at the
+// same time and on the same kind of traffic. It may be evaluated at any time; the probability of a false
+// alarm holds over all evaluations together.
 //
-// Counts are scored per stratum (mantel_haenszel.h) and window; the sums are compared with a boundary that
-// holds at all times (sequential_test.h), which is wider where members of one cohort differ from each other
+// Counts are scored per stratum (mantel_haenszel.h) and window. The sums are compared with a boundary that is
+// valid at all times (sequential_test.h), which is wider where members of one cohort differ from each other
 // (heterogeneity.h).
 #ifndef COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
 #define COPPERPOINT_ROLLOUT_CANARY_ANALYSIS_H_
@@ -29,43 +29,44 @@
 
 namespace copperpoint::rollout {
 
-// A measure by which the canaries are worse than the baseline, beyond chance and by more than MinDifference.
+// A measure by which the canaries are worse than the baseline, beyond chance and by at least MinDifference.
 struct Regression {
   Measure measure = Measure::kMissed;
   std::string segment;    // "all", "class 2", "zone a" or "account 7"
-  double difference = 0;  // canary minus baseline, events per request
+  double difference = 0;  // Events per request at the canaries, minus those at the baseline.
   double score = 0, boundary = 0;
 };
 
-// Owns the counts of the stage.
+// Owns the counts of the current stage.
 class CanaryAnalysis {
  public:
-  // Requests and their outcomes since the start of the stage.
+  // The numbers of requests and of their outcomes since the start of the stage.
   struct CohortTotals {
     double requests = 0, missed = 0, rejected = 0, failed = 0, attempts = 0;
   };
 
-  // `members`: of the rollout, by rank. `guardrails` must outlive the analysis.
+  // `stages` is the number of stages of the plan; `members` are the rollout's members, by rank. `guardrails`
+  // must outlive the analysis.
   CanaryAnalysis(const Guardrails& guardrails, std::size_t stages, const std::vector<MemberInfo>& members);
 
-  // Drops all counts.
+  // Resets all counts.
   void StartStage();
-  // What a member of that rank has counted since it was last added.
+  // Adds `increase`, the counts of the member with that rank since the previous call.
   void Add(int rank, Cohort cohort, const wire::Stratum& increase);
-  // Scores what was added since the window before.
+  // Scores the counts that were added since the end of the previous window.
   void EndWindow();
 
-  // The one that exceeds its boundary by the greatest factor.
+  // Returns the regression that exceeds its boundary by the greatest factor; nothing if there is none.
   std::optional<Regression> FindRegression() const;
   std::uint64_t canary_requests() const { return canary_requests_; }
   const CohortTotals& totals(Cohort cohort) const { return totals_[cohort]; }
 
  private:
-  // Requests that are compared by themselves.
+  // A segment is a group of requests that is compared separately.
   enum class SegmentKind { kAll, kRequestClass, kZone, kTenant };
   struct Segment {
     SegmentKind kind = SegmentKind::kAll;
-    std::uint32_t id = 0;  // of the class or tenant; index of the zone
+    std::uint32_t id = 0;  // The id of the request class or tenant, or the zone's index in zones_.
     bool operator<(const Segment& other) const { return std::tie(kind, id) < std::tie(other.kind, other.id); }
   };
   struct StratumKey {
@@ -91,14 +92,14 @@
 
   const Guardrails& guardrails_;
   const std::size_t stages_;
-  std::vector<std::uint32_t> zone_of_rank_;  // index into zones_
+  std::vector<std::uint32_t> zone_of_rank_;  // Indexes into zones_.
   std::vector<std::string> zones_;
 
   PerCohort<CohortTotals> totals_;
   std::uint64_t canary_requests_ = 0;
-  std::map<StratumKey, CohortCounts> window_;
-  // The baseline's latencies by request class, of earlier windows and of this one: a window is counted by the
-  // thresholds of those before it.
+  std::map<StratumKey, CohortCounts> window_;  // Counts that are not scored yet.
+  // The baseline's latencies by request class, of the earlier windows and of this one. The thresholds for a
+  // window come from the earlier windows.
   std::map<std::uint32_t, LatencyHistogram> latencies_, window_latencies_;
   std::map<std::pair<Segment, Measure>, Test> tests_;
 };
--- a/src/rollout/cohort.h
+++ b/src/rollout/cohort.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The two groups of members that a rollout compares, and a pair of values with one for each.
+// The two cohorts of members that a rollout compares, and a container with one value per cohort.
 #ifndef COPPERPOINT_ROLLOUT_COHORT_H_
 #define COPPERPOINT_ROLLOUT_COHORT_H_
 
 namespace copperpoint::rollout {
 
 enum class Cohort {
-  kBaseline,  // members at the old version
-  kCanary,    // members at the new version
+  kBaseline,  // Members that run the old version.
+  kCanary,    // Members that run the new version.
 };
 inline constexpr Cohort kCohorts[] = {Cohort::kBaseline, Cohort::kCanary};
 
--- a/src/rollout/command_failure.h
+++ b/src/rollout/command_failure.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Why an operator's command to a rollout was not carried out.
+// The reason why an operator's command to a rollout was rejected.
 #ifndef COPPERPOINT_ROLLOUT_COMMAND_FAILURE_H_
 #define COPPERPOINT_ROLLOUT_COMMAND_FAILURE_H_
 
@@ -9,7 +9,7 @@
 namespace copperpoint::rollout {
 
 enum class CommandError {
-  kInvalidPlan,  // plan_parser.h
+  kInvalidPlan,  // The plan has errors (InvalidPlan in plan_parser.h).
   kRolloutInProgress,
   kNoMembers,
   kTooManyMembers,
@@ -22,7 +22,7 @@
 
 struct CommandFailure {
   CommandError error;
-  std::string text;  // for the operator
+  std::string text;  // The message that the operator receives.
 };
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/documents.h
+++ b/src/rollout/documents.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The topics under which members of a rollout share documents and messages over the membership. The numbers
-// are on the wire.
+// The topics under which members of a rollout share documents and messages over the membership. The topic
+// numbers are part of the wire format.
 #ifndef COPPERPOINT_ROLLOUT_DOCUMENTS_H_
 #define COPPERPOINT_ROLLOUT_DOCUMENTS_H_
 
@@ -11,13 +11,13 @@
 namespace copperpoint::rollout {
 
 inline constexpr std::uint32_t kPlanTopic = 1;      // wire::RolloutDocument
-inline constexpr std::uint32_t kProgressTopic = 2;  // no body: the version is the encoded Progress
+inline constexpr std::uint32_t kProgressTopic = 2;  // The version is the encoded Progress; no body.
 inline constexpr std::uint32_t kHistoryTopic = 3;   // wire::History
-inline constexpr std::uint32_t kMessageTopic = 4;   // wire::AgentMessage, to one member
-// As kProgressTopic, of the last rollout that has admitted members and ended.
+inline constexpr std::uint32_t kMessageTopic = 4;   // wire::AgentMessage, sent to one member.
+// The same format as kProgressTopic, for the last rollout that admitted members and has ended.
 inline constexpr std::uint32_t kFinalProgressTopic = 5;
 
-// Of two documents of one topic the one with the greater version replaces the other.
+// Of two documents with the same topic, the one with the greater version replaces the other.
 struct Document {
   std::uint32_t topic = 0;
   std::uint64_t version = 0;
--- a/src/rollout/event.h
+++ b/src/rollout/event.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The events of a rollout, as members log them and record them in its history.
+// The events of a rollout, which members log and record in the rollout's history.
 #ifndef COPPERPOINT_ROLLOUT_EVENT_H_
 #define COPPERPOINT_ROLLOUT_EVENT_H_
 
@@ -10,26 +10,27 @@
 namespace copperpoint::rollout {
 
 enum class EventKind {
-  kPlanRejected,      // a plan of a later version of the program, which this one cannot read
-  kPlanReceived,      // this member takes part in a rollout
-  kStarted,           // by an operator at this member
-  kExpired,           // no majority took part in time
-  kLeaderElected,     // this member leads
-  kMemberAdmitted,    // the next member of the order may upgrade
-  kBakeTimeStarted,   // all members of the stage are upgraded, and the canaries are compared from here on
-  kStageStarted,      // the stage before it is over
-  kProgressed,        // this member has received further progress
-  kPaused,            // by an operator
-  kResumed,           // by an operator
-  kStopped,           // the leader's decision
-  kAborted,           // by an operator
-  kCompleted,         // the leader's decision, or this member has received it
-  kEnded,             // this member has received any other end
-  kVersionRequested,  // this member requests another version from its supervisor
-  kVersionFailed,     // its supervisor rolled a version back
+  kPlanRejected,      // This program cannot read the plan, which a later version of the program wrote.
+  kPlanReceived,      // This member takes part in a rollout.
+  kStarted,           // An operator started the rollout at this member.
+  kExpired,           // No member was admitted in time.
+  kLeaderElected,     // This member leads the rollout.
+  kMemberAdmitted,    // The next member of the order may upgrade.
+  kBakeTimeStarted,   // All members of the stage are upgraded; the comparison of the canaries starts.
+  kStageStarted,      // The previous stage is complete.
+  kProgressed,        // This member has received further progress.
+  kPaused,            // An operator paused the rollout.
+  kResumed,           // An operator resumed the rollout.
+  kStopped,           // The leader stopped the rollout.
+  kAborted,           // An operator aborted the rollout.
+  kCompleted,         // The leader completed the rollout, or this member has received its completion.
+  kEnded,             // This member has received an end other than completion.
+  kVersionRequested,  // This member requests another version from its supervisor.
+  kVersionFailed,     // This member's supervisor rolled a version back.
 };
 
-// In the log (after "rollout_") and in a rollout's history, which other versions of the program read.
+// Returns the event's name in the log, where "rollout_" precedes it, and in a rollout's history, which other
+// versions of the program read.
 const char* NameOf(EventKind kind);
 
 struct Event {
--- a/src/rollout/mantel_haenszel.h
+++ b/src/rollout/mantel_haenszel.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The score of one stratum: how many more events the canaries had than the baseline's rate lets expect, and
-// the variance of that if both cohorts are alike. Scores of strata add up, so that what differs between
-// strata (a zone's backends, the load at a time of day) does not count.
+// The score of one stratum is the number of events that the canaries had beyond those expected from the rate
+// of both cohorts together; its variance is that of two cohorts with the same rate. Scores of strata add up,
+// so that differences between strata (a zone's backends, the load at a time of day) have no influence.
 //
 // N. Mantel and W. Haenszel, "Statistical aspects of the analysis of data from retrospective studies of
 // disease", Journal of the National Cancer Institute 22, 1959.
@@ -14,11 +14,11 @@
 
 namespace copperpoint::rollout {
 
-// With n requests and x events per cohort (0: baseline, 1: canary), n and x their sums:
+// The baseline has n0 requests with x0 events and the canaries have n1 with x1; n = n0 + n1, x = x0 + x1.
 struct StratumScore {
   double score = 0;     // (n0 x1 - n1 x0) / n
-  double variance = 0;  // hypergeometric, or Poisson for attempts
-  double weight = 0;    // n1 n0 / n; score / weight is the difference per request
+  double variance = 0;  // Hypergeometric, or Poisson for Measure::kAttempts.
+  double weight = 0;    // n1 n0 / n; score / weight is the difference in events per request.
 
   StratumScore& operator+=(const StratumScore& other) {
     score += other.score;
@@ -28,7 +28,7 @@
   }
 };
 
-// All 0 if a cohort had no request.
+// Returns a score of which all fields are 0 if a cohort had no request.
 StratumScore ScoreStratum(Measure measure, const PerCohort<MeasureCount>& counts);
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/measures.h
+++ b/src/rollout/measures.h
@@ -16,19 +16,19 @@
 namespace copperpoint::rollout {
 
 enum class Measure {
-  kMissed,       // requests that were not served before their deadline
-  kAboveMedian,  // served requests slower than the baseline's median
-  kAboveTail,    // served requests slower than the baseline's 95th percentile
-  kAttempts,     // attempts beyond the first, of which a request may have any number
+  kMissed,       // Requests that were not served before their deadline.
+  kAboveMedian,  // Served requests slower than the baseline's median.
+  kAboveTail,    // Served requests slower than the baseline's 95th percentile.
+  kAttempts,     // Attempts beyond the first, of which a request may have any number.
 };
 inline constexpr std::size_t kMeasures = 4;
 inline constexpr std::array<Measure, kMeasures> kAllMeasures = {Measure::kMissed, Measure::kAboveMedian,
                                                                 Measure::kAboveTail, Measure::kAttempts};
 
-// In the log and in a rollout's history.
+// Returns the measure's name in the log and in a rollout's history.
 const char* NameOf(Measure measure);
 
-// `events` of a measure among `requests`.
+// The number of events of one measure, and the number of requests among which they were counted.
 struct MeasureCount {
   double requests = 0, events = 0;
 
@@ -39,6 +39,7 @@
   }
 };
 
+// One count for each measure.
 class MeasureCounts {
  public:
   MeasureCount& operator[](Measure measure) { return counts_[static_cast<std::size_t>(measure)]; }
@@ -49,16 +50,18 @@
   std::array<MeasureCount, kMeasures> counts_;
 };
 
-// The baseline's latencies of one request class, as buckets; nothing while it has too few requests.
+// The baseline's median and 95th percentile of one request class, as indexes of latency buckets. Both are
+// empty while the baseline has too few requests (latency_histogram.h).
 struct LatencyThresholds {
   std::optional<int> median, tail;
 };
 LatencyThresholds ThresholdsOf(const LatencyHistogram& baseline);
 
+// Counts the events of every measure in `stratum`. Responses are slow if their bucket is above the threshold.
 MeasureCounts CountMeasures(const wire::Stratum& stratum, const LatencyThresholds& thresholds);
 
-// The least difference that stops a rollout, per request: half of what must be detected, so that a difference
-// of no consequence does not.
+// Returns the smallest difference in events per request that stops a rollout. It is half of the difference
+// that must be detected, so that an insignificant difference does not stop the rollout.
 double MinDifference(Measure measure, const Guardrails& guardrails);
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/plan_parser.h
+++ b/src/rollout/plan_parser.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads a rollout's plan from TOML and writes it back. The keys of the file, which are also those of the plan
-// in a rollout's document, are mapped to the plan's fields here and nowhere else.
+// Reads a rollout's plan from TOML and writes it back. Only this module maps the keys of the file, which are
+// also those of the plan in a rollout's document, to the plan's fields.
 #ifndef COPPERPOINT_ROLLOUT_PLAN_PARSER_H_
 #define COPPERPOINT_ROLLOUT_PLAN_PARSER_H_
 
@@ -15,23 +15,23 @@
 namespace copperpoint::rollout {
 
 enum class PlanErrorCategory {
-  kSyntax,          // not TOML
-  kInvalidKey,      // an unknown key, or a value of the wrong type or out of range
-  kEmptyStage,      // a stage upgrades no member
-  kMissingVersion,  // the old or the new version is not named
-  kSameVersion,     // the old and the new version are the same
+  kSyntax,          // The file is not valid TOML.
+  kInvalidKey,      // A key is unknown, or its value has the wrong type or is out of range.
+  kEmptyStage,      // A stage upgrades no member.
+  kMissingVersion,  // The old or the new version is not named.
+  kSameVersion,     // The old and the new version are the same.
   kNoStages,
 };
 
 struct PlanError {
   PlanErrorCategory category = PlanErrorCategory::kSyntax;
   std::string file;
-  int line = 0;      // from 1; 0 where the error is in no one place
-  std::string key;   // dotted, as in "stage[0].members"; empty for an error of the syntax
-  std::string text;  // for people, without the place
+  int line = 0;      // Counted from 1; 0 if the error has no single place.
+  std::string key;   // The dotted path, such as "stage[0].members"; empty for a syntax error.
+  std::string text;  // The message without file, line and key.
 };
 
-// All errors of one plan, in the order of their lines. what() has one line for each: "FILE:LINE:COLUMN: KEY:
+// All errors of one plan, in the order of their lines. what() has one line per error: "FILE:LINE:COLUMN: KEY:
 // TEXT".
 class InvalidPlan : public config::InvalidFile {
  public:
@@ -42,10 +42,10 @@
   std::vector<PlanError> errors_;
 };
 
-// `file`: the plan's name in error messages. Throws InvalidPlan.
+// Parses the TOML in `text`. `file` names the plan in error messages. Throws InvalidPlan.
 Plan ParsePlan(std::string_view text, const std::string& file);
 
-// TOML that reads back to the same plan.
+// Returns TOML that ParsePlan reads back as the same plan.
 std::string FormatPlan(const Plan& plan);
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/progress.h
+++ b/src/rollout/progress.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How far a rollout has got, as one number that only grows: members that disagree take the greatest, whoever
-// wrote it. So an end takes precedence over a pause, a pause over progress, and a later rollout over an
-// earlier one; two leaders that cannot reach each other admit members of the same order, so the greater of
-// their two numbers covers both.
+// The progress of a rollout, encoded as one number that only grows. Members that disagree take the greatest
+// number, whichever member wrote it. Therefore an end takes precedence over a pause, a pause over admissions,
+// and a later rollout over an earlier one. Two leaders that cannot reach each other are safe: they admit
+// members in the same order, so that the greater of their numbers covers both.
 #ifndef COPPERPOINT_ROLLOUT_PROGRESS_H_
 #define COPPERPOINT_ROLLOUT_PROGRESS_H_
 
@@ -11,29 +11,30 @@
 
 namespace copperpoint::rollout {
 
-// The values are on the wire. A greater one takes precedence.
+// The values are part of the wire format. A greater value takes precedence.
 enum class RolloutStatus : std::uint8_t {
   kInProgress = 0,
   kCompleted = 1,
-  kStopped = 2,     // members stay at the version that they run
-  kRolledBack = 3,  // stopped, and all members return to the old version
-  kAborted = 4,     // by an operator; all members return to the old version
+  kStopped = 2,     // Members stay at the version that they run.
+  kRolledBack = 3,  // The leader stopped the rollout; all members return to the old version.
+  kAborted = 4,     // An operator aborted the rollout; all members return to the old version.
 };
 
-// In the log, the status and the history.
+// Returns the status's name in the log, in the status JSON and in the history.
 const char* NameOf(RolloutStatus status);
 
 // A rollout is identified by its epoch (24 bits) and 12 bits of the hash of its document (RolloutIdOf).
 //
-// Encoded, from the highest bit: rollout_id 36 bits, status 3, pause_count 10, admitted_members 15. These
-// bits are on the wire and in what the supervisor stores.
+// The encoding has, from the highest bit: rollout_id (36 bits), status (3), pause_count (10) and
+// admitted_members (15). These bits are part of the wire format, and the supervisor stores them.
 struct Progress {
   static constexpr std::uint32_t kMaxPauseCount = 1023, kMaxAdmittedMembers = 32767;
 
   std::uint64_t rollout_id = 0;
   RolloutStatus status = RolloutStatus::kInProgress;
-  std::uint32_t pause_count = 0;       // of pauses and resumptions; odd: paused
-  std::uint32_t admitted_members = 0;  // the first so many of the order may upgrade
+  std::uint32_t pause_count = 0;  // The number of pauses and resumptions; odd while paused.
+  std::uint32_t admitted_members =
+      0;  // The number of members, from the first of the order, that may upgrade.
 
   bool paused() const { return pause_count % 2 == 1; }
   bool ended() const { return status != RolloutStatus::kInProgress; }
@@ -52,7 +53,7 @@
   }
 };
 
-// The version of a rollout's document in the membership: its epoch and a hash of its body.
+// Returns the version of a rollout's document in the membership: its epoch and a hash of its body.
 inline std::uint64_t DocumentVersion(std::uint32_t epoch, std::uint32_t hash) {
   return static_cast<std::uint64_t>(epoch) << 32 | hash;
 }
--- a/src/rollout/report_requests.h
+++ b/src/rollout/report_requests.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The requests with which a leader polls the members for their reports. A report counts from when it was
-// requested, so that one that waited while this process stood still is as old as it is.
+// The requests with which a leader polls the members for their reports. A report is dated by the time of its
+// request: one that was queued while this process was suspended is not taken for a recent contact.
 #ifndef COPPERPOINT_ROLLOUT_REPORT_REQUESTS_H_
 #define COPPERPOINT_ROLLOUT_REPORT_REQUESTS_H_
 
@@ -18,20 +18,21 @@
 class ReportRequests {
  public:
   static constexpr Time kInterval = std::chrono::milliseconds(500);
-  static constexpr std::size_t kMaxOutstanding = 32;  // reports that answer an earlier request are dropped
+  // Reports that answer a request before the latest kMaxOutstanding are dropped.
+  static constexpr std::size_t kMaxOutstanding = 32;
 
-  // This member leads from now on: reports to earlier leaders don't count.
+  // This member leads from now on: reports that answer earlier requests are dropped.
   void Restart(Time now);
   bool IsDue(Time now) const { return now >= next_at_; }
-  // The number of the next request.
+  // Starts a request and returns its number.
   std::uint32_t Start(Time now);
-  // Nothing if there is no such request.
+  // Returns when the request of that number was started; nothing if it is not among the latest ones.
   std::optional<Time> RequestedAt(std::uint32_t number) const;
 
  private:
   Time next_at_{};
   std::uint32_t last_number_ = 0;
-  std::deque<Time> requested_at_;  // of the last requests
+  std::deque<Time> requested_at_;  // The times of the latest requests, in their order.
 };
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/resource_usage.h
+++ b/src/rollout/resource_usage.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides whether the canaries take more processor time per request, or more memory, than the baseline.
+// Decides whether the canaries use more processor time per request, or more memory, than the baseline.
 #ifndef COPPERPOINT_ROLLOUT_RESOURCE_USAGE_H_
 #define COPPERPOINT_ROLLOUT_RESOURCE_USAGE_H_
 
@@ -13,7 +13,8 @@
 
 namespace copperpoint::rollout {
 
-// To be evaluated at the end of a stage's bake time.
+// Compares the first `admitted_members` with the others at the end of a stage's bake time. Returns nothing if
+// no increase exceeds its guardrail.
 std::optional<StopCause> FindResourceRegression(const MemberTable& members, std::uint32_t admitted_members,
                                                 const Guardrails& guardrails);
 
--- a/src/rollout/rollout_document.h
+++ b/src/rollout/rollout_document.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The document with which a rollout spreads to its members: the plan, and which members there are. It is
-// never changed after its start.
+// The document that distributes a rollout to its members. It contains the plan and the list of members, and
+// never changes after the rollout's start.
 #ifndef COPPERPOINT_ROLLOUT_ROLLOUT_DOCUMENT_H_
 #define COPPERPOINT_ROLLOUT_ROLLOUT_DOCUMENT_H_
 
@@ -21,15 +21,15 @@
   Plan plan;
   UpgradeOrder order;
   std::uint64_t document_version = 0, id = 0;
-  std::string started_by;  // a member
+  std::string started_by;  // The name of the member at which the rollout was started.
 };
 
-// `epoch`: greater than that of every rollout that is known to the member.
+// `epoch` must be greater than that of every rollout that this member knows.
 Document MakeRolloutDocument(std::uint32_t epoch, const Plan& plan, const std::string& started_by,
                              const std::vector<MemberInfo>& members);
 
-// Null if `body` is malformed. Throws InvalidPlan (plan_parser.h) for a plan of a later version of the
-// program.
+// Returns null if `body` is malformed. Throws InvalidPlan (plan_parser.h) if a later version of the program
+// wrote the plan.
 std::unique_ptr<Rollout> ReadRolloutDocument(std::uint64_t version, const std::string& body);
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/sequential_test.h
+++ b/src/rollout/sequential_test.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The sequential test of a rollout: the boundary that a score stays below at all times together, so that the
-// canaries may be evaluated as often as one likes.
+// The sequential test of a rollout: a boundary that holds for all evaluations of a score together, so that
+// the canaries may be evaluated at any time and any number of times.
 //
 // A score S_t with increments of mean 0 and a variance process V_t (for a Mantel-Haenszel score: the
 // hypergeometric variances of the strata) exceeds
@@ -18,15 +18,16 @@
 
 namespace copperpoint::rollout {
 
-// m of the formula: the variance of a score after about a thousand requests, one in a hundred of them missed.
+// The formula's m: the variance of a score after about 1,000 requests of which 1 % were missed.
 inline constexpr double kMixtureVariance = 5;
 
-// b(V) of the formula. `variance`: V, 0 or more; `alpha`: above 0 and below 1. The unit is that of the score.
+// Returns the formula's b(V) in the unit of the score. `variance` is V, 0 or more; `alpha` is in (0, 1).
 double ScoreBoundary(double variance, double alpha);
 
-// Alpha of one test, such that all tests of a rollout together raise a false alarm with at most
-// `false_alarm_probability` (Bonferroni). A test is one of the four measures over all requests of one stage,
-// or in one of `segments` (request classes, zones, tenants).
+// Returns the alpha of one test, such that all tests of a rollout together raise a false alarm with a
+// probability of at most `false_alarm_probability` (Bonferroni correction). A test covers one of the four
+// measures in one stage, over all requests or over those of one of `segments` (request classes, zones,
+// tenants).
 double AlphaPerTest(double false_alarm_probability, std::size_t stages, std::size_t segments);
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/status.h
+++ b/src/rollout/status.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The JSON that /rollout and /rollout/history of the admin interface answer. Its keys and values are mapped
-// to the code's terms here and nowhere else.
+// The JSON with which the admin interface answers /rollout and /rollout/history. Only this module maps the
+// code's terms to the keys and values of that JSON.
 #ifndef COPPERPOINT_ROLLOUT_STATUS_H_
 #define COPPERPOINT_ROLLOUT_STATUS_H_
 
@@ -22,14 +22,14 @@
   const Plan& plan;
   const UpgradeOrder& order;
   const Progress& progress;
-  const std::string& started_by;  // a member
+  const std::string& started_by;  // The name of the member at which the rollout was started.
   bool expired = false;
-  bool has_majority = false;
-  Time age{};                      // since this member received the rollout
-  const Leader* leader = nullptr;  // if this member leads
+  bool has_majority = false;       // Whether a majority of the members is alive.
+  Time age{};                      // The time since this member received the rollout.
+  const Leader* leader = nullptr;  // Null unless this member leads the rollout.
 };
 
-// `version`: that this member runs. `rollout`: null without one.
+// `version` is the version that this member runs. `rollout` is null if this member knows no rollout.
 std::string FormatStatus(const std::string& version, const RolloutStatusView* rollout, Time now);
 
 std::string FormatHistory(const wire::History& history);
--- a/src/rollout/stop_cause.h
+++ b/src/rollout/stop_cause.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Why a leader stops a rollout.
+// The reason why a leader stops a rollout.
 #ifndef COPPERPOINT_ROLLOUT_STOP_CAUSE_H_
 #define COPPERPOINT_ROLLOUT_STOP_CAUSE_H_
 
@@ -9,20 +9,20 @@
 namespace copperpoint::rollout {
 
 enum class StopReason {
-  kVersionFailed,   // a supervisor rolled the new version back
-  kContactLost,     // an upgraded member has no contact, while others of its zone have
-  kUpgradeTimeout,  // a member is not ready at the new version in time
-  kCrashes,         // canaries crash more often than the baseline
-  kTimeLimit,       // the rollout takes too long
-  kRegression,      // a measure is worse (canary_analysis.h)
-  kProcessorTime,   // a request takes more processor time
-  kMemory,          // canaries take more memory
-  kTooFewRequests,  // a stage's canaries did not receive enough requests
+  kVersionFailed,   // A supervisor rolled the new version back.
+  kContactLost,     // An upgraded member has no contact while others of its zone have.
+  kUpgradeTimeout,  // A member was not ready at the new version in time.
+  kCrashes,         // Canaries crash more often than the baseline.
+  kTimeLimit,       // The rollout exceeded its time limit.
+  kRegression,      // A measure is worse at the canaries (canary_analysis.h).
+  kProcessorTime,   // Canaries use more processor time per request.
+  kMemory,          // Canaries use more memory.
+  kTooFewRequests,  // A stage's canaries did not receive enough requests.
 };
 
 struct StopCause {
   StopReason reason;
-  std::string text;  // with its figures, for the log and the history
+  std::string text;  // The cause with its figures, for the log and the history.
 };
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/version_switch.h
+++ b/src/rollout/version_switch.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides which version this member runs, by what it knows itself: it upgrades when it is admitted, rolls
-// back when the rollout was stopped, and needs no leader for that.
+// Decides which version this member runs, using only what the member itself knows. It upgrades when it is
+// admitted and rolls back when the rollout requires it; neither needs contact to the leader.
 #ifndef COPPERPOINT_ROLLOUT_VERSION_SWITCH_H_
 #define COPPERPOINT_ROLLOUT_VERSION_SWITCH_H_
 
@@ -17,31 +17,32 @@
   std::string version, reason;
 };
 
-// Owns which version was requested last, and which one failed.
+// Owns the version that was requested last and the version that failed last.
 class VersionSwitch {
  public:
   struct Input {
     const Plan& plan;
     const Progress& progress;
-    int rank = 0;               // of this member in the order
-    bool has_majority = false;  // of the members lives
-    Time majority_at{};         // when it last did
+    int rank = 0;               // This member's rank in the upgrade order.
+    bool has_majority = false;  // Whether a majority of the members is alive.
+    Time majority_at{};         // When a majority was last alive.
   };
 
-  // `version`: that this process runs, by the supervisor's name; empty without a supervisor, which means that
-  // this member runs what it runs. The last two are what the supervisor has stored of a version that failed.
+  // `version` is the supervisor's name of the version that this process runs. Without a supervisor it is
+  // empty, and no other version is ever requested. `failed_version` and `failure` are what the supervisor has
+  // stored about the version that failed last.
   VersionSwitch(std::string version, std::string failed_version, std::string failure);
 
   void OnRolloutStarted() { rollback_at_.reset(); }
-  // The supervisor has rolled `version` back.
+  // The supervisor has rolled `version` back because of `failure`.
   void OnVersionFailed(const std::string& version, const std::string& failure);
 
-  // The version that the supervisor is to run from now on, if that is another one. Call it at each tick and
-  // when the progress has changed.
+  // Returns the version that the supervisor is to run from now on, if it differs from the one requested last.
+  // To be called at each tick and when the progress has changed.
   std::optional<VersionRequest> Update(Time now, const Input& input);
 
   const std::string& requested_version() const { return requested_version_; }
-  // Why `version` failed here; empty if it did not.
+  // Returns why `version` failed at this member; empty if it did not fail last.
   std::string FailureOf(const std::string& version) const;
 
  private:
@@ -51,7 +52,7 @@
 
   const std::string own_version_;
   std::string requested_version_, failed_version_, failure_;
-  std::optional<Time> rollback_at_;
+  std::optional<Time> rollback_at_;  // When this member's turn to roll back comes.
 };
 
 }  // namespace copperpoint::rollout
