--- a/src/rollout/agent.cpp
+++ b/src/rollout/agent.cpp
@@ -14,13 +14,14 @@
 namespace {
 
 constexpr Time kTick = std::chrono::milliseconds(250);
-// Even, so that no rollout stays paused for good.
+// The limit is even, so that a rollout at its limit is not paused: it could not be resumed any more.
 constexpr std::uint32_t kMaxPauses = Progress::kMaxPauseCount - 1;
-constexpr const char* kExpiredReason = "no majority held to it within start_within_s";
 
+// `plan` is null if this member has not received the plan of the rollout in progress.
 CommandFailure InProgressFailure(const Plan* plan) {
   return {CommandError::kRolloutInProgress,
-          plan ? "the change '" + plan->name + "' is under way" : "a change is under way"};
+          plan ? "the rollout '" + plan->name + "' is in progress; wait for its end or abort it"
+               : "a rollout is in progress; its plan has not been received yet"};
 }
 
 }  // namespace
@@ -61,7 +62,7 @@
   const std::uint64_t own_id = rollout_ ? rollout_->id : known_progress_.rollout_id;
   if (topic == kPlanTopic) return RolloutIdOf(version) == own_id;
   if (topic != kProgressTopic) return true;
-  // A later rollout that has admitted members has a majority: this one cannot continue.
+  // A later rollout that has admitted members has a majority, so that this rollout cannot continue.
   const Progress progress = Progress::Decode(version);
   return progress.rollout_id == own_id || (progress.rollout_id > own_id && progress.admitted_members > 0);
 }
@@ -94,7 +95,7 @@
   } else if (received.rollout_id == rollout_->id) {
     if (received.Encode() > progress_.Encode()) SetProgress(now, received);
   } else if (received.rollout_id > rollout_->id && admits_members && busy()) {
-    // This member was without contact when its rollout ended; how it ended is not known.
+    // This member had no contact when its rollout ended, and does not know how it ended.
     Progress stopped = progress_;
     stopped.status = RolloutStatus::kStopped;
     SetProgress(now, stopped);
@@ -108,8 +109,9 @@
   try {
     rollout = ReadRolloutDocument(version, body);
   } catch (const InvalidPlan&) {
-    // This member takes no part, and so does not count for a majority.
-    output_.events.push_back({EventKind::kPlanRejected, "", "a plan that this program cannot read", 0});
+    // This member does not take part in the rollout, and therefore does not count for its majority.
+    output_.events.push_back({EventKind::kPlanRejected, "",
+                              "the plan has keys or values that this program version does not support", 0});
     return;
   }
   if (!rollout) return;
@@ -121,13 +123,13 @@
   version_switch_.OnRolloutStarted();
   expired_ = false;
   next_tick_at_ = now;
-  // Progress may have been received before the plan, or by the process before this one.
+  // This process may have received progress before the plan, or the previous process may have done so.
   progress_ = Progress{rollout_->id, RolloutStatus::kInProgress, 0, 0};
   for (const std::uint64_t known : {known_progress_.Encode(), received_progress_, received_final_progress_})
     if (Progress::Decode(known).rollout_id == rollout_->id && known > progress_.Encode())
       progress_ = Progress::Decode(known);
   PublishProgress();
-  Emit(EventKind::kPlanReceived, "begun at " + rollout_->started_by);
+  Emit(EventKind::kPlanReceived, "started at member " + rollout_->started_by);
 }
 
 void Agent::SetProgress(Time now, const Progress& progress) {
@@ -150,8 +152,8 @@
   output_.progress = progress.Encode();
 }
 
-// The end of a rollout that has admitted members has a topic of its own, where the progress of later rollouts
-// does not replace it: members that were without contact have to receive it.
+// The end of a rollout that has admitted members is also published under a separate topic, where the progress
+// of later rollouts does not replace it, because members that had no contact still have to receive it.
 void Agent::PublishProgress() {
   const std::uint64_t encoded = progress_.Encode();
   output_.documents.push_back({kProgressTopic, encoded, ""});
@@ -217,12 +219,15 @@
   UpdateLeadership(now);
 }
 
-// As far as this member knows the rollout has admitted nobody, and it must not prevent another one from
-// starting. It does not end here: if it has admitted members after all, their progress will be received.
+// As far as this member knows, the rollout has admitted no member. It must not prevent another one from
+// starting, but it does not end: if it did admit members, this member will receive their progress.
 void Agent::Expire(Time now) {
   if (std::exchange(expired_, true)) return;
-  Emit(EventKind::kExpired, kExpiredReason);
-  Record(now, EventKind::kExpired, kExpiredReason);
+  const std::string reason = fmt::format(
+      "no member was admitted within {} s (start_within_s): admission needs contact to a majority",
+      rollout_->plan.start_timeout_s);
+  Emit(EventKind::kExpired, reason);
+  Record(now, EventKind::kExpired, reason);
   leader_.reset();
 }
 
@@ -276,9 +281,12 @@
 std::optional<CommandFailure> Agent::Start(Time now, const Plan& plan,
                                            const std::vector<MemberInfo>& members) {
   if (busy()) return InProgressFailure(rollout_ ? &rollout_->plan : nullptr);
-  if (members.empty()) return CommandFailure{CommandError::kNoMembers, "there are no members to change"};
+  if (members.empty())
+    return CommandFailure{CommandError::kNoMembers, "the membership has no members to upgrade"};
   if (members.size() > Progress::kMaxAdmittedMembers)
-    return CommandFailure{CommandError::kTooManyMembers, "more than 32,767 members"};
+    return CommandFailure{CommandError::kTooManyMembers,
+                          fmt::format("the membership has {} members, but a rollout can have at most {}",
+                                      members.size(), Progress::kMaxAdmittedMembers)};
   Document document = MakeRolloutDocument(last_epoch_ + 1, plan, identity_.name, members);
   JoinRollout(now, document.version, document.body);
   output_.documents.push_back(std::move(document));
@@ -290,7 +298,7 @@
 
 std::optional<CommandFailure> Agent::Abort(Time now) {
   if (!rollout_ || progress_.status == RolloutStatus::kAborted)
-    return CommandFailure{CommandError::kNothingToAbort, "there is no change to abort"};
+    return CommandFailure{CommandError::kNothingToAbort, "there is no rollout to abort"};
   Progress aborted = progress_;
   aborted.status = RolloutStatus::kAborted;
   SetProgress(now, aborted);
@@ -305,12 +313,14 @@
 
 std::optional<CommandFailure> Agent::SetPaused(Time now, bool paused) {
   if (!rollout_ || progress_.ended())
-    return CommandFailure{CommandError::kNoRolloutInProgress, "there is no change under way"};
+    return CommandFailure{CommandError::kNoRolloutInProgress, "no rollout is in progress"};
   if (progress_.paused() == paused)
-    return paused ? CommandFailure{CommandError::kAlreadyPaused, "it pauses already"}
-                  : CommandFailure{CommandError::kNotPaused, "it does not pause"};
+    return paused ? CommandFailure{CommandError::kAlreadyPaused, "the rollout is already paused"}
+                  : CommandFailure{CommandError::kNotPaused, "the rollout is not paused"};
   if (progress_.pause_count >= kMaxPauses)
-    return CommandFailure{CommandError::kTooManyPauses, "it has paused too often"};
+    return CommandFailure{
+        CommandError::kTooManyPauses,
+        fmt::format("the rollout has been paused {} times, which is the limit", kMaxPauses / 2)};
   Progress next = progress_;
   ++next.pause_count;
   SetProgress(now, next);
--- a/src/rollout/canary_analysis.cpp
+++ b/src/rollout/canary_analysis.cpp
@@ -8,7 +8,7 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr std::size_t kMinSegments = 8;  // that alpha is divided among, however few there are
+constexpr std::size_t kMinSegments = 8;  // Alpha is divided among at least this many segments.
 
 bool HasBothCohorts(const PerCohort<MeasureCounts>& counts) {
   return counts.baseline[Measure::kMissed].requests > 0 && counts.canary[Measure::kMissed].requests > 0;
@@ -84,11 +84,11 @@
   }
 }
 
-// A stratum with requests to both cohorts is scored by itself. Where a zone has members of one cohort only,
-// its requests are scored together with those of the other such zones, by class. Otherwise the stratum stays
-// in the window until both cohorts had requests.
+// A stratum with requests to both cohorts is scored separately. The requests of a zone with members of only
+// one cohort are scored together with those of the other such zones, by request class. Any other stratum
+// stays in the window until both cohorts have received requests.
 void CanaryAnalysis::EndWindow() {
-  std::map<std::uint32_t, CohortCounts> one_sided;  // by request class
+  std::map<std::uint32_t, CohortCounts> one_sided;  // The key is the request class.
   for (auto at = window_.begin(); at != window_.end();) {
     const auto& [stratum, counts] = *at;
     if (HasBothCohorts(counts)) {
--- a/src/rollout/forecast.cpp
+++ b/src/rollout/forecast.cpp
@@ -11,13 +11,13 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kMinMissedFraction = 0.001, kMaxMissedFraction = 0.5;  // that a forecast reckons with
-constexpr std::size_t kAssumedSegments = 8;  // classes, zones and tenants that are compared by themselves
-constexpr double kUndetectableFraction = 2;  // above any fraction
-constexpr double kBakeTimeStep = 1.02;       // ratio of the bake times that are examined
-constexpr double kMaxBakeTimeS = 1e6;
+constexpr double kMinMissedFraction = 0.001, kMaxMissedFraction = 0.5;  // The range that forecasts assume.
+constexpr std::size_t kAssumedSegments = 8;  // Classes, zones and tenants that are compared separately.
+constexpr double kUndetectableFraction = 2;  // Greater than any fraction of requests.
+constexpr double kBakeTimeStep = 1.02;       // The ratio between successive bake times in the search.
+constexpr double kMaxBakeTimeS = 1e6;        // The search ends at this bake time, in seconds.
 
-// What one stage detects, as a function of its bake time.
+// The smallest increase of missed requests that a stage detects, as a function of its bake time.
 class DetectableFraction {
  public:
   DetectableFraction(double canary_per_s, double baseline_per_s, double missed_fraction, double alpha,
--- a/src/rollout/heterogeneity.cpp
+++ b/src/rollout/heterogeneity.cpp
@@ -8,11 +8,11 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kMinRequestVariance = 1e-9;  // where all requests of a cohort ended alike
+constexpr double kMinRequestVariance = 1e-9;  // Used where all requests of a cohort had the same outcome.
 
 struct CohortSums {
   MeasureCount total;
-  double squared_requests = 0;  // sum over members
+  double squared_requests = 0;  // The sum of the members' squared numbers of requests.
 };
 
 CohortSums Sum(const CountsByMember& members) {
@@ -24,7 +24,7 @@
   return sums;
 }
 
-// Of the number of events of one request, at `rate` events per request.
+// Returns the variance of the number of events of one request, at a mean of `rate` events per request.
 double RequestVariance(double rate) {
   return std::max(kMinRequestVariance, rate <= 1 ? rate * (1 - rate) : rate);
 }
--- a/src/rollout/history.cpp
+++ b/src/rollout/history.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int kMaxSteps = 200;
-constexpr std::uint32_t kHashMask = 0xfffff;  // the lower bits of a version
+constexpr std::uint32_t kHashMask = 0xfffff;  // The lowest 20 bits of a document version are the hash.
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   step.set_recorded_by(entry.recorded_by);
   step.set_admitted_members(entry.admitted_members);
   step.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, age_ms)));
-  // More steps replace fewer; of two histories of the same length the greater hash decides.
+  // A history with more steps replaces one with fewer; at the same length the greater hash decides.
   std::string body = steps_.SerializeAsString();
   const std::uint32_t hash = XXH32(body.data(), body.size(), 0) & kHashMask;
   version_ = DocumentVersion(epoch, static_cast<std::uint32_t>(steps_.steps_size()) << 20 | hash);
--- a/src/rollout/latency_histogram.cpp
+++ b/src/rollout/latency_histogram.cpp
@@ -7,9 +7,9 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kBucketRatio = 1.25;
-constexpr double kRounding = 1e-9;  // of a bucket's end
-constexpr double kMinRequests = 50;
+constexpr double kBucketRatio = 1.25;  // The ratio between the ends of successive buckets.
+constexpr double kRounding = 1e-9;     // Tolerance for a latency that equals the end of a bucket.
+constexpr double kMinRequests = 50;    // A histogram with fewer requests has no thresholds.
 
 }  // namespace
 
--- a/src/rollout/leader.cpp
+++ b/src/rollout/leader.cpp
@@ -12,8 +12,8 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr Time kWindow = std::chrono::milliseconds(1000);  // between evaluations of the canaries
-constexpr double kMaxBakeTimes = 10;  // a stage waits so many times its bake time for its requests
+constexpr Time kWindow = std::chrono::milliseconds(1000);  // The time between evaluations of the canaries.
+constexpr double kMaxBakeTimes = 10;  // A stage waits for its requests for this many times its bake time.
 
 std::string TextOf(const Regression& regression, const std::string& version) {
   return fmt::format("{} of {} is worse by {:.4f} with {} (score {:.1f}, bound {:.1f})",
@@ -39,7 +39,7 @@
   if (step.window_ended) next_window_at_ = now + kWindow;
   if (std::exchange(stage_, stage) != stage) Enter(now, Phase::kUpgrading);
 
-  // Without a majority nothing is decided: it may be this member that is cut off.
+  // Without a majority no decision is taken, since this member itself may be cut off.
   if (!UpdateMajority(step)) return std::nullopt;
   if (auto cause = FindFailure(step)) return Stop(progress, std::move(*cause));
   step.unavailable = CountUnavailable(step);
@@ -73,7 +73,7 @@
   return true;
 }
 
-// The transitions that need no decision; with a majority.
+// Makes the transitions that need no decision. Requires a majority.
 void Leader::UpdatePhase(const Step& step) {
   const bool upgrading = step.progress.admitted_members < step.stage_end || step.unavailable > 0;
   if (upgrading) {
@@ -95,7 +95,8 @@
           {plan_, order_, members_, step.progress.admitted_members, majority_since_}, step.now))
     return cause;
   if (step.now - started_at_ > FromSeconds(plan_.time_limit_s))
-    return StopCause{StopReason::kTimeLimit, "it took longer than limit_s"};
+    return StopCause{StopReason::kTimeLimit,
+                     fmt::format("the rollout took longer than {} s (limit_s)", plan_.time_limit_s)};
   return std::nullopt;
 }
 
@@ -106,7 +107,8 @@
   return {stopped, EventKind::kStopped, std::move(cause.text), cause.reason};
 }
 
-// True as well if its zone has no other member.
+// Returns whether another member of the zone has contact and is ready. Also true if the zone has no other
+// member.
 bool Leader::HasReadyPeerInZone(const Step& step, std::size_t rank) const {
   int peers = 0, ready = 0;
   for (std::size_t peer = 0; peer < members_.size(); ++peer) {
@@ -133,12 +135,13 @@
   analysis_.StartStage();
   members_.StartBakeTime();
   return Decision{step.progress, EventKind::kBakeTimeStarted,
-                  fmt::format("stage {}, {} of {} changed", step.stage + 1, step.progress.admitted_members,
-                              members_.size()),
+                  fmt::format("stage {}: {} of {} members upgraded", step.stage + 1,
+                              step.progress.admitted_members, members_.size()),
                   std::nullopt};
 }
 
-// A member that runs neither version belongs to no cohort.
+// Adds what the members have counted since the previous window. A member that does not run the version of its
+// cohort is left out.
 void Leader::AddWindow(const Step& step) {
   for (std::size_t rank = 0; rank < members_.size(); ++rank) {
     if (!members_.HasContact(step.now, rank)) continue;
@@ -163,15 +166,16 @@
     return Stop(step.progress, std::move(*cause));
   if (analysis_.canary_requests() < static_cast<std::uint64_t>(stage.min_canary_requests)) {
     if (baked < kMaxBakeTimes * bake_time) return std::nullopt;
-    return Stop(step.progress, {StopReason::kTooFewRequests,
-                                fmt::format("only {} of {} requests in {:.0f} s: too few to tell",
-                                            analysis_.canary_requests(), stage.min_canary_requests,
-                                            kMaxBakeTimes * stage.bake_time_s)});
+    return Stop(step.progress,
+                {StopReason::kTooFewRequests,
+                 fmt::format("the canaries received {} of {} requests in {:.0f} s, too few to compare",
+                             analysis_.canary_requests(), stage.min_canary_requests,
+                             kMaxBakeTimes * stage.bake_time_s)});
   }
   return EndStage(step);
 }
 
-// The next stage starts with the first of its members; a stage that adds none is passed over.
+// Ends the stage and admits the first member of the next one. Stages that add no member are skipped.
 Leader::Decision Leader::EndStage(const Step& step) const {
   const std::string figures = FiguresOf(step);
   const bool more = std::any_of(order_.stage_ends.begin() + static_cast<std::ptrdiff_t>(step.stage),
@@ -184,15 +188,15 @@
   }
   const std::string& first = order_.members[next.admitted_members].name;
   ++next.admitted_members;
-  return {next, EventKind::kStageStarted, figures + "; next " + first, std::nullopt};
+  return {next, EventKind::kStageStarted, figures + "; next member " + first, std::nullopt};
 }
 
 std::string Leader::FiguresOf(const Step& step) const {
   const CanaryAnalysis::CohortTotals& canary = analysis_.totals(Cohort::kCanary);
   const CanaryAnalysis::CohortTotals& baseline = analysis_.totals(Cohort::kBaseline);
-  return fmt::format("stage {}: {:.0f} asked, {:.4f} missed; others {:.0f}, {:.4f}", step.stage + 1,
-                     canary.requests, canary.missed / std::max(1.0, canary.requests), baseline.requests,
-                     baseline.missed / std::max(1.0, baseline.requests));
+  return fmt::format("stage {}: canaries {:.0f} requests, {:.4f} missed; baseline {:.0f}, {:.4f}",
+                     step.stage + 1, canary.requests, canary.missed / std::max(1.0, canary.requests),
+                     baseline.requests, baseline.missed / std::max(1.0, baseline.requests));
 }
 
 }  // namespace copperpoint::rollout
--- a/src/rollout/mantel_haenszel.cpp
+++ b/src/rollout/mantel_haenszel.cpp
@@ -4,6 +4,7 @@
 namespace copperpoint::rollout {
 namespace {
 
+// `n` requests have `x` events; `weight` is that of StratumScore.
 double HypergeometricVariance(double n, double x, double weight) {
   return n > 1 ? x * (n - x) / n * weight / (n - 1) : 0;
 }
@@ -17,7 +18,7 @@
   StratumScore result;
   result.score = (baseline.requests * canary.events - canary.requests * baseline.events) / n;
   result.weight = baseline.requests * canary.requests / n;
-  // A request has at most one event of the other measures, but any number of further attempts.
+  // A request may have any number of further attempts, but at most one event of each other measure.
   result.variance =
       measure == Measure::kAttempts ? x * result.weight / n : HypergeometricVariance(n, x, result.weight);
   return result;
--- a/src/rollout/measures.cpp
+++ b/src/rollout/measures.cpp
@@ -6,8 +6,10 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kMedian = 0.5, kTail = 0.05;  // fractions of the baseline's requests above the threshold
+// The fractions of the baseline's requests that are above the thresholds.
+constexpr double kMedian = 0.5, kTail = 0.05;
 
+// Counts the requests in buckets above `threshold`; nothing without a threshold.
 MeasureCount CountAbove(std::optional<int> threshold, const wire::Stratum& stratum) {
   MeasureCount count;
   if (!threshold) return count;
--- a/src/rollout/member_failures.cpp
+++ b/src/rollout/member_failures.cpp
@@ -10,15 +10,16 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kMaxCrashRatio = 3;   // of crashes per canary to crashes per other member
-constexpr double kPriorCrashes = 0.5;  // assumed of the other members before any crash
+constexpr double kMaxCrashRatio = 3;   // The maximum ratio of crashes per canary to crashes per other member.
+constexpr double kPriorCrashes = 0.5;  // Added to the other members' crashes, so that their rate is never 0.
 
-// The other members of its zone that have not been admitted: what an upgraded member's contact is compared
-// with.
+// The contact of the other members of an upgraded member's zone that have not been admitted. The upgraded
+// member's contact is compared with theirs.
 struct ZoneContact {
   int members = 0, with_contact = 0;
 
-  // Without such members nothing excuses a missing contact.
+  // Whether the zone itself has lost contact, which excuses the upgraded member. A zone without such members
+  // excuses nothing.
   bool IsLost() const { return members > 0 && 2 * with_contact <= members; }
 };
 
@@ -42,10 +43,12 @@
   const ZoneContact zone = ContactOfZone(input, now, rank);
   if (zone.IsLost()) return std::nullopt;
   const double without_contact_s = std::chrono::duration<double>(now - member.last_contact).count();
-  return StopCause{StopReason::kContactLost,
-                   fmt::format("{} is not heard for {:.1f} s as {}, while {} of {} others of zone {} are",
-                               input.order.members[rank].name, without_contact_s, input.plan.new_version,
-                               zone.with_contact, zone.members, input.order.members[rank].zone)};
+  return StopCause{
+      StopReason::kContactLost,
+      fmt::format("{} has had no contact for {:.1f} s at version {}, while {} of {} other members "
+                  "of zone {} have contact",
+                  input.order.members[rank].name, without_contact_s, input.plan.new_version,
+                  zone.with_contact, zone.members, input.order.members[rank].zone)};
 }
 
 std::optional<StopCause> FindUpgradeTimeout(const FailureInput& input, Time now, std::size_t rank) {
@@ -55,9 +58,10 @@
   const Time deadline =
       std::max(member.admitted_at, input.majority_since) + FromSeconds(input.plan.upgrade_timeout_s);
   if (now <= deadline) return std::nullopt;
-  return StopCause{StopReason::kUpgradeTimeout,
-                   fmt::format("{} is not back as {} after {:.0f} s", input.order.members[rank].name,
-                               input.plan.new_version, input.plan.upgrade_timeout_s)};
+  return StopCause{
+      StopReason::kUpgradeTimeout,
+      fmt::format("{} is not ready at version {} after {:.0f} s (change_s)", input.order.members[rank].name,
+                  input.plan.new_version, input.plan.upgrade_timeout_s)};
 }
 
 std::optional<StopCause> FindCrashes(const FailureInput& input) {
@@ -72,7 +76,7 @@
       kMaxCrashRatio * (other_crashes + kPriorCrashes) / std::max(1.0, others);
   if (canary_crashes / canaries <= max_crashes_per_canary) return std::nullopt;
   return StopCause{StopReason::kCrashes,
-                   fmt::format("{:.0f} crashes of {:.0f} changed members, {:.0f} of {:.0f} others",
+                   fmt::format("{:.0f} crashes at {:.0f} upgraded members, {:.0f} at {:.0f} other members",
                                canary_crashes, canaries, other_crashes, others)};
 }
 
@@ -84,7 +88,7 @@
     const ObservedMember& member = input.members[rank];
     if (member.has_reported && !member.report.failure().empty())
       return StopCause{StopReason::kVersionFailed,
-                       fmt::format("{} did not keep {}: {}", input.order.members[rank].name,
+                       fmt::format("{} could not run version {}: {}", input.order.members[rank].name,
                                    input.plan.new_version, member.report.failure())};
     if (auto cause = FindContactLoss(input, now, rank)) return cause;
   }
--- a/src/rollout/member_table.cpp
+++ b/src/rollout/member_table.cpp
@@ -7,9 +7,10 @@
 namespace copperpoint::rollout {
 namespace {
 
+// Returns 0 for a counter that has decreased.
 std::uint64_t Difference(std::uint64_t now, std::uint64_t before) { return now > before ? now - before : 0; }
 
-// What was counted since `before`, both by the same process.
+// Returns what the process that reported both `before` and `now` has counted in between.
 wire::Stratum IncreaseSince(const wire::Stratum& now, const std::vector<wire::Stratum>& before) {
   wire::Stratum increase = now;
   const auto found = std::find_if(before.begin(), before.end(), [&](const wire::Stratum& stratum) {
@@ -39,8 +40,8 @@
 MemberTable::MemberTable(std::string new_version, std::size_t members)
     : new_version_(std::move(new_version)), members_(members), counters_(members) {}
 
-// A supervisor counts the new version's crashes from its start, so that those of a member that was the leader
-// itself are not lost.
+// The supervisor counts the new version's crashes from that version's start. Therefore the crashes of a
+// member that was itself the leader are not lost: the next leader receives their number.
 void MemberTable::CountCrashes(std::size_t rank, const wire::MemberReport& report) {
   ObservedMember& member = members_[rank];
   Counters& counters = counters_[rank];
@@ -66,7 +67,8 @@
   member.report = report;
   const std::uint64_t requests = RequestsOf(report);
   if (!same_process || counters.incarnation != report.incarnation()) {
-    // A new process counts from its own start. What its predecessor counted last is lost, in both cohorts.
+    // A new process counts from its own start. What the previous process counted after its last report is
+    // lost, in both cohorts.
     counters.strata.assign(report.strata().begin(), report.strata().end());
     counters.incarnation = report.incarnation();
     counters.processor_us = report.cpu_us();
--- a/src/rollout/report_requests.cpp
+++ b/src/rollout/report_requests.cpp
@@ -16,7 +16,7 @@
 }
 
 std::optional<Time> ReportRequests::RequestedAt(std::uint32_t number) const {
-  const std::uint32_t requests_since = last_number_ - number;  // wraps around for a number to come
+  const std::uint32_t requests_since = last_number_ - number;  // Wraps around if `number` is not used yet.
   if (requests_since >= requested_at_.size()) return std::nullopt;
   return requested_at_[requested_at_.size() - 1 - requests_since];
 }
--- a/src/rollout/resource_usage.cpp
+++ b/src/rollout/resource_usage.cpp
@@ -13,9 +13,9 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kMinRequests = 200;  // of a member, before its processor time is compared
-constexpr double kMinDeviations = 6;  // of the baseline's members, that the canaries must be above it
-// Differences below these do not count.
+constexpr double kMinRequests = 200;  // A member with fewer requests is left out of the processor time.
+constexpr double kMinDeviations = 6;  // In standard errors: the canaries must exceed the baseline by as much.
+// Smaller differences are ignored.
 constexpr double kMinMemoryDifferenceKb = 16384, kMinProcessorDifferenceUs = 20;
 
 struct Sample {
@@ -35,11 +35,11 @@
 }
 
 struct UsageLimits {
-  double min_increase = 0;    // relative
-  double min_difference = 0;  // in the unit of the values
+  double min_increase = 0;    // Relative to the baseline's mean.
+  double min_difference = 0;  // In the unit of the values.
 };
 
-// The means of both cohorts, if the canaries' is too high.
+// Returns the means of both cohorts if the canaries' mean is too high.
 std::optional<PerCohort<double>> FindIncrease(const PerCohort<std::vector<double>>& values,
                                               const UsageLimits& limits) {
   const Sample baseline = SampleOf(values.baseline), canary = SampleOf(values.canary);
@@ -71,12 +71,14 @@
   }
   if (const auto means =
           FindIncrease(processor_us, {guardrails.processor_increase, kMinProcessorDifferenceUs}))
-    return StopCause{StopReason::kProcessorTime,
-                     fmt::format("{:.0f} us of processor time a request, {:.0f} with the others",
-                                 means->canary, means->baseline)};
+    return StopCause{
+        StopReason::kProcessorTime,
+        fmt::format("the canaries use {:.0f} us of processor time per request, the baseline {:.0f} us",
+                    means->canary, means->baseline)};
   if (const auto means = FindIncrease(memory_kb, {guardrails.memory_increase, kMinMemoryDifferenceKb}))
-    return StopCause{StopReason::kMemory, fmt::format("{:.0f} kB of memory, {:.0f} with the others",
-                                                      means->canary, means->baseline)};
+    return StopCause{StopReason::kMemory,
+                     fmt::format("the canaries use {:.0f} kB of memory, the baseline {:.0f} kB",
+                                 means->canary, means->baseline)};
   return std::nullopt;
 }
 
--- a/src/rollout/rollout_document.cpp
+++ b/src/rollout/rollout_document.cpp
@@ -30,7 +30,7 @@
   wire::RolloutDocument document;
   if (!document.ParseFromString(body)) return nullptr;
   auto rollout = std::make_unique<Rollout>();
-  rollout->plan = ParsePlan(document.plan(), "the change of " + document.started_by());
+  rollout->plan = ParsePlan(document.plan(), "the rollout started at " + document.started_by());
   std::vector<MemberInfo> members;
   members.reserve(static_cast<std::size_t>(document.members_size()));
   for (const wire::Member& member : document.members()) members.push_back({member.name(), member.zone()});
--- a/src/rollout/status.cpp
+++ b/src/rollout/status.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr double kNeverReportedS = -1;
+constexpr double kNeverReportedS = -1;  // The value of heard_s for a member that has not reported.
 
 double ToSeconds(Time time) { return std::chrono::duration<double>(time).count(); }
 
--- a/src/rollout/upgrade_order.cpp
+++ b/src/rollout/upgrade_order.cpp
@@ -12,18 +12,18 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr double kRounding = 1e-9;  // of fractions
+constexpr double kRounding = 1e-9;  // Tolerance for rounding errors of fractions.
 
 struct Zone {
-  std::vector<MemberInfo> members;  // in their order
-  std::size_t taken = 0;            // of them, into the rollout's order
+  std::vector<MemberInfo> members;  // In their order within the zone.
+  std::size_t taken = 0;            // The number of them that the rollout's order already contains.
 
   double remaining_fraction() const {
     return static_cast<double>(members.size() - taken) / static_cast<double>(members.size());
   }
 };
 
-// The zones with their members, both by hash.
+// Returns the zones with their members, both sorted by hash.
 std::vector<Zone> SortedZones(std::vector<MemberInfo> members, std::uint64_t rollout_id) {
   const auto hash = [&](const std::string& name) { return XXH64(name.data(), name.size(), rollout_id); };
   const auto before = [&](const std::string& a, const std::string& b) {
@@ -43,6 +43,7 @@
   return zones;
 }
 
+// Returns the number of members that are upgraded when each stage ends. It never decreases.
 std::vector<int> StageEnds(const Plan& plan, int members, int zones) {
   std::vector<int> ends;
   for (const Stage& stage : plan.stages) {
@@ -74,7 +75,7 @@
   std::vector<Zone> zones = SortedZones(std::move(members), rollout_id);
   UpgradeOrder order;
   while (order.members.size() < count) {
-    // The first of the zones with the greatest remaining fraction.
+    // The next member is of the first zone with the greatest remaining fraction.
     Zone* next = nullptr;
     for (Zone& zone : zones) {
       if (zone.taken == zone.members.size()) continue;
--- a/src/rollout/version_switch.cpp
+++ b/src/rollout/version_switch.cpp
@@ -33,25 +33,27 @@
   const Plan& plan = input.plan;
   const bool upgraded = requested_version_ == plan.new_version;
   if (input.progress.requires_rollback()) return upgraded ? RollBack(now, input) : std::nullopt;
-  if (!upgraded) return MayUpgrade(input) ? Request(plan.new_version, "its turn") : std::nullopt;
+  if (!upgraded)
+    return MayUpgrade(input) ? Request(plan.new_version, "the rollout admitted this member") : std::nullopt;
   const bool isolated = now - input.majority_at > FromSeconds(plan.isolation_timeout_s);
   if (input.progress.ended() || plan.isolation_timeout_s <= 0 || !isolated) return std::nullopt;
-  return Request(plan.old_version, "no majority is heard");
+  return Request(plan.old_version, "no contact to a majority of the members for longer than alone_back_s");
 }
 
-// The last ones to upgrade roll back first, as many at a time as upgrade at a time. Each member knows its
-// turn by its rank.
+// The members that upgraded last roll back first, `max_unavailable` at a time. Each member derives the time
+// of its turn from its rank.
 std::optional<VersionRequest> VersionSwitch::RollBack(Time now, const Input& input) {
   if (!rollback_at_) {
-    const int before =
-        std::max(0, static_cast<int>(input.progress.admitted_members) - 1 - input.rank);  // members
+    // The number of members that roll back before this one.
+    const int before = std::max(0, static_cast<int>(input.progress.admitted_members) - 1 - input.rank);
     rollback_at_ = now + (before / input.plan.max_unavailable) * FromSeconds(input.plan.rollback_interval_s);
   }
   if (now < *rollback_at_) return std::nullopt;
-  return Request(input.plan.old_version, std::string("the change was ") + NameOf(input.progress.status));
+  return Request(input.plan.old_version, std::string("the rollout was ") + NameOf(input.progress.status));
 }
 
-// Only from the version that the plan names, not where the new one failed before, and not without a majority.
+// A member upgrades only from the plan's old version, only if the new version did not fail here before, and
+// only while a majority of the members is alive.
 bool VersionSwitch::MayUpgrade(const Input& input) const {
   if (input.progress.ended() && input.progress.status != RolloutStatus::kCompleted) return false;
   return input.rank < static_cast<int>(input.progress.admitted_members) &&
--- a/tests/rollout/agent_test.cpp
+++ b/tests/rollout/agent_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Rollouts of nine agents in virtual time: what they decide together.
+// Rollouts of nine agents in virtual time: tests the decisions that the agents reach together.
 #include "rollout/agent.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
   for (const auto& [name, agent] : fleet.agents) EXPECT_TRUE(agent->progress().requires_rollback()) << name;
 }
 
-// Mutant: lost contact does not count.
+// Guards against a leader that ignores the lost contact of an upgraded member.
 TEST(Agent, UpgradedMemberWithoutContactStopsTheRollout) {
   Fleet fleet;
   fleet.StartRollout();
@@ -54,17 +54,18 @@
   ASSERT_NE(upgraded, "");
   fleet.exited.insert(upgraded);
   fleet.Run(15);
-  EXPECT_EQ(fleet.CountEvents("is not heard"), 1);
-  EXPECT_EQ(fleet.CountRunning("v2"), 1);  // without contact it does not know that the rollout was stopped
+  EXPECT_EQ(fleet.CountEvents("has had no contact"), 1);
+  EXPECT_EQ(fleet.CountRunning("v2"), 1);  // Without contact the member does not know of the stop.
 }
 
-// Mutant: no majority required.
+// Guards against a leader that decides without a majority of the members.
 TEST(Agent, PartitionWithoutAMajorityMakesNoProgressAndRollsBack) {
   Fleet fleet;
   fleet.StartRollout();
   fleet.Run(4);
   ASSERT_EQ(fleet.CountRunning("v2"), 1);
-  // The upgraded member and three more are cut off, and two of the other side exit: neither side has five.
+  // The upgraded member and three others are cut off, and two members of the other side exit, so that neither
+  // side has the majority of five.
   int others = 0;
   for (const auto& [name, version] : fleet.versions)
     if (version == "v2" || others++ < 3) fleet.cut_off.insert(name);
@@ -72,7 +73,7 @@
   for (const auto& [name, version] : fleet.versions)
     if (!fleet.cut_off.contains(name) && fleet.exited.size() < 2) fleet.exited.insert(name);
   fleet.Run(60);
-  EXPECT_EQ(fleet.CountRunning("v2"), 0) << fleet.EventLog();  // alone_back_s
+  EXPECT_EQ(fleet.CountRunning("v2"), 0) << fleet.EventLog();  // Rolled back after alone_back_s.
   EXPECT_EQ(fleet.CountEvents(" stage stage"), 0) << fleet.EventLog();
 }
 
@@ -89,7 +90,7 @@
   const auto failure = fleet.agents["p2"]->Abort(fleet.now);
   ASSERT_TRUE(failure);
   EXPECT_EQ(failure->error, CommandError::kNothingToAbort);
-  EXPECT_EQ(failure->text, "there is no change to abort");
+  EXPECT_EQ(failure->text, "there is no rollout to abort");
 }
 
 TEST(Agent, PausedRolloutAdmitsNoFurtherMemberUntilResumed) {
@@ -113,7 +114,7 @@
   const auto failure = fleet.agents["p4"]->Start(fleet.now, fleet.plan, NineMembers());
   ASSERT_TRUE(failure);
   EXPECT_EQ(failure->error, CommandError::kRolloutInProgress);
-  EXPECT_NE(failure->text.find("'nine' is under way"), std::string::npos);
+  EXPECT_EQ(failure->text, "the rollout 'nine' is in progress; wait for its end or abort it");
   fleet.Run(120);
   Plan back = fleet.plan;
   std::swap(back.old_version, back.new_version);
@@ -140,7 +141,7 @@
   EXPECT_TRUE(fleet.CountRunning("v2") == 9 || fleet.CountRunning("v1") == 9) << fleet.CountRunning("v2");
 }
 
-// Mutant: the rollout that progress belongs to is not compared.
+// Guards against an agent that applies progress without comparing the rollout to which it belongs.
 TEST(Agent, ProgressOfAnotherRolloutIsIgnored) {
   Fleet fleet;
   fleet.StartRollout();
@@ -151,7 +152,7 @@
   message.set_rollout_id(other.rollout_id);
   message.set_progress(other.Encode());
   for (auto& [name, agent] : fleet.agents) agent->OnMessage(fleet.now, "p1", message.SerializeAsString());
-  // Nor of a message of this rollout's number whose progress claims a later rollout.
+  // The progress in a message with the id of an earlier rollout is ignored even if it claims a later one.
   message.set_progress(Progress{other.rollout_id + 2, RolloutStatus::kAborted, 0, 9}.Encode());
   for (auto& [name, agent] : fleet.agents) agent->OnMessage(fleet.now, "p1", message.SerializeAsString());
   for (auto& [name, agent] : fleet.agents) EXPECT_FALSE(agent->progress().ended()) << name;
@@ -183,7 +184,7 @@
   EXPECT_FALSE(agent.AcceptsDocument(kPlanTopic, DocumentVersion(8, 0xabcdef01)));
   const auto failure = agent.Start(Millis(0), ParsePlan(kPlan, "plan"), NineMembers());
   ASSERT_TRUE(failure);
-  EXPECT_EQ(failure->text, "a change is under way");
+  EXPECT_EQ(failure->text, "a rollout is in progress; its plan has not been received yet");
   agent.OnDocument(Millis(0), kProgressTopic, Progress{id, RolloutStatus::kRolledBack, 0, 2}.Encode(), "");
   EXPECT_EQ(agent.state(), MemberState::kIdle);
 }
@@ -225,7 +226,7 @@
   EXPECT_EQ(agent.Pause(Millis(0))->error, CommandError::kAlreadyPaused);
 }
 
-// The last pause that is counted can be resumed.
+// Guards against an overflow of the encoded pause count, and against a last pause that cannot be resumed.
 TEST(Agent, PausesAreRejectedBeforeTheirCountOverflows) {
   Agent agent = MakeAgent();
   ASSERT_FALSE(agent.Start(Millis(0), ParsePlan(kPlan, "plan"), NineMembers()));
@@ -246,7 +247,8 @@
   const Agent::Output output = agent.TakeOutput();
   ASSERT_EQ(output.events.size(), 1u);
   EXPECT_EQ(output.events[0].kind, EventKind::kPlanRejected);
-  EXPECT_EQ(output.events[0].reason, "a plan that this program cannot read");
+  EXPECT_EQ(output.events[0].reason,
+            "the plan has keys or values that this program version does not support");
 }
 
 }  // namespace
--- a/tests/rollout/canary_analysis_test.cpp
+++ b/tests/rollout/canary_analysis_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How often the canary analysis stops a rollout with and without a regression, over many seeds.
+// Tests how often the canary analysis stops a rollout with and without a regression, over many seeds.
 #include "rollout/canary_analysis.h"
 
 #include <gtest/gtest.h>
@@ -35,13 +35,13 @@
 };
 
 struct Scenario {
-  double regression = 0;           // more missed requests at the canary, as a fraction
-  double member_deviation = 0;     // of the members' missed fractions
-  double fault_factor = 1;         // of all missed fractions, in 14 of 40 windows
-  int members = 9, windows = 120;  // the first member is the canary
+  double regression = 0;           // Added to the canary's fraction of missed requests.
+  double member_deviation = 0;     // The lognormal deviation of the members' fractions of missed requests.
+  double fault_factor = 1;         // Multiplies all these fractions in 14 of 40 windows.
+  int members = 9, windows = 120;  // The first member is the canary.
 };
 
-// Whether the rollout is stopped in any window.
+// Returns whether the analysis finds a regression in any window.
 bool IsStopped(std::uint64_t seed, const Scenario& scenario) {
   const Guardrails guardrails;
   std::vector<MemberInfo> members;
@@ -72,7 +72,7 @@
   return stopped;
 }
 
-// Mutant: a boundary that does not hold over all windows.
+// Guards against a boundary that holds for a single evaluation only: over 120 windows it raises false alarms.
 TEST(CanaryAnalysis, RolloutWithoutRegressionIsSeldomStopped) { EXPECT_LE(CountStopped(500, {}), 5); }
 
 TEST(CanaryAnalysis, FaultsOfBothCohortsDoNotCountAgainstTheCanary) {
@@ -154,7 +154,7 @@
   add(0, Cohort::kCanary, 900);
   add(1, Cohort::kBaseline, 20);
   analysis_.EndWindow();
-  EXPECT_FALSE(analysis_.FindRegression());  // no earlier window
+  EXPECT_FALSE(analysis_.FindRegression());  // There is no earlier window.
   add(0, Cohort::kCanary, 900);
   add(1, Cohort::kBaseline, 20);
   analysis_.EndWindow();
--- a/tests/rollout/election_test.cpp
+++ b/tests/rollout/election_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_GT(leaders.size(), 3u);
 }
 
-// Members of different versions of the program have to agree on it.
+// Guards against a changed hash: members of different program versions must elect the same leader.
 TEST_F(ElectionOfNine, LeaderOfARolloutIsFixed) {
   EXPECT_EQ(order_.members[static_cast<std::size_t>(LeaderOf(7))].name, "p2");
 }
--- a/tests/rollout/forecast_test.cpp
+++ b/tests/rollout/forecast_test.cpp
@@ -35,7 +35,7 @@
   ASSERT_EQ(stages.size(), 3u);
   EXPECT_EQ(stages[0].canary, 1);
   EXPECT_EQ(stages[0].baseline, 8);
-  EXPECT_DOUBLE_EQ(stages[0].canary_requests, 1000);  // 100 a second for 10 s
+  EXPECT_DOUBLE_EQ(stages[0].canary_requests, 1000);  // 100 requests per second for 10 s.
   EXPECT_DOUBLE_EQ(stages[0].max_duration_s, 10 + 1 + 10);
   EXPECT_EQ(stages[1].canary, 3);
   EXPECT_DOUBLE_EQ(stages[1].max_duration_s, 2 * 10 + 1 + 8);
--- a/tests/rollout/history_test.cpp
+++ b/tests/rollout/history_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The history of a rollout, and the requests with which its leader polls the members.
+// Tests the history of a rollout, and the requests with which its leader polls the members.
 #include "rollout/history.h"
 
 #include <gtest/gtest.h>
@@ -39,14 +39,14 @@
   EXPECT_EQ(b.steps().steps_size(), 2);
 }
 
-TEST(History, EndsAfterTwoHundredSteps) {
+TEST(History, RecordsAtMostTwoHundredSteps) {
   History history;
   for (int i = 0; i < 200; ++i) ASSERT_TRUE(history.Record(7, EntryOf(EventKind::kPaused))) << i;
   EXPECT_FALSE(history.Record(7, EntryOf(EventKind::kPaused)));
   EXPECT_TRUE(history.Record(8, EntryOf(EventKind::kPaused)));
 }
 
-// Members of other versions of the program read them.
+// Guards against renamed events: members of other program versions read the names.
 TEST(History, EventNamesAreFixed) {
   EXPECT_STREQ(NameOf(EventKind::kPlanRejected), "not_understood");
   EXPECT_STREQ(NameOf(EventKind::kPlanReceived), "held");
@@ -83,11 +83,11 @@
   for (int i = 1; i <= 40; ++i) requests.Start(Millis(i * 500));
   EXPECT_EQ(requests.RequestedAt(40), Millis(20000));
   EXPECT_EQ(requests.RequestedAt(9), Millis(4500));
-  EXPECT_EQ(requests.RequestedAt(8), std::nullopt);   // too old
-  EXPECT_EQ(requests.RequestedAt(41), std::nullopt);  // not sent yet
+  EXPECT_EQ(requests.RequestedAt(8), std::nullopt);   // Older than the latest 32 requests.
+  EXPECT_EQ(requests.RequestedAt(41), std::nullopt);  // Not sent yet.
 }
 
-TEST(ReportRequests, RestartForgetsTheEarlierLeadersRequests) {
+TEST(ReportRequests, RestartDropsEarlierRequestsAndContinuesTheirNumbers) {
   ReportRequests requests;
   requests.Restart(Millis(0));
   const std::uint32_t number = requests.Start(Millis(0));
--- a/tests/rollout/leader_test.cpp
+++ b/tests/rollout/leader_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The leader by itself: phases and decisions of a rollout of four members in two zones, one at a time.
+// Tests the leader alone: its phases and decisions in a rollout of four members in two zones, which upgrades
+// one member at a time.
 #include "rollout/leader.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +29,7 @@
 
 class LeaderOfFour : public ::testing::Test {
  protected:
-  // A second of traffic, and reports of all members that are not `without_contact`.
+  // Simulates one second of traffic, and the reports of all members except `without_contact_`.
   void ReportAll() {
     now_ += Millis(1000);
     for (int rank = 0; rank < 4; ++rank) {
@@ -51,7 +52,7 @@
     if (decision) progress_ = decision->progress;
     return decision;
   }
-  // Until the next decision, for at most `seconds`.
+  // Advances until the next decision, for at most `seconds`.
   std::optional<Leader::Decision> AdvanceFor(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       ReportAll();
@@ -91,12 +92,13 @@
   decision = AdvanceFor(2);
   ASSERT_TRUE(decision);
   EXPECT_EQ(decision->event, EventKind::kBakeTimeStarted);
-  EXPECT_EQ(decision->text, "stage 1, 1 of 4 changed");
+  EXPECT_EQ(decision->text, "stage 1: 1 of 4 members upgraded");
   EXPECT_EQ(leader_.phase(), Leader::Phase::kBaking);
   decision = AdvanceFor(10);
   ASSERT_TRUE(decision);
   EXPECT_EQ(decision->event, EventKind::kStageStarted);
-  EXPECT_EQ(decision->text, "stage 1: 500 asked, 0.0100 missed; others 1500, 0.0100; next p2");
+  EXPECT_EQ(decision->text,
+            "stage 1: canaries 500 requests, 0.0100 missed; baseline 1500, 0.0100; next member p2");
   EXPECT_EQ(progress_.admitted_members, 2u);
 }
 
@@ -133,11 +135,11 @@
   const auto decision = AdvanceFor(10);
   ASSERT_TRUE(decision);
   EXPECT_EQ(decision->stop_reason, StopReason::kTimeLimit);
-  EXPECT_EQ(decision->text, "it took longer than limit_s");
+  EXPECT_EQ(decision->text, "the rollout took longer than 3 s (limit_s)");
   EXPECT_EQ(progress_.status, RolloutStatus::kStopped);
 }
 
-TEST_F(LeaderOfFour, PausedRolloutAdmitsNobody) {
+TEST_F(LeaderOfFour, PausedRolloutAdmitsNoMember) {
   progress_.pause_count = 1;
   EXPECT_FALSE(AdvanceFor(5));
   progress_.pause_count = 2;
@@ -145,7 +147,7 @@
 }
 
 TEST_F(LeaderOfFour, MemberWhoseZoneHasNoOtherReadyMemberWaits) {
-  without_contact_ = 2;  // of the first one's zone
+  without_contact_ = 2;  // The other member of the first member's zone.
   EXPECT_FALSE(AdvanceFor(5));
   without_contact_ = -1;
   EXPECT_TRUE(AdvanceFor(1));
@@ -169,7 +171,7 @@
   const auto decision = AdvanceFor(2);
   ASSERT_TRUE(decision);
   EXPECT_EQ(decision->stop_reason, StopReason::kTooFewRequests);
-  EXPECT_EQ(decision->text, "only 5000 of 1000000 requests in 50 s: too few to tell");
+  EXPECT_EQ(decision->text, "the canaries received 5000 of 1000000 requests in 50 s, too few to compare");
 }
 
 }  // namespace
--- a/tests/rollout/member_table_test.cpp
+++ b/tests/rollout/member_table_test.cpp
@@ -77,7 +77,7 @@
 TEST(MemberTable, IncreaseIsSinceTheLastCall) {
   MemberTable members("v2", 1);
   members.OnReport(Millis(0), 0, kRollout, MakeReport("v1", 1, 100));
-  EXPECT_TRUE(members.TakeIncrease(0).empty());  // of what was counted before, nothing
+  EXPECT_TRUE(members.TakeIncrease(0).empty());  // Counts before the first report are left out.
   members.OnReport(Millis(0), 0, kRollout, MakeReport("v1", 1, 150));
   const std::vector<wire::Stratum> increase = members.TakeIncrease(0);
   ASSERT_EQ(increase.size(), 1u);
--- a/tests/rollout/plan_parser_test.cpp
+++ b/tests/rollout/plan_parser_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reading a rollout's plan: its errors as operators see them, and the bytes that a plan has in a rollout's
-// document.
+// Tests how a rollout's plan is read: the errors that operators see, and the bytes that a plan has in a
+// rollout's document.
 #include "rollout/plan_parser.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace copperpoint::rollout {
 namespace {
 
-// What is printed; empty if the plan is valid.
+// Returns the printed message; empty if the plan is valid.
 std::string ErrorTextOf(const std::string& text) {
   try {
     ParsePlan(text, "f.toml");
@@ -37,23 +37,25 @@
   EXPECT_NE(ErrorTextOf("from = \"a\"\nto = \"a\"\n[[stage]]\nmembers = 1\n").find("to"), std::string::npos);
   EXPECT_NE(ErrorTextOf("from = \"a\"\nto = \"b\"\nat_once = 0\n[[stage]]\nmembers = 1\n").find("f.toml:3"),
             std::string::npos);
-  EXPECT_NE(ErrorTextOf("from = \"a\"\nto = \"b\"\n[[stage]]\nwatch_s = 3\n").find("changes nobody"),
+  EXPECT_NE(ErrorTextOf("from = \"a\"\nto = \"b\"\n[[stage]]\nwatch_s = 3\n").find("upgrades no member"),
             std::string::npos);
   EXPECT_EQ(ErrorTextOf(FormatPlan(ParsePlan(kPlan, "plan"))), "");
 }
 
-TEST(PlanParser, ErrorTextsAreThoseThatOperatorsKnow) {
+TEST(PlanParser, ErrorTextsNameThePlaceAndWhatIsExpected) {
   EXPECT_EQ(ErrorTextOf("from = \"a\"\nto = \"a\"\n[[stage]]\nmembers = 1\n"),
-            "f.toml:2:6: to: is what runs already");
-  EXPECT_EQ(ErrorTextOf("from = \"a\"\nto = \"b\"\nat_once = 0\n[[stage]]\nwatch_s = 3\n"),
-            "f.toml:3:11: at_once: 0 is out of range: 1 to 1000\n"
-            "f.toml:4:1: stage[0].members: this stage changes nobody");
-  EXPECT_EQ(ErrorTextOf("from = \"a\"\nto = \"b\"\n"), "f.toml:1:1: stage: there is none");
+            "f.toml:2:6: to: must differ from the version in 'from'");
+  EXPECT_EQ(
+      ErrorTextOf("from = \"a\"\nto = \"b\"\nat_once = 0\n[[stage]]\nwatch_s = 3\n"),
+      "f.toml:3:11: at_once: 0 is out of range: 1 to 1000\n"
+      "f.toml:4:1: stage[0].members: the stage upgrades no member: set 'members', 'share' or 'each_zone'");
+  EXPECT_EQ(ErrorTextOf("from = \"a\"\nto = \"b\"\n"),
+            "f.toml:1:1: stage: the plan has no [[stage]]; it needs at least one");
   EXPECT_EQ(
       ErrorTextOf("x = 1\non_worse = \"go\"\nsettle_s = true\n[[stage]]\nmembers = 1\nwatch = 2\n"
                   "[guard]\nworth = 2\n"),
-      "f.toml:1:1: to: name both versions\n"
-      "f.toml:1:1: to: is what runs already\n"
+      "f.toml:1:1: to: 'from' and 'to' must both name a version\n"
+      "f.toml:1:1: to: must differ from the version in 'from'\n"
       "f.toml:1:1: x: unknown key; known here: alone_back_s, at_once, back_step_s, change_s, from, guard, "
       "limit_s, name, on_worse, settle_s, silence_s, stage, start_within_s, to\n"
       "f.toml:2:12: on_worse: 'go' is none of stop, back\n"
@@ -76,7 +78,7 @@
   EXPECT_EQ(errors[0].file, "f.toml");
   EXPECT_EQ(errors[0].line, 1);
   EXPECT_EQ(errors[0].key, "to");
-  EXPECT_EQ(errors[0].text, "is what runs already");
+  EXPECT_EQ(errors[0].text, "must differ from the version in 'from'");
   EXPECT_EQ(errors[1].category, PlanErrorCategory::kInvalidKey);
   EXPECT_EQ(errors[1].line, 3);
   EXPECT_EQ(errors[1].key, "at_once");
--- a/tests/rollout/progress_test.cpp
+++ b/tests/rollout/progress_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pins the bits of the encoded progress, which members send each other and supervisors store, and its order.
+// Pins the order of encoded progress, and its bits, which members send each other and supervisors store.
 #include "rollout/progress.h"
 
 #include <gtest/gtest.h>
--- a/tests/rollout/rollout_testing.h
+++ b/tests/rollout/rollout_testing.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A plan, its nine members, and a fleet of agents in virtual time, for the tests of rollouts.
+// Fixtures for the tests of rollouts: a plan, its nine members, and a fleet of agents in virtual time.
 #ifndef COPPERPOINT_TESTS_ROLLOUT_ROLLOUT_TESTING_H_
 #define COPPERPOINT_TESTS_ROLLOUT_ROLLOUT_TESTING_H_
 
@@ -45,7 +45,7 @@
 worth = 0.1
 )";
 
-// p1 to p9, in zones a, b, c, a, ...
+// Returns the members p1 to p9, in zones a, b, c, a, ...
 inline std::vector<MemberInfo> NineMembers() {
   std::vector<MemberInfo> members;
   for (int i = 0; i < 9; ++i)
@@ -56,8 +56,8 @@
 
 inline Time Millis(int ms) { return std::chrono::milliseconds(ms); }
 
-// Nine agents with supervisors that switch versions at once. Messages arrive at once, and documents within
-// 100 ms, between members of one side of a partition that have not exited.
+// Nine agents with supervisors that switch versions without delay. Members that have not exited and are on
+// the same side of a partition receive each other's messages without delay and documents within 100 ms.
 class Fleet {
  public:
   Fleet() : plan(ParsePlan(kPlan, "plan")) {
@@ -67,7 +67,7 @@
     }
   }
 
-  // A new process of the member's version.
+  // Replaces the member's process by a new one of the member's current version.
   void StartProcess(const std::string& name) {
     agents[name] = std::make_unique<Agent>(
         Agent::Identity{name, versions[name], ++incarnations, stored_progress[name], "", ""},
@@ -91,7 +91,7 @@
     ASSERT_FALSE(agents["p1"]->Start(now, plan, NineMembers()));
     CarryOut("p1");
   }
-  // What the agent has decided.
+  // Carries out what the agent has decided.
   void CarryOut(const std::string& name) {
     Agent::Output output = agents[name]->TakeOutput();
     for (const Event& event : output.events)
@@ -111,7 +111,7 @@
   void SwitchVersion(const std::string& name, const std::string& version) {
     version_requests.push_back(name + " " + version);
     if (version == failing_version) {
-      agents[name]->OnVersionFailed(version, "it did not come up");
+      agents[name]->OnVersionFailed(version, "its process exited before it was ready");
       return CarryOut(name);
     }
     if (versions[name] != version) ++switches;
@@ -171,13 +171,13 @@
   std::map<std::string, std::unique_ptr<Agent>> agents;
   std::map<std::string, std::string> versions;
   std::map<std::string, std::uint64_t> requests, missed, stored_progress;
-  std::map<std::string, std::map<std::uint32_t, Document>> documents;  // by topic
+  std::map<std::string, std::map<std::uint32_t, Document>> documents;  // Keyed by member and topic.
   std::set<std::string> cut_off, exited;
   std::vector<std::string> events, version_requests;
   std::string failing_version;
   std::uint64_t incarnations = 0;
   int switches = 0;
-  bool new_version_fails = false;  // half of its requests
+  bool new_version_fails = false;  // Whether the new version misses half of its requests.
 };
 
 }  // namespace copperpoint::rollout
--- a/tests/rollout/sequential_test_test.cpp
+++ b/tests/rollout/sequential_test_test.cpp
@@ -20,7 +20,8 @@
   EXPECT_LT(ScoreBoundary(10, 0.01), ScoreBoundary(10, 0.001));
 }
 
-// A fixed-sample boundary (1.96 standard deviations for 0.05) is exceeded at some time by most such walks.
+// Guards against a boundary for a single evaluation, such as 1.96 standard deviations for alpha = 0.05: most
+// random walks exceed it at some time.
 TEST(SequentialTest, RandomWalkSeldomExceedsItsBoundaryAtAnyTime) {
   std::mt19937 random(1);
   std::normal_distribution<double> step;
--- a/tests/rollout/simulated_rollout_test.cpp
+++ b/tests/rollout/simulated_rollout_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Complete rollouts in virtual time over many seeds, with faults in their middle.
+// Simulates complete rollouts in virtual time over many seeds, with faults during the rollout.
 #include <gtest/gtest.h>
 
 #include <cstdint>
--- a/tests/rollout/statistics_test.cpp
+++ b/tests/rollout/statistics_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The parts of the canary analysis: latency buckets, measures, the score of a stratum, and how much members
-// of a cohort differ.
+// Tests the parts of the canary analysis: latency buckets, measures, the score of a stratum, and the variance
+// between members of a cohort.
 #include <gtest/gtest.h>
 
 #include "rollout/heterogeneity.h"
@@ -18,7 +18,7 @@
   return stratum;
 }
 
-// Members of different versions of the program compare these buckets.
+// Guards against changed bounds: members of different program versions compare these buckets.
 TEST(LatencyBuckets, HaveTheirFixedBounds) {
   EXPECT_EQ(kLatencyBuckets, 33u);
   EXPECT_EQ(LatencyBucketOf(0), 0u);
@@ -69,7 +69,7 @@
   EXPECT_EQ(counts[Measure::kAboveTail].requests, 0);
 }
 
-TEST(Measures, HalfOfAGuardrailIsTheLeastDifferenceThatStops) {
+TEST(Measures, HalfOfAGuardrailIsTheMinimumDifferenceThatStops) {
   const Guardrails guardrails{.missed_fraction = 0.2,
                               .above_median_fraction = 0.4,
                               .above_tail_fraction = 0.06,
@@ -116,10 +116,11 @@
   const PerCohort<CountsByMember> members{{{0, {1000, 10}}, {1, {1000, 60}}, {2, {1000, 110}}},
                                           {{3, {1000, 50}}}};
   const double variance = BetweenMemberVariance(members, 0.01);
-  // The rates are 0.01, 0.06 and 0.11; their variance is 0.0025, and more as it is estimated from three.
+  // The rates are 0.01, 0.06 and 0.11. Their variance is 0.0025; the result is greater, as it is estimated
+  // from only three members.
   EXPECT_GT(variance, 0.0025);
   EXPECT_GT(BetweenMemberVariance(members, 0.001), variance);
-  // Of a mean over three equal members, and one alone.
+  // One cohort is the mean of three equal members, the other is a single member.
   EXPECT_NEAR(CohortDifferenceVariance(members, variance), variance * (1.0 / 3 + 1), 1e-12);
 }
 
--- a/tests/rollout/status_test.cpp
+++ b/tests/rollout/status_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pins the JSON that /rollout and /rollout/history answer.
+// Pins the JSON with which /rollout and /rollout/history answer.
 #include "rollout/status.h"
 
 #include <gtest/gtest.h>
--- a/tests/rollout/stop_causes_test.cpp
+++ b/tests/rollout/stop_causes_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What stops a rollout besides a regression of its requests: failures of members, and the use of resources.
+// Tests the causes that stop a rollout other than a regression of its requests: failures of members, and the
+// use of resources.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -13,7 +14,8 @@
 namespace copperpoint::rollout {
 namespace {
 
-// Three members of one zone; the first has been admitted at 0 s.
+// Three members of one zone; the first was admitted at 1 ms, since 0 stands for a member that is not
+// admitted.
 class MemberFailures : public ::testing::Test {
  protected:
   MemberFailures() {
@@ -47,36 +49,38 @@
 }
 
 TEST_F(MemberFailures, VersionThatASupervisorRolledBackStops) {
-  Report(Millis(1000), 0, "v1", 0, "it ended before it served");
+  Report(Millis(1000), 0, "v1", 0, "its process exited before it was ready");
   const auto cause = FindAt(Millis(1000));
   ASSERT_TRUE(cause);
   EXPECT_EQ(cause->reason, StopReason::kVersionFailed);
-  EXPECT_EQ(cause->text, "p1 did not keep v2: it ended before it served");
+  EXPECT_EQ(cause->text, "p1 could not run version v2: its process exited before it was ready");
 }
 
 TEST_F(MemberFailures, UpgradedMemberWithoutContactStopsWhileItsZoneHasContact) {
   Report(Millis(1000), 0, "v2");
   for (const int rank : {1, 2}) Report(Millis(7000), rank, "v1");
-  EXPECT_FALSE(FindAt(Millis(6999)));  // contact_timeout_s is 6
+  EXPECT_FALSE(FindAt(Millis(6999)));  // contact_timeout_s is 6.
   const auto cause = FindAt(Millis(7000));
   ASSERT_TRUE(cause);
   EXPECT_EQ(cause->reason, StopReason::kContactLost);
-  EXPECT_EQ(cause->text, "p1 is not heard for 6.0 s as v2, while 2 of 2 others of zone a are");
+  EXPECT_EQ(
+      cause->text,
+      "p1 has had no contact for 6.0 s at version v2, while 2 of 2 other members of zone a have contact");
 }
 
 TEST_F(MemberFailures, ZoneWithoutContactExcusesItsUpgradedMember) {
   Report(Millis(1000), 0, "v2");
-  Report(Millis(7000), 1, "v1");  // one of two is no majority of the zone
+  Report(Millis(7000), 1, "v1");  // One of two members is no majority of the zone.
   EXPECT_FALSE(FindAt(Millis(7000)));
 }
 
 TEST_F(MemberFailures, MemberThatIsNotReadyInTimeStops) {
   for (const int rank : {0, 1, 2}) Report(Millis(30000), rank, "v1");
-  EXPECT_FALSE(FindAt(Millis(30001)));  // upgrade_timeout_s is 30
+  EXPECT_FALSE(FindAt(Millis(30001)));  // upgrade_timeout_s is 30.
   const auto cause = FindAt(Millis(30002));
   ASSERT_TRUE(cause);
   EXPECT_EQ(cause->reason, StopReason::kUpgradeTimeout);
-  EXPECT_EQ(cause->text, "p1 is not back as v2 after 30 s");
+  EXPECT_EQ(cause->text, "p1 is not ready at version v2 after 30 s (change_s)");
 }
 
 TEST_F(MemberFailures, CrashesStopAboveThreeTimesTheBaselinesRate) {
@@ -86,7 +90,7 @@
   const auto cause = FindAt(Millis(1000));  // 1 > 3 * 0.5 / 2
   ASSERT_TRUE(cause);
   EXPECT_EQ(cause->reason, StopReason::kCrashes);
-  EXPECT_EQ(cause->text, "1 crashes of 1 changed members, 0 of 2 others");
+  EXPECT_EQ(cause->text, "1 crashes at 1 upgraded members, 0 at 2 other members");
   Report(Millis(1000), 1, "v1", 1);
   EXPECT_FALSE(FindAt(Millis(1000)));  // 1 < 3 * 1.5 / 2
 }
@@ -126,22 +130,22 @@
 
 TEST_F(ResourceUsage, ProcessorTimeAboveTheGuardrailStops) {
   ReportBaseline();
-  Report(0, 449, 31000);  // processor_increase is 0.5
+  Report(0, 449, 31000);  // processor_increase is 0.5.
   EXPECT_FALSE(Find());
   Report(0, 600, 31000);
   const auto cause = Find();
   ASSERT_TRUE(cause);
   EXPECT_EQ(cause->reason, StopReason::kProcessorTime);
-  EXPECT_EQ(cause->text, "600 us of processor time a request, 300 with the others");
+  EXPECT_EQ(cause->text, "the canaries use 600 us of processor time per request, the baseline 300 us");
 }
 
 TEST_F(ResourceUsage, MemoryAboveTheGuardrailStops) {
   ReportBaseline();
-  Report(0, 300, 70000);  // memory_increase is 1
+  Report(0, 300, 70000);  // memory_increase is 1.
   const auto cause = Find();
   ASSERT_TRUE(cause);
   EXPECT_EQ(cause->reason, StopReason::kMemory);
-  EXPECT_EQ(cause->text, "70000 kB of memory, 31000 with the others");
+  EXPECT_EQ(cause->text, "the canaries use 70000 kB of memory, the baseline 31000 kB");
 }
 
 TEST_F(ResourceUsage, CanaryWithFewRequestsDoesNotStop) {
--- a/tests/rollout/upgrade_order_test.cpp
+++ b/tests/rollout/upgrade_order_test.cpp
@@ -27,7 +27,8 @@
   }
 }
 
-// Mutant: the order does not depend on the rollout. Over rollouts each member comes first about as often.
+// Guards against an order that does not depend on the rollout: the same member would always upgrade first.
+// Over many rollouts each member comes first about equally often.
 TEST(UpgradeOrder, EveryMemberIsFirstInSomeRollout) {
   const Plan plan = ParsePlan(kPlan, "plan");
   std::map<std::string, int> first;
@@ -37,7 +38,7 @@
   for (const auto& [name, times] : first) EXPECT_GT(times, 50) << name;
 }
 
-// Members of different versions of the program have to agree on it.
+// Guards against a changed order: members of different program versions must compute the same one.
 TEST(UpgradeOrder, OfARolloutIsFixed) {
   const UpgradeOrder order = MakeUpgradeOrder(ParsePlan(kPlan, "plan"), NineMembers(), 5);
   std::string names;
@@ -52,7 +53,7 @@
   EXPECT_EQ(order.StageOf(0), 0);
   EXPECT_EQ(order.StageOf(1), 0);
   EXPECT_EQ(order.StageOf(2), 1);
-  EXPECT_EQ(order.StageOf(4), 1);  // beyond the last one
+  EXPECT_EQ(order.StageOf(4), 1);  // Beyond the end of the last stage.
 }
 
 TEST(UpgradeOrder, StagesNeverShrinkAndEndWithinTheMembers) {
--- a/tests/rollout/version_switch_test.cpp
+++ b/tests/rollout/version_switch_test.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint::rollout {
 namespace {
 
-// Member of rank 2 in a rollout that has admitted 3.
+// A member of rank 2 in a rollout that has admitted three members.
 class VersionSwitchOfOne : public ::testing::Test {
  protected:
   VersionSwitchOfOne() {
@@ -34,7 +34,7 @@
   const auto request = UpdateAt(old_, Millis(0));
   ASSERT_TRUE(request);
   EXPECT_EQ(request->version, "v2");
-  EXPECT_EQ(request->reason, "its turn");
+  EXPECT_EQ(request->reason, "the rollout admitted this member");
   EXPECT_FALSE(UpdateAt(old_, Millis(1)));
   EXPECT_EQ(old_.requested_version(), "v2");
 }
@@ -59,12 +59,12 @@
 }
 
 TEST_F(VersionSwitchOfOne, VersionThatFailedIsNotRequestedAgain) {
-  VersionSwitch failed("v1", "v2", "it ended before it served");
+  VersionSwitch failed("v1", "v2", "its process exited before it was ready");
   EXPECT_FALSE(UpdateAt(failed, Millis(0)));
-  EXPECT_EQ(failed.FailureOf("v2"), "it ended before it served");
+  EXPECT_EQ(failed.FailureOf("v2"), "its process exited before it was ready");
   EXPECT_EQ(failed.FailureOf("v3"), "");
   ASSERT_TRUE(UpdateAt(old_, Millis(0)));
-  old_.OnVersionFailed("v2", "it did not come up");
+  old_.OnVersionFailed("v2", "its process exited before it was ready");
   EXPECT_EQ(old_.requested_version(), "v1");
   EXPECT_FALSE(UpdateAt(old_, Millis(1)));
 }
@@ -85,10 +85,10 @@
   const auto request = UpdateAt(new_, Millis(0));
   ASSERT_TRUE(request);
   EXPECT_EQ(request->version, "v1");
-  EXPECT_EQ(request->reason, "the change was taken back");
+  EXPECT_EQ(request->reason, "the rollout was taken back");
   EXPECT_FALSE(UpdateAt(old_, Millis(0)));
 
-  VersionSwitch first("v2", "", "");  // two members precede it
+  VersionSwitch first("v2", "", "");  // Two members roll back before this one.
   EXPECT_FALSE(UpdateAt(first, Millis(0), 0));
   EXPECT_FALSE(UpdateAt(first, Millis(3999), 0));
   EXPECT_TRUE(UpdateAt(first, Millis(4000), 0));
@@ -102,7 +102,7 @@
   const auto request = UpdateAt(new_, Millis(20001));
   ASSERT_TRUE(request);
   EXPECT_EQ(request->version, "v1");
-  EXPECT_EQ(request->reason, "no majority is heard");
+  EXPECT_EQ(request->reason, "no contact to a majority of the members for longer than alone_back_s");
 }
 
 }  // namespace
--- a/tests/rollout/wire_test.cpp
+++ b/tests/rollout/wire_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pins the bytes of messages and documents between members, which run different versions of the program
-// during a rollout.
+// Pins the bytes of messages and documents between members, which run different program versions during a
+// rollout.
 #include <gtest/gtest.h>
 
 #include <string>
