--- a/src/supervisor/child_process.cpp
+++ b/src/supervisor/child_process.cpp
@@ -24,9 +24,11 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr int kExitParentGone = 126, kExitNotStarted = 127;  // of a child that could not run its program
+// The exit statuses of a child that could not run its program.
+constexpr int kExitParentGone = 126, kExitNotStarted = 127;
 constexpr int kFirstInheritedDescriptor = 3;
 
+// Returns this process's environment, in which `variables` replace those of the same name.
 std::vector<std::string> EnvironmentWith(const std::map<std::string, std::string>& variables) {
   std::vector<std::string> environment;
   for (char** variable = environ; *variable; ++variable) {
@@ -38,7 +40,7 @@
   return environment;
 }
 
-// As execve wants it; valid for as long as `texts`.
+// Returns a null-terminated array for execve, which points into `texts`.
 std::vector<char*> PointersTo(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   pointers.reserve(texts.size() + 1);
@@ -47,7 +49,7 @@
   return pointers;
 }
 
-// In the child, between fork and exec: only async-signal-safe calls.
+// Runs in the child between fork and exec, where only async-signal-safe functions may be called.
 [[noreturn]] void Execute(pid_t supervisor, int child_end, char* const* command, char* const* environment) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != supervisor) ::_exit(kExitParentGone);
--- a/src/supervisor/child_process.h
+++ b/src/supervisor/child_process.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One process of a supervisor, with the socket between them.
+// A child process of a supervisor, and the socket between the two.
 #ifndef COPPERPOINT_SUPERVISOR_CHILD_PROCESS_H_
 #define COPPERPOINT_SUPERVISOR_CHILD_PROCESS_H_
 
@@ -18,40 +18,41 @@
 
 namespace copperpoint::supervisor {
 
-// Both ends of a new socket; closes what was not released.
+// Owns both ends of a new Unix domain socket, and closes those that were not released.
 class SocketPair {
  public:
-  // Throws std::system_error.
+  // Throws std::system_error if the socket cannot be created.
   SocketPair();
   ~SocketPair();
   SocketPair(const SocketPair&) = delete;
   SocketPair& operator=(const SocketPair&) = delete;
 
   int child_end() const { return descriptors_[1]; }
-  int ReleaseOwnEnd();
+  int ReleaseOwnEnd();  // Transfers the supervisor's end to the caller.
   void CloseChildEnd();
 
  private:
   int descriptors_[2] = {-1, -1};
 };
 
-// Owns the supervisor's end of the socket. The process itself is waited for by its owner (SIGCHLD).
+// Owns the supervisor's end of the socket. Reaping the process (SIGCHLD, waitpid) is left to the caller.
 class ChildProcess : public std::enable_shared_from_this<ChildProcess> {
  public:
-  using OnLine = std::function<void(const std::string& line)>;  // without its end
+  using OnLine = std::function<void(const std::string& line)>;  // `line` has no newline.
 
-  // Starts `command` (a path and its arguments) with the supervisor's environment and `variables` over it.
-  // It is killed when the supervisor exits, and inherits no descriptor above 2 but its end of the socket.
-  // Throws std::system_error.
+  // Starts `command` (a path and its arguments) with the supervisor's environment, in which `variables`
+  // replace those of the same name. The process is killed when the supervisor exits, and inherits no
+  // descriptor above 2 except its end of the socket. Throws std::system_error if the fork fails.
   static std::shared_ptr<ChildProcess> Start(boost::asio::io_context& io, SocketPair& sockets,
                                              std::vector<std::string> command,
                                              const std::map<std::string, std::string>& variables);
 
   pid_t pid() const { return pid_; }
   void Kill(int signal) const;
-  // Errors are ignored: the process has exited, and its exit is handled.
+  // Sends `line` and a newline. Errors are ignored: they mean that the process has exited, which is handled
+  // as such.
   void SendLine(const std::string& line);
-  // Until the process closes its end.
+  // Calls `on_line` for each line that the process sends, until it closes its end of the socket.
   void ReadLines(OnLine on_line);
 
   ChildProcess(boost::asio::io_context& io, int descriptor, pid_t pid);
--- a/src/supervisor/child_protocol.h
+++ b/src/supervisor/child_protocol.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The protocol between a supervisor and its processes: environment variables at the start, and then lines of
-// text over a socket. Processes of other versions of the program read and write them, so their bytes are
-// fixed; they are mapped to types here and nowhere else. The process's side is src/proxy/membership.
+// text over a socket. Processes of other program versions read and write them, so that their bytes are fixed.
+// Only this module maps them to types on the supervisor's side; the process's side is src/proxy/membership.
 #ifndef COPPERPOINT_SUPERVISOR_CHILD_PROTOCOL_H_
 #define COPPERPOINT_SUPERVISOR_CHILD_PROTOCOL_H_
 
@@ -13,33 +13,34 @@
 
 namespace copperpoint::supervisor {
 
-// What a process is given at its start.
+// The information that a process receives at its start.
 struct ChildStartInfo {
-  int descriptor = -1;  // of its end of the socket
+  int descriptor = -1;  // The descriptor of the process's end of the socket.
   std::string version;
-  std::uint64_t progress = 0;  // encoded, of the latest rollout (rollout/progress.h)
-  int exits = 0;               // of this version, by itself
-  std::string failed_version, failure;
-  std::string admin_address;  // empty: as its configuration says
+  std::uint64_t progress = 0;           // The encoded progress of the latest rollout (rollout/progress.h).
+  int exits = 0;                        // The number of unrequested exits of this version.
+  std::string failed_version, failure;  // The version that failed last, and the reason; empty if none did.
+  std::string admin_address;            // If empty, the address in the process's configuration applies.
 };
-// Name and value of each variable.
+// Returns the environment variables by name.
 std::map<std::string, std::string> EncodeEnvironment(const ChildStartInfo& info);
 
 struct ChildMessage {
   enum class Kind {
-    kReady,              // it serves
-    kMembershipContact,  // it has contact to other members
-    kVersionRequested,   // another version is to run in its place
-    kProgress,           // to be stored for later processes
+    kReady,              // The process is ready to serve.
+    kMembershipContact,  // The process has contact to other members.
+    kVersionRequested,   // Another version is to replace the process.
+    kProgress,           // The progress is to be stored for later processes.
   };
   Kind kind = Kind::kReady;
-  std::string version;         // of kVersionRequested
-  std::uint64_t progress = 0;  // of kProgress; encoded
+  std::string version;         // Set for kVersionRequested.
+  std::uint64_t progress = 0;  // Set for kProgress; encoded.
 };
-// `line`: without its end. Nothing for a line of a later version of the program.
+// Decodes a line without its newline. Returns nothing for an unknown line, which a later version of the
+// program may send.
 std::optional<ChildMessage> DecodeChildMessage(const std::string& line);
 
-// Without its end.
+// Returns the line, without its newline, that notifies a process of the failure of `version`.
 std::string EncodeFailureNotice(const std::string& version, const std::string& failure);
 
 }  // namespace copperpoint::supervisor
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -6,7 +6,7 @@
 namespace copperpoint::supervisor {
 namespace {
 
-constexpr int kMaxDoublings = 16;  // of the backoff
+constexpr int kMaxDoublings = 16;  // The backoff doubles at most this often.
 
 }  // namespace
 
@@ -48,7 +48,7 @@
   }
 }
 
-// The successor has the listener; the process before it answers what is in flight.
+// The successor has taken over the listener; its predecessor answers the requests in flight.
 void Supervisor::Replace(Time now, Process process) {
   output_.stops.push_back({serving_, StopMode::kGraceful});
   predecessor_ = std::exchange(serving_, process);
@@ -90,7 +90,7 @@
   Emit(EventKind::kVersionFailed, version + ": " + failure);
 }
 
-// The previous version replaces the one that serves, as a successor if that still runs.
+// Lets the previous version replace the one that serves: as a successor if the serving process still runs.
 void Supervisor::RollBack(Time now, const std::string& failure) {
   RecordFailure(version_, failure);
   if (serving_ != kNoProcess) {
@@ -122,7 +122,7 @@
   successor_ = kNoProcess;
   ready_deadline_.reset();
   if (stopping_) return;
-  RecordFailure(successor_version_, "it ended before it served");
+  RecordFailure(successor_version_, "its process exited before it was ready");
   output_.failure_notices.push_back({serving_, successor_version_, failure_});
 }
 
@@ -148,7 +148,8 @@
   exits_in_a_row_ = now - ready_since_ > limits_.stable_after ? 1 : exits_in_a_row_ + 1;
   Emit(EventKind::kProcessExited, version_);
   if (on_probation_ && exits_in_a_row_ >= limits_.max_exits_on_probation) {
-    RollBack(now, "it ended " + std::to_string(exits_in_a_row_) + " times before it was heard");
+    RollBack(now, "its process exited " + std::to_string(exits_in_a_row_) +
+                      " times in a row without membership contact");
   } else if (exits_in_a_row_ >= limits_.max_exits) {
     Emit(EventKind::kGaveUp, version_);
     output_.exit_status = 1;
@@ -170,7 +171,9 @@
   }
   if (contact_deadline_ && now >= *contact_deadline_) {
     contact_deadline_.reset();
-    if (on_probation_ && !stopping_) RollBack(now, "it did not hear its fleet");
+    if (on_probation_ && !stopping_)
+      RollBack(now, "its process had no membership contact within " +
+                        std::to_string(limits_.contact_timeout.count()) + " ms (heard_ms)");
   }
 }
 
--- a/src/supervisor/supervisor_host.cpp
+++ b/src/supervisor/supervisor_host.cpp
@@ -32,21 +32,26 @@
 enum class StartError { kUnknownVersion, kDigestMismatch, kUnreadable, kNoSocket };
 struct StartFailure {
   StartError error;
-  std::string text;  // for the log
+  std::string text;  // The message for the log.
 };
 
-// Whether the files of a version are those that its settings name.
+// Checks that the version is known and that its files have the digest in the settings. Returns nothing if so.
 std::optional<StartFailure> CheckVersion(const Version* version) {
-  if (!version) return StartFailure{StartError::kUnknownVersion, "no version of this name"};
+  if (!version)
+    return StartFailure{StartError::kUnknownVersion,
+                        "the supervisor's settings have no [[version]] of this name"};
   if (version->digest.empty()) return std::nullopt;
   try {
-    if (DigestOf(*version) == version->digest) return std::nullopt;
-    return StartFailure{StartError::kDigestMismatch, "its digest is another"};
+    const std::string digest = DigestOf(*version);
+    if (digest == version->digest) return std::nullopt;
+    return StartFailure{StartError::kDigestMismatch,
+                        "the digest of program and settings is " + digest + ", expected " + version->digest};
   } catch (const std::exception& error) {
     return StartFailure{StartError::kUnreadable, error.what()};
   }
 }
 
+// Returns null if the socket cannot be created.
 std::unique_ptr<SocketPair> MakeSocketPair() {
   try {
     return std::make_unique<SocketPair>();
@@ -61,6 +66,7 @@
   return command;
 }
 
+// Owns the event loop, the child processes and the signal handlers. `settings` must outlive it.
 class SupervisorHost {
  public:
   explicit SupervisorHost(const Settings& settings)
@@ -88,7 +94,7 @@
     return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch());
   }
 
-  // The first signal shuts down; later ones are passed on.
+  // The first signal shuts the supervisor down; later ones are forwarded to the processes.
   void WaitForStopSignal() {
     stop_signals_.async_wait([this](const error_code& failed, int) {
       if (failed) return;
@@ -130,7 +136,8 @@
     const Version* version = settings_.Find(name);
     std::optional<StartFailure> failure = CheckVersion(version);
     const std::unique_ptr<SocketPair> sockets = failure ? nullptr : MakeSocketPair();
-    if (!failure && !sockets) failure = StartFailure{StartError::kNoSocket, "no socket for it"};
+    if (!failure && !sockets)
+      failure = StartFailure{StartError::kNoSocket, "cannot create the socket to the process"};
     if (failure) return OnStartFailed(process, name, *failure);
     auto child = ChildProcess::Start(io_, *sockets, CommandOf(*version),
                                      EncodeEnvironment(StartInfoFor(process, name, sockets->child_end())));
@@ -147,7 +154,7 @@
     });
   }
 
-  // Processes take the admin addresses in turn, as two of them run at the same time in a rollout.
+  // Processes take the admin addresses in turn, as two processes run at the same time in a rollout.
   ChildStartInfo StartInfoFor(Process process, const std::string& version, int descriptor) const {
     ChildStartInfo info{descriptor,
                         version,
@@ -180,7 +187,7 @@
     }
   }
 
-  // Does what the supervisor has decided, and waits for its next deadline.
+  // Carries out the supervisor's decisions, and waits for its next deadline.
   void CarryOut() {
     const Supervisor::Output output = supervisor_.TakeOutput();
     for (const Event& event : output.events)
--- a/src/supervisor/supervisor_host.h
+++ b/src/supervisor/supervisor_host.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Runs a supervisor: its processes, signals and deadlines, for the decisions in supervisor.h.
+// Runs a supervisor: carries out the decisions of supervisor.h with processes, signals and timers.
 #ifndef COPPERPOINT_SUPERVISOR_SUPERVISOR_HOST_H_
 #define COPPERPOINT_SUPERVISOR_SUPERVISOR_HOST_H_
 
@@ -8,8 +8,8 @@
 
 namespace copperpoint::supervisor {
 
-// Returns when no process is left: after SIGTERM or SIGINT, or when it has given up. The exit status of the
-// program. Throws std::system_error if it can't start a process.
+// Runs until no process is left, after SIGTERM or SIGINT or when the supervisor has given up. Returns the
+// exit status of the program. Throws std::system_error if a process cannot be forked.
 int RunSupervisor(const Settings& settings);
 
 }  // namespace copperpoint::supervisor
--- a/tests/supervisor/child_protocol_test.cpp
+++ b/tests/supervisor/child_protocol_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pins the environment and the lines between a supervisor and its processes, which may be of another version
-// of the program.
+// Pins the environment and the lines between a supervisor and its processes, which may be of another program
+// version.
 #include "supervisor/child_protocol.h"
 
 #include <gtest/gtest.h>
@@ -14,13 +14,14 @@
 
 TEST(ChildProtocol, EnvironmentHasItsFixedNamesAndValues) {
   EXPECT_EQ(
-      EncodeEnvironment({5, "v2", 0x7abc602812c, 3, "v1", "it ended before it served", "127.0.0.1:9902"}),
+      EncodeEnvironment(
+          {5, "v2", 0x7abc602812c, 3, "v1", "its process exited before it was ready", "127.0.0.1:9902"}),
       (std::map<std::string, std::string>{{"COPPERPOINT_KEEPER", "5"},
                                           {"COPPERPOINT_VERSION", "v2"},
                                           {"COPPERPOINT_MARK", "7abc602812c"},
                                           {"COPPERPOINT_ENDS", "3"},
                                           {"COPPERPOINT_FAILED", "v1"},
-                                          {"COPPERPOINT_FAILURE", "it ended before it served"},
+                                          {"COPPERPOINT_FAILURE", "its process exited before it was ready"},
                                           {"ROUTER_OPERATOR", "127.0.0.1:9902"}}));
 }
 
@@ -29,7 +30,8 @@
 }
 
 TEST(ChildProtocol, FailureNoticeHasItsFixedBytes) {
-  EXPECT_EQ(EncodeFailureNotice("v2", "it ended before it served"), "failed v2 it ended before it served");
+  EXPECT_EQ(EncodeFailureNotice("v2", "its process exited before it was ready"),
+            "failed v2 its process exited before it was ready");
 }
 
 TEST(ChildProtocol, LinesOfAProcessAreDecoded) {
--- a/tests/supervisor/settings_test.cpp
+++ b/tests/supervisor/settings_test.cpp
@@ -39,11 +39,11 @@
     config::LoadText<Settings>("first = \"v3\"\n[[version]]\nname = \"v1\"\nprogram = \"/p\"\n", "f.toml");
     FAIL();
   } catch (const config::InvalidFile& error) {
-    EXPECT_STREQ(error.what(), "f.toml:1:9: first: names no version");
+    EXPECT_STREQ(error.what(), "f.toml:1:9: first: must be the name of one of the [[version]] tables");
   }
 }
 
-// Operators have stored digests of earlier versions of the program.
+// Guards against a changed hash: operators have stored the digests that earlier program versions printed.
 TEST(SupervisorSettings, DigestOfAVersionIsFixed) {
   const testing_support::TemporaryFolder folder;
   Version version;
--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint::supervisor {
 namespace {
 
-// A supervisor whose first process (1, of v1) is ready, and what it has decided since.
+// A supervisor whose first process (1, of version v1) is ready, and its actions since its start.
 struct SupervisorInVirtualTime {
   SupervisorInVirtualTime() {
     supervisor.OnStart(now);
@@ -65,6 +65,7 @@
   test.Advance(21000);
   EXPECT_EQ(test.started.back(), "v1");
   EXPECT_EQ(test.supervisor.failed_version(), "v2");
+  EXPECT_EQ(test.supervisor.failure(), "its process had no membership contact within 20000 ms (heard_ms)");
   test.supervisor.OnReady(test.now, 3);
   test.CarryOut();
   EXPECT_EQ(test.supervisor.version(), "v1");
@@ -122,7 +123,7 @@
   test.CarryOut();
   EXPECT_EQ(test.notified, (std::vector<int>{1}));
   EXPECT_EQ(test.supervisor.failed_version(), "v2");
-  EXPECT_EQ(test.supervisor.failure(), "it ended before it served");
+  EXPECT_EQ(test.supervisor.failure(), "its process exited before it was ready");
   EXPECT_EQ(test.supervisor.version(), "v1");
 }
 
@@ -156,7 +157,7 @@
   test.supervisor.OnExited(test.now, 3, false);
   test.CarryOut();
   EXPECT_EQ(test.started, (std::vector<std::string>{"v1", "v2", "v2", "v1"}));
-  EXPECT_EQ(test.supervisor.failure(), "it ended 2 times before it was heard");
+  EXPECT_EQ(test.supervisor.failure(), "its process exited 2 times in a row without membership contact");
 }
 
 TEST(Supervisor, StableProcessResetsTheBackoff) {
