--- a/src/rollout/agent.cpp
+++ b/src/rollout/agent.cpp
@@ -13,7 +13,7 @@
 namespace copperpoint::rollout {
 namespace {
 
-constexpr Time kTick = std::chrono::milliseconds(250);
+constexpr Time kTickInterval = std::chrono::milliseconds(250);
 // The limit is even, so that a rollout at its limit is not paused: it could not be resumed any more.
 constexpr std::uint32_t kMaxPauses = Progress::kMaxPauseCount - 1;
 
@@ -209,7 +209,7 @@
 }
 
 void Agent::OnTick(Time now) {
-  next_tick_at_ = now + kTick;
+  next_tick_at_ = now + kTickInterval;
   if (!rollout_) return;
   election_.Update(now);
   const bool started = progress_.ended() || progress_.admitted_members > 0;
--- a/src/rollout/canary_analysis.cpp
+++ b/src/rollout/canary_analysis.cpp
@@ -88,7 +88,7 @@
 // one cohort are scored together with those of the other such zones, by request class. Any other stratum
 // stays in the window until both cohorts have received requests.
 void CanaryAnalysis::EndWindow() {
-  std::map<std::uint32_t, CohortCounts> one_sided;  // The key is the request class.
+  std::map<std::uint32_t, CohortCounts> single_cohort;  // The key is the request class.
   for (auto at = window_.begin(); at != window_.end();) {
     const auto& [stratum, counts] = *at;
     if (HasBothCohorts(counts)) {
@@ -97,12 +97,12 @@
       ++at;
       continue;
     } else {
-      CohortCounts& sum = one_sided[stratum.request_class];
+      CohortCounts& sum = single_cohort[stratum.request_class];
       for (const Cohort cohort : kCohorts) sum[cohort] += counts[cohort];
     }
     at = window_.erase(at);
   }
-  for (const auto& [request_class, counts] : one_sided)
+  for (const auto& [request_class, counts] : single_cohort)
     Score(counts, {{SegmentKind::kAll, 0}, {SegmentKind::kRequestClass, request_class}});
   for (const auto& [request_class, latencies] : window_latencies_) latencies_[request_class].Add(latencies);
   window_latencies_.clear();
--- a/src/rollout/leader.cpp
+++ b/src/rollout/leader.cpp
@@ -15,7 +15,7 @@
 constexpr Time kWindow = std::chrono::milliseconds(1000);  // The time between evaluations of the canaries.
 constexpr double kMaxBakeTimes = 10;  // A stage waits for its requests for this many times its bake time.
 
-std::string TextOf(const Regression& regression, const std::string& version) {
+std::string FormatRegression(const Regression& regression, const std::string& version) {
   return fmt::format("{} of {} is worse by {:.4f} with {} (score {:.1f}, bound {:.1f})",
                      NameOf(regression.measure), regression.segment, regression.difference, version,
                      regression.score, regression.boundary);
@@ -158,7 +158,7 @@
   if (!step.window_ended) return std::nullopt;
   AddWindow(step);
   if (const auto regression = analysis_.FindRegression())
-    return Stop(step.progress, {StopReason::kRegression, TextOf(*regression, plan_.new_version)});
+    return Stop(step.progress, {StopReason::kRegression, FormatRegression(*regression, plan_.new_version)});
   const Stage& stage = plan_.stages[step.stage];
   const Time baked = step.now - phase_since_, bake_time = FromSeconds(stage.bake_time_s);
   if (baked < bake_time || step.progress.paused()) return std::nullopt;
@@ -177,7 +177,7 @@
 
 // Ends the stage and admits the first member of the next one. Stages that add no member are skipped.
 Leader::Decision Leader::EndStage(const Step& step) const {
-  const std::string figures = FiguresOf(step);
+  const std::string figures = FormatStageTotals(step);
   const bool more = std::any_of(order_.stage_ends.begin() + static_cast<std::ptrdiff_t>(step.stage),
                                 order_.stage_ends.end(),
                                 [&](int end) { return static_cast<std::uint32_t>(end) != step.stage_end; });
@@ -191,7 +191,7 @@
   return {next, EventKind::kStageStarted, figures + "; next member " + first, std::nullopt};
 }
 
-std::string Leader::FiguresOf(const Step& step) const {
+std::string Leader::FormatStageTotals(const Step& step) const {
   const CanaryAnalysis::CohortTotals& canary = analysis_.totals(Cohort::kCanary);
   const CanaryAnalysis::CohortTotals& baseline = analysis_.totals(Cohort::kBaseline);
   return fmt::format("stage {}: canaries {:.0f} requests, {:.4f} missed; baseline {:.0f}, {:.4f}",
--- a/src/rollout/leader.h
+++ b/src/rollout/leader.h
@@ -84,7 +84,7 @@
   std::optional<Decision> EvaluateBakeTime(const Step& step);
   void AddWindow(const Step& step);
   Decision EndStage(const Step& step) const;
-  std::string FiguresOf(const Step& step) const;
+  std::string FormatStageTotals(const Step& step) const;
 
   const Plan& plan_;
   const UpgradeOrder& order_;
--- a/src/supervisor/child_process.cpp
+++ b/src/supervisor/child_process.cpp
@@ -25,7 +25,7 @@
 using boost::system::error_code;
 
 // The exit statuses of a child that could not run its program.
-constexpr int kExitParentGone = 126, kExitNotStarted = 127;
+constexpr int kExitSupervisorExited = 126, kExitNotStarted = 127;
 constexpr int kFirstInheritedDescriptor = 3;
 
 // Returns this process's environment, in which `variables` replace those of the same name.
@@ -52,7 +52,7 @@
 // Runs in the child between fork and exec, where only async-signal-safe functions may be called.
 [[noreturn]] void Execute(pid_t supervisor, int child_end, char* const* command, char* const* environment) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != supervisor) ::_exit(kExitParentGone);
+  if (::getppid() != supervisor) ::_exit(kExitSupervisorExited);
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -57,7 +57,7 @@
   on_probation_ = previous_version_ != failed_version_;
   ready_ = true;
   ready_since_ = now;
-  exits_in_a_row_ = exits_of_version_ = 0;
+  consecutive_exits_ = exits_of_version_ = 0;
   ready_deadline_.reset();
   StartContactTimeout(now);
   Emit(EventKind::kVersionServing, version_);
@@ -104,7 +104,7 @@
   }
   on_probation_ = false;
   contact_deadline_.reset();
-  exits_in_a_row_ = exits_of_version_ = 0;
+  consecutive_exits_ = exits_of_version_ = 0;
 }
 
 void Supervisor::OnExited(Time now, Process process, bool success) {
@@ -138,24 +138,24 @@
   serving_ = std::exchange(successor_, kNoProcess);
   previous_version_ = std::exchange(version_, successor_version_);
   on_probation_ = true;
-  exits_in_a_row_ = exits_of_version_ = 0;
+  consecutive_exits_ = exits_of_version_ = 0;
   ready_deadline_ = now + limits_.ready_timeout;
   Emit(EventKind::kVersionServing, version_);
 }
 
 void Supervisor::RestartOrGiveUp(Time now) {
   ++exits_of_version_;
-  exits_in_a_row_ = now - ready_since_ > limits_.stable_after ? 1 : exits_in_a_row_ + 1;
+  consecutive_exits_ = now - ready_since_ > limits_.stable_after ? 1 : consecutive_exits_ + 1;
   Emit(EventKind::kProcessExited, version_);
-  if (on_probation_ && exits_in_a_row_ >= limits_.max_exits_on_probation) {
-    RollBack(now, "its process exited " + std::to_string(exits_in_a_row_) +
+  if (on_probation_ && consecutive_exits_ >= limits_.max_exits_on_probation) {
+    RollBack(now, "its process exited " + std::to_string(consecutive_exits_) +
                       " times in a row without membership contact");
-  } else if (exits_in_a_row_ >= limits_.max_exits) {
+  } else if (consecutive_exits_ >= limits_.max_exits) {
     Emit(EventKind::kGaveUp, version_);
     output_.exit_status = 1;
     stopping_ = true;
   } else {
-    const int doublings = std::min(exits_in_a_row_ - 1, kMaxDoublings);
+    const int doublings = std::min(consecutive_exits_ - 1, kMaxDoublings);
     restart_at_ = now + std::min(limits_.max_backoff, limits_.initial_backoff * (1 << doublings));
   }
 }
--- a/src/supervisor/supervisor.h
+++ b/src/supervisor/supervisor.h
@@ -131,8 +131,8 @@
   Process serving_ = kNoProcess, successor_ = kNoProcess, predecessor_ = kNoProcess;
   bool ready_ = false;  // Whether the serving process is ready.
   bool stopping_ = false, on_probation_ = false;
-  std::uint64_t progress_ = 0;                     // Encoded.
-  int exits_in_a_row_ = 0, exits_of_version_ = 0;  // Unrequested exits of the serving process.
+  std::uint64_t progress_ = 0;                        // Encoded.
+  int consecutive_exits_ = 0, exits_of_version_ = 0;  // Unrequested exits of the serving process.
   // The deadlines of the process started last, of the backoff and of the probation.
   std::optional<Time> ready_deadline_, restart_at_, contact_deadline_;
   Time ready_since_{};
