--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -13,11 +13,12 @@
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
-              "the wire is little-endian; fields are copied as is");
+              "the simulator's protocol is little-endian and its fields are copied without conversion");
 
 using wire::ActionCode;
 using wire::EventCode;
 
+// Reads fields from the front of a byte string that it doesn't own.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -30,7 +31,9 @@
     return value;
   }
   std::string_view Bytes(std::size_t n) {
-    if (n > rest_.size()) throw MalformedInput("a length or field overruns its record");
+    if (n > rest_.size())
+      throw MalformedInput("a field of " + std::to_string(n) + " bytes exceeds the " +
+                           std::to_string(rest_.size()) + " bytes left in its record");
     const std::string_view bytes = rest_.substr(0, n);
     rest_.remove_prefix(n);
     return bytes;
@@ -69,11 +72,15 @@
 EndpointUpdate ReadEndpointUpdate(Reader& in) {
   EndpointUpdate update;
   const auto kind = in.Get<std::uint8_t>();
-  if (kind > wire::kMaxUpdateKind) throw MalformedInput("a list of an unknown kind");
+  if (kind > wire::kMaxUpdateKind)
+    throw MalformedInput("endpoint list of unknown kind " + std::to_string(kind) + "; expected 0 to " +
+                         std::to_string(wire::kMaxUpdateKind));
   update.kind = static_cast<EndpointUpdateKind>(kind);
-  in.Get<std::uint32_t>();  // version: lists come in order and without gaps
+  in.Get<std::uint32_t>();  // the version isn't needed, since lists arrive in order and without gaps
   const auto count = in.Get<std::uint32_t>();
-  if (count > in.remaining() / wire::kEndpointBytes) throw MalformedInput("a list overruns its record");
+  if (count > in.remaining() / wire::kEndpointBytes)
+    throw MalformedInput("endpoint list of " + std::to_string(count) + " endpoints exceeds the " +
+                         std::to_string(in.remaining()) + " bytes left in its record");
   Reader fields(in.Bytes(std::size_t{count} * wire::kEndpointBytes));
   for (std::uint32_t i = 0; i < count; ++i) {
     Endpoint endpoint;
@@ -82,7 +89,9 @@
     endpoint.kind = fields.Get<std::uint16_t>();
     endpoint.cell = fields.Get<std::uint16_t>();
     const auto state = fields.Get<std::uint8_t>();
-    if (state > wire::kMaxEndpointState) throw MalformedInput("a list entry of an unknown state");
+    if (state > wire::kMaxEndpointState)
+      throw MalformedInput("endpoint of unknown state " + std::to_string(state) + "; expected 0 to " +
+                           std::to_string(wire::kMaxEndpointState));
     endpoint.state = static_cast<EndpointState>(state);
     endpoint.weight = fields.Get<float>();
     endpoint.up_since = TimeAt(fields.Get<double>());
@@ -113,7 +122,7 @@
   completed.attempt = in.Get<std::uint8_t>();
   completed.outcome = OutcomeOf(in.Get<std::uint16_t>());
   completed.duration = Duration(in.Get<double>());
-  in.Bytes(sizeof(float) * in.Get<std::uint8_t>());  // load reports decide nothing
+  in.Bytes(sizeof(float) * in.Get<std::uint8_t>());  // the load report of the backend is not used
   return completed;
 }
 
@@ -145,7 +154,7 @@
       return CrashInstance{};
     case EventCode::kHealthCheckCompleted:
     case EventCode::kPeerMessage:
-      return IgnoredEvent{code, true};  // this program requests none
+      return IgnoredEvent{code, true};  // the adapter sends no health checks and no peer messages
     default:
       return IgnoredEvent{code, false};
   }
@@ -165,7 +174,7 @@
   out.append(text);
 }
 
-// The code and the fields behind the instance.
+// Appends the fields of an action, which follow the instance in its record, and returns its code.
 struct Encoder {
   std::string& out;
 
@@ -221,12 +230,14 @@
     Reader fields(in.Bytes(in.Get<std::uint32_t>()));
     Record record;
     const bool known = code >= wire::kFirstEventCode && code <= wire::kLastEventCode;
-    // The fields of an unknown code cannot be read; those of a known one may have more at their end.
+    // The fields of an unknown code can't be read. A known code may have further fields at the end.
     if (known) record.instance = fields.Get<std::uint32_t>();
     record.message = ReadMessage(code, fields);
     batch.records.push_back(std::move(record));
   }
-  if (in.remaining() != 0) throw MalformedInput("bytes are left over behind the records of a frame");
+  if (in.remaining() != 0)
+    throw MalformedInput(std::to_string(in.remaining()) + " bytes follow the " + std::to_string(count) +
+                         " records of a frame");
   return batch;
 }
 
@@ -234,19 +245,25 @@
   char header[16];
   in.read(header, sizeof header);
   if (in.gcount() == 0) return std::nullopt;
-  if (in.gcount() != sizeof header) throw MalformedInput("input ends inside the header of a frame");
+  if (in.gcount() != sizeof header)
+    throw MalformedInput("input ends after " + std::to_string(in.gcount()) + " of the " +
+                         std::to_string(sizeof header) + " bytes of a frame header");
   Reader fields(std::string_view(header, sizeof header));
   const TimePoint now = TimeAt(fields.Get<double>());
   const auto length = fields.Get<std::uint32_t>();
   const auto count = fields.Get<std::uint32_t>();
-  // The stated length covers the count, too. Read in pieces: a wild length must not allocate gigabytes.
-  if (length < sizeof count) throw MalformedInput("a frame shorter than its own header");
+  // The length includes the count. The body is read in pieces, so that a wrong length doesn't allocate
+  // gigabytes.
+  if (length < sizeof count)
+    throw MalformedInput("frame length of " + std::to_string(length) + " bytes; expected at least " +
+                         std::to_string(sizeof count));
   std::string body;
   for (std::size_t left = length - sizeof count; left > 0;) {
     char piece[65536];
     const std::size_t want = left < sizeof piece ? left : sizeof piece;
     in.read(piece, static_cast<std::streamsize>(want));
-    if (static_cast<std::size_t>(in.gcount()) != want) throw MalformedInput("input ends inside a frame");
+    if (static_cast<std::size_t>(in.gcount()) != want)
+      throw MalformedInput("input ends inside a frame of " + std::to_string(length) + " bytes");
     body.append(piece, want);
     left -= want;
   }
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Frames of the simulator's wire: little-endian, packed. Reads batches of events, writes replies of actions.
+// The frames of the simulator's binary protocol, whose fields are little-endian and packed: reads batches of
+// events and writes replies with actions.
 #ifndef COPPERPOINT_ADAPTER_CODEC_H_
 #define COPPERPOINT_ADAPTER_CODEC_H_
 
@@ -17,42 +18,43 @@
 
 namespace copperpoint::adapter {
 
-// The input breaks the framing or a field; what() is one line.
+// Thrown if a frame, a record or a field is malformed. what() is one line.
 class MalformedInput : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Starts an instance, or starts it anew.
+// Creates an instance; replaces the one with the same number, if there is one.
 struct CreateInstance {
   std::uint64_t seed = 0;
   std::string config;
 };
-// The instance ends without notice.
+// Destroys an instance, as if its process had crashed.
 struct CrashInstance {};
-// An event that this program has no use for, or whose code it does not know.
+// An event that the adapter doesn't use, or whose code it doesn't know.
 struct IgnoredEvent {
   std::uint8_t code = 0;
   bool known_code = false;
 };
 using Message = std::variant<CreateInstance, CrashInstance, IgnoredEvent, Event>;
 
-// One event for one instance.
+// One message for one instance.
 struct Record {
   std::uint32_t instance = 0;
   Message message;
 };
 
-// The records of one frame, all at the same time.
+// The records of one frame, which all happen at the time `now`.
 struct Batch {
   TimePoint now{};
   std::vector<Record> records;
 };
 
-// Reads one frame. Nothing at the end of input between frames; throws MalformedInput otherwise.
+// Reads one frame. Returns nullopt if the input ends before the frame; throws MalformedInput if it ends
+// inside.
 std::optional<Batch> ReadBatch(std::istream& in);
 
-// Decodes the body of a frame: `count` records filling `body`.
+// Decodes the body of a frame. Throws MalformedInput unless `body` is exactly `count` records.
 Batch DecodeBatch(TimePoint now, std::uint32_t count, std::string_view body);
 
 // Collects the actions of a batch and writes them as one frame.
@@ -60,7 +62,7 @@
  public:
   void Add(std::uint32_t instance, const Action& action);
   void AddInternalError(std::uint32_t instance, std::string_view text);
-  // The complete frame; the writer is empty again.
+  // Returns the complete frame and clears the writer.
   std::string Take();
 
  private:
--- a/src/adapter/instance_host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -18,7 +18,7 @@
   const std::uint32_t instance = record.instance;
   if (const auto* ignored = std::get_if<IgnoredEvent>(&record.message)) {
     if (!ignored->known_code)
-      ReportOnce("event code " + std::to_string(ignored->code) + " is not known; skipped");
+      ReportOnce("unknown event code " + std::to_string(ignored->code) + "; event skipped");
     return;
   }
   if (const auto* create = std::get_if<CreateInstance>(&record.message)) {
@@ -32,7 +32,7 @@
   }
   const auto found = instances_.find(instance);
   if (found == instances_.end()) {
-    ReportOnce("events for instance " + std::to_string(instance) + ", which is not live; ignored");
+    ReportOnce("event for instance " + std::to_string(instance) + ", which doesn't exist; event ignored");
     return;
   }
   if (std::holds_alternative<CrashInstance>(record.message)) {
--- a/src/adapter/instance_host.h
+++ b/src/adapter/instance_host.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Hosts one Balancer per live instance and carries events and actions between them and the wire.
+// Hosts one Balancer per instance and passes events and actions between them and the simulator's protocol.
 #ifndef COPPERPOINT_ADAPTER_INSTANCE_HOST_H_
 #define COPPERPOINT_ADAPTER_INSTANCE_HOST_H_
 
@@ -14,11 +14,12 @@
 
 namespace copperpoint::adapter {
 
+// Owns the instances. Ignored events are reported to `diagnostics`, which must outlive the host.
 class InstanceHost {
  public:
   explicit InstanceHost(std::ostream& diagnostics) : diagnostics_(diagnostics) {}
 
-  // The reply frame to a batch.
+  // Handles all records of a batch and returns the reply frame.
   std::string HandleBatch(const Batch& batch);
 
  private:
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The adapter program: reads batches of events from standard input and writes the replies to standard output
+// until the input ends. Exits with 1 and a line on standard error if the input is malformed.
 #include <exception>
 #include <iostream>
 
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -19,10 +19,11 @@
 namespace keys = wire::keys;
 namespace words = wire::words;
 
-constexpr double kMaxValue = 1e12;       // of any count, time or rate of a deployment
-constexpr double kMaxListItems = 65536;  // indices of classes and tenants have 16 bits on the wire
+constexpr double kMaxValue = 1e12;       // upper bound of counts, times and rates
+constexpr double kMaxListItems = 65536;  // the protocol has 16 bits for the index of a class or tenant
 
-// The path=value lines of the settings.
+// The path=value lines of the settings. Lines without "=" are ignored. Refers to the text that it was made
+// of.
 class PathValueLines {
  public:
   explicit PathValueLines(std::string_view text) {
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads the path=value settings of the simulator's wire.
+// Reads the settings that the simulator sends as lines of the form path=value.
 #ifndef COPPERPOINT_ADAPTER_SETTINGS_H_
 #define COPPERPOINT_ADAPTER_SETTINGS_H_
 
@@ -12,7 +12,7 @@
 
 namespace copperpoint::adapter {
 
-// A required key is absent, or its value cannot be used; what() is one line that names the key.
+// Thrown if a required key is absent or a value can't be used. what() is one line that names the key.
 class BadSettings : public std::runtime_error {
  public:
   enum class Kind { kAbsent, kNotANumber, kNotAWholeNumber, kOutOfRange, kUnknownWord };
@@ -27,7 +27,8 @@
   std::string key_;
 };
 
-// Unknown keys are ignored; an absent optional key has its documented meaning.
+// Parses the settings; throws BadSettings. Unknown keys are ignored. An absent optional key leaves the
+// default of the field of Settings.
 Settings ParseSettings(std::string_view text);
 
 }  // namespace copperpoint::adapter
--- a/src/adapter/wire_names.h
+++ b/src/adapter/wire_names.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The names and codes of the simulator's wire, beside the terms that the program uses for them. Everything
-// that the wire calls by another name than the code stands here and nowhere else.
+// The names and codes of the simulator's protocol and the terms that the program uses for them. Names of the
+// protocol that differ from the program's terms are used in this file only.
 #ifndef COPPERPOINT_ADAPTER_WIRE_NAMES_H_
 #define COPPERPOINT_ADAPTER_WIRE_NAMES_H_
 
@@ -13,7 +13,7 @@
 
 // ---- records ------------------------------------------------------------------------------------------
 
-// Codes of events; the wire's name is in the comment where it differs.
+// Codes of events. A comment gives the protocol's name where it differs.
 enum class EventCode : std::uint8_t {
   kCreateInstance = 16,        // create
   kEndpointUpdate = 17,        // discovery
@@ -28,7 +28,7 @@
 };
 inline constexpr std::uint8_t kFirstEventCode = 16, kLastEventCode = 25;
 
-// Codes of actions.
+// Codes of actions. A comment gives the protocol's name where it differs.
 enum class ActionCode : std::uint8_t {
   kFailRequest = 16,           // abort
   kPollEndpoints = 18,         // stream changes
@@ -40,11 +40,11 @@
   kStartAttempt = 27,  // dispatch
 };
 
-// Bits of the flags of a received request.
+// Bits of the flags of a received request. A comment gives the protocol's name.
 inline constexpr std::uint16_t kFlagWorkEstimate = 1;  // hint
 inline constexpr std::uint16_t kFlagClientRetry = 2;   // repeat
 
-// How an attempt ended, as a status.
+// Status codes of the outcomes of attempts.
 inline constexpr std::uint16_t kStatusSuccess = 200;
 inline constexpr std::uint16_t kStatusNotSent = 410;
 inline constexpr std::uint16_t kStatusCancelled = 499;
@@ -54,13 +54,13 @@
 inline constexpr std::uint16_t kStatusTimeout = 504;
 inline constexpr std::uint16_t kStatusConnectionReset = 598;
 
-// An endpoint in a list, in bytes.
+// Size of an endpoint in an endpoint list, in bytes.
 inline constexpr std::uint32_t kEndpointBytes = 23;
-// Kinds of lists and states of endpoints are numbered as EndpointUpdateKind and EndpointState are.
+// Kinds of lists and states of endpoints have the numbers of EndpointUpdateKind and EndpointState.
 inline constexpr std::uint8_t kMaxUpdateKind = static_cast<std::uint8_t>(EndpointUpdateKind::kFailed);
 inline constexpr std::uint8_t kMaxEndpointState = static_cast<std::uint8_t>(EndpointState::kDraining);
 
-// ---- keys of the settings, a path=value line each -------------------------------------------------------
+// ---- keys of the settings, whose lines have the form path=value ----------------------------------------
 namespace keys {
 
 inline constexpr const char* kProxyCount = "balancers";
@@ -69,7 +69,7 @@
 inline constexpr const char* kClassCount = "classes.count";
 inline constexpr const char* kTenantCount = "tenants.count";
 
-// Behind "classes.N."
+// Keys after the prefix "classes.N.", where N is the index of a class.
 inline constexpr const char* kIdempotency = "effect";
 inline constexpr const char* kDeduplicationScope = "group";
 inline constexpr const char* kDeduplicationWindow = "windowMs";
@@ -78,7 +78,7 @@
 inline constexpr const char* kPriorityWeight = "worth";
 inline constexpr const char* kLateWeightFraction = "lateWorth";
 
-// Behind "tenants.N."
+// Key after the prefix "tenants.N.", where N is the index of a tenant.
 inline constexpr const char* kQuotaPerSecond = "quotaPerS";
 
 inline constexpr const char* kObjectiveOverall = "goal.whole";
@@ -100,7 +100,7 @@
 
 }  // namespace keys
 
-// ---- words of the settings ------------------------------------------------------------------------------
+// ---- values of the settings that are words --------------------------------------------------------------
 namespace words {
 
 inline constexpr const char* kTrue = "true";
--- a/tests/adapter/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The codec against frames written out by hand.
+// Checks the codec with frames written by hand. Guards against a field that is read or written at another
+// place than the simulator's protocol has it.
 #include "adapter/codec.h"
 
 #include <gtest/gtest.h>
@@ -22,8 +23,8 @@
   return batch.value_or(Batch{});
 }
 
-// One record in a frame at 0 ms.
-Batch One(const std::string& record) {
+// Reads a frame with one record at the time 0 ms.
+Batch ReadOne(const std::string& record) {
   std::string header(8, '\0');
   const auto length = static_cast<std::uint32_t>(record.size() + 4);
   for (int i = 0; i < 4; ++i) header += static_cast<char>(length >> (8 * i));
@@ -53,32 +54,32 @@
   ASSERT_EQ(batch.records.size(), 3u);
   EXPECT_EQ(batch.records[0].instance, 3u);
   EXPECT_EQ(batch.records[2].instance, 5u);
-  const auto submit = EventIn<RequestReceived>(batch);
-  EXPECT_EQ(submit.request, 0x0809c95d3a91c4u);
-  EXPECT_EQ(submit.deadline.time_since_epoch().count(), 8652.25);
-  EXPECT_EQ(submit.key, 0x91f03b7c55d20a64u);
-  EXPECT_TRUE(submit.has_work_estimate);
-  EXPECT_FALSE(submit.client_retry);
-  EXPECT_EQ(submit.estimated_work_ms, 12);
+  const auto request = EventIn<RequestReceived>(batch);
+  EXPECT_EQ(request.request, 0x0809c95d3a91c4u);
+  EXPECT_EQ(request.deadline.time_since_epoch().count(), 8652.25);
+  EXPECT_EQ(request.key, 0x91f03b7c55d20a64u);
+  EXPECT_TRUE(request.has_work_estimate);
+  EXPECT_FALSE(request.client_retry);
+  EXPECT_EQ(request.estimated_work_ms, 12);
   EXPECT_EQ(std::get<TimerFired>(std::get<Event>(batch.records[1].message)).token, 77u);
   EXPECT_EQ(std::get<ClientDisconnected>(std::get<Event>(batch.records[2].message)).request,
             0x0bfff20e6f2b19u);
 }
 
 TEST(Codec, CreateAndCrash) {
-  const Batch created = One(Hex("10 17000000 03000000 0102000000000000 07000000") + "a=1\nb=2");
+  const Batch created = ReadOne(Hex("10 17000000 03000000 0102000000000000 07000000") + "a=1\nb=2");
   const auto& create = std::get<CreateInstance>(created.records.at(0).message);
   EXPECT_EQ(create.seed, 0x0201u);
   EXPECT_EQ(create.config, "a=1\nb=2");
-  const Batch crashed = One(Hex("19 04000000 03000000"));
+  const Batch crashed = ReadOne(Hex("19 04000000 03000000"));
   EXPECT_TRUE(std::holds_alternative<CrashInstance>(crashed.records.at(0).message));
 }
 
-TEST(Codec, Discovery) {
+TEST(Codec, EndpointUpdate) {
   const auto list =
-      EventIn<EndpointUpdate>(One(Hex("11 3b000000 03000000 02 29000000 02000000"
-                                      "074a1203 0000 0000 0000 01 0000803f 0000000000000000"
-                                      "f211902c 0100 0000 0400 02 0000c03f 0000000000d4b740")));
+      EventIn<EndpointUpdate>(ReadOne(Hex("11 3b000000 03000000 02 29000000 02000000"
+                                          "074a1203 0000 0000 0000 01 0000803f 0000000000000000"
+                                          "f211902c 0100 0000 0400 02 0000c03f 0000000000d4b740")));
   EXPECT_EQ(list.kind, EndpointUpdateKind::kCached);
   ASSERT_EQ(list.endpoints.size(), 2u);
   EXPECT_EQ(list.endpoints[0].backend, 0x03124a07u);
@@ -90,22 +91,22 @@
   EXPECT_EQ(list.endpoints[1].up_since.time_since_epoch().count(), 6100);
 }
 
-TEST(Codec, AttemptEndWithAndWithoutReport) {
-  const auto bare = EventIn<AttemptCompleted>(
-      One(Hex("14 1d000000 03000000 c4913a5dc9090800 01 074a1203 02 c800 0000000000803240 00")));
-  EXPECT_EQ(bare.request, 0x0809c95d3a91c4u);
-  EXPECT_TRUE(bare.request_completed);
-  EXPECT_EQ(bare.backend, 0x03124a07u);
-  EXPECT_EQ(bare.attempt, 2);
-  EXPECT_EQ(bare.outcome, AttemptOutcome::kSuccess);
-  EXPECT_EQ(bare.duration.count(), 18.5);
-  const auto full = EventIn<AttemptCompleted>(One(Hex(
+TEST(Codec, AttemptCompletedWithAndWithoutLoadReport) {
+  const auto without_report = EventIn<AttemptCompleted>(
+      ReadOne(Hex("14 1d000000 03000000 c4913a5dc9090800 01 074a1203 02 c800 0000000000803240 00")));
+  EXPECT_EQ(without_report.request, 0x0809c95d3a91c4u);
+  EXPECT_TRUE(without_report.request_completed);
+  EXPECT_EQ(without_report.backend, 0x03124a07u);
+  EXPECT_EQ(without_report.attempt, 2);
+  EXPECT_EQ(without_report.outcome, AttemptOutcome::kSuccess);
+  EXPECT_EQ(without_report.duration.count(), 18.5);
+  const auto with_report = EventIn<AttemptCompleted>(ReadOne(Hex(
       "14 25000000 03000000 c4913a5dc9090800 00 074a1203 00 f701 0000000000803240 02 0000803f 0000003f")));
-  EXPECT_FALSE(full.request_completed);
-  EXPECT_EQ(full.outcome, AttemptOutcome::kBackendRejected);
+  EXPECT_FALSE(with_report.request_completed);
+  EXPECT_EQ(with_report.outcome, AttemptOutcome::kBackendRejected);
 }
 
-TEST(Codec, EveryOutcome) {
+TEST(Codec, DecodesEveryOutcome) {
   const std::pair<const char*, AttemptOutcome> outcomes[] = {
       {"c800", AttemptOutcome::kSuccess},         {"f401", AttemptOutcome::kServerError},
       {"f701", AttemptOutcome::kBackendRejected}, {"f801", AttemptOutcome::kTimeout},
@@ -113,16 +114,16 @@
       {"f301", AttemptOutcome::kCancelled},       {"9a01", AttemptOutcome::kNotSent},
       {"0700", AttemptOutcome::kUnknown}};
   for (const auto& [status, outcome] : outcomes) {
-    const auto end =
-        EventIn<AttemptCompleted>(One(Hex("14 1d000000 03000000 0100000000000000 00 02000000 00") +
-                                      Hex(status) + Hex("0000000000000000 00")));
-    EXPECT_EQ(end.outcome, outcome) << status;
+    const auto completed =
+        EventIn<AttemptCompleted>(ReadOne(Hex("14 1d000000 03000000 0100000000000000 00 02000000 00") +
+                                          Hex(status) + Hex("0000000000000000 00")));
+    EXPECT_EQ(completed.outcome, outcome) << status;
   }
 }
 
-TEST(Codec, Opened) {
+TEST(Codec, ResponseStarted) {
   const auto started = EventIn<ResponseStarted>(
-      One(Hex("13 19000000 03000000 c4913a5dc9090800 01 074a1203 0000000000802240")));
+      ReadOne(Hex("13 19000000 03000000 c4913a5dc9090800 01 074a1203 0000000000802240")));
   EXPECT_EQ(started.request, 0x0809c95d3a91c4u);
   EXPECT_EQ(started.attempt, 1);
 }
@@ -137,7 +138,7 @@
   EXPECT_TRUE(std::holds_alternative<CrashInstance>(batch.records[1].message));
 }
 
-TEST(Codec, Actions) {
+TEST(Codec, EncodesEveryAction) {
   const std::pair<Action, const char*> actions[] = {
       {StartAttempt{0x0809c95d3a91c4u, 0x03124a07u, Duration(80)},
        "1b 18000000 03000000 c4913a5dc9090800 0000000000005440 074a1203"},
@@ -159,23 +160,23 @@
   EXPECT_EQ(reply.Take(), Hex("1d000000 15 18000000 03000000 1200 696e646578206f7574206f662072616e6765"));
 }
 
-TEST(Codec, Malformed) {
+TEST(Codec, MalformedFramesAreErrors) {
   const char* frames[] = {
-      "00000000206ec0",                                       // header cut short
-      "0000000000000000 08000000 00000000 0000",              // body cut short
-      "0000000000000000 00000000 00000000",                   // shorter than its count
-      "0000000000000000 05000000 00000000 00",                // bytes left over
-      "0000000000000000 09000000 01000000 19 04000000",       // record overruns its frame
-      "0000000000000000 0b000000 01000000 19 02000000 0300",  // field overruns its record
-      "0000000000000000 16000000 01000000 11 0d000000 03000000 01 29000000 ff000000",  // list overruns
+      "00000000206ec0",                                       // the input ends inside the header
+      "0000000000000000 08000000 00000000 0000",              // the input ends inside the body
+      "0000000000000000 00000000 00000000",                   // the length is less than the size of the count
+      "0000000000000000 05000000 00000000 00",                // bytes follow the last record
+      "0000000000000000 09000000 01000000 19 04000000",       // a record exceeds its frame
+      "0000000000000000 0b000000 01000000 19 02000000 0300",  // a field exceeds its record
+      "0000000000000000 16000000 01000000 11 0d000000 03000000 01 29000000 ff000000",  // list too long
       "0000000000000000 16000000 01000000 11 0d000000 03000000 09 29000000 00000000",  // unknown list kind
   };
   for (const char* frame : frames) {
     std::istringstream in(Hex(frame));
     EXPECT_THROW(ReadBatch(in), MalformedInput) << frame;
   }
-  std::istringstream end;
-  EXPECT_FALSE(ReadBatch(end).has_value());
+  std::istringstream empty;
+  EXPECT_FALSE(ReadBatch(empty).has_value());
 }
 
 }  // namespace
--- a/tests/adapter/settings_test.cpp
+++ b/tests/adapter/settings_test.cpp
@@ -22,7 +22,7 @@
   return Without(key) + key + "=" + value + "\n";
 }
 
-std::string Complaint(const std::string& text) {
+std::string ErrorOf(const std::string& text) {
   try {
     ParseSettings(text);
   } catch (const BadSettings& error) {
@@ -31,7 +31,7 @@
   return "";
 }
 
-TEST(SettingsParser, ReadsWhatItNeeds) {
+TEST(SettingsParser, ReadsEveryKeyThatTheProgramNeeds) {
   const Settings s = ParseSettings(kSampleSettings);
   EXPECT_EQ(s.proxy_count, 2);
   ASSERT_EQ(s.classes.size(), 2u);
@@ -50,16 +50,16 @@
   EXPECT_EQ(s.max_retry_after.count(), 600);
 }
 
-TEST(SettingsParser, ItsOwnNumberAmongTheProxies) {
+TEST(SettingsParser, ProxyIndexIsReadAndMayNotBeNegative) {
   EXPECT_EQ(ParseSettings(std::string(kSampleSettings) + "me=17\n").proxy_index, 17);
-  EXPECT_EQ(Complaint(std::string(kSampleSettings) + "me=-1\n"), "setting out of range: me");
+  EXPECT_EQ(ErrorOf(std::string(kSampleSettings) + "me=-1\n"), "setting out of range: me");
 }
 
-TEST(SettingsParser, UnknownKeysAndOddLinesAreIgnored) {
-  EXPECT_EQ(Complaint(std::string(kSampleSettings) + "newKey=7\nno equals sign\n\n"), "");
+TEST(SettingsParser, UnknownKeysAndLinesWithoutAnEqualsSignAreIgnored) {
+  EXPECT_EQ(ErrorOf(std::string(kSampleSettings) + "newKey=7\nno equals sign\n\n"), "");
 }
 
-TEST(SettingsParser, AbsentOptionalKeys) {
+TEST(SettingsParser, AbsentOptionalKeysHaveDefaults) {
   const Settings s = ParseSettings(Without("tenants.count"));
   EXPECT_TRUE(s.tenants.empty());
   EXPECT_FALSE(ParseSettings(Without("registryMode")).polls_endpoints);
@@ -68,16 +68,16 @@
   EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).key_affinity);
 }
 
-TEST(SettingsParser, NeededKeysAbsentAreNamed) {
+TEST(SettingsParser, ErrorNamesTheAbsentKey) {
   for (const char* key :
        {"classes.count", "classes.0.effect", "classes.0.goalTimeMs", "classes.0.deadlineMs",
         "classes.1.group", "classes.1.windowMs", "permissions.maxAttempts", "rules.coldFrom",
         "rules.warmUpMs", "rules.fallMultiple", "rules.overloadForMs", "rules.mustAskInMs", "zone"})
-    EXPECT_NE(Complaint(Without(key)).find(key), std::string::npos) << key;
+    EXPECT_NE(ErrorOf(Without(key)).find(key), std::string::npos) << key;
 }
 
-TEST(SettingsParser, BadValuesAreNamed) {
-  const std::pair<const char*, const char*> bad[] = {
+TEST(SettingsParser, ErrorNamesTheKeyOfAnInvalidValue) {
+  const std::pair<const char*, const char*> invalid[] = {
       {"classes.count", "0"},           {"classes.count", "two"},
       {"classes.0.effect", "odd"},      {"classes.0.goalTimeMs", "-1"},
       {"rules.coldFrom", "1.5"},        {"rules.coldFrom", "nan"},
@@ -85,8 +85,8 @@
       {"permissions.maxAttempts", "0"}, {"permissions.maxAttempts", "2.5"},
       {"registryMode", "pull"},         {"tenants.0.quotaPerS", "-3"},
       {"classes.1.lateWorth", "1e9"},   {"overShareWorth", "0.5x"}};
-  for (const auto& [key, value] : bad)
-    EXPECT_NE(Complaint(With(key, value)).find(key), std::string::npos) << key << "=" << value;
+  for (const auto& [key, value] : invalid)
+    EXPECT_NE(ErrorOf(With(key, value)).find(key), std::string::npos) << key << "=" << value;
 }
 
 }  // namespace
--- a/tests/support/sample_settings.h
+++ b/tests/support/sample_settings.h
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Settings as the simulator sends them, with all keys that the adapter reads and some that it ignores.
 #ifndef COPPERPOINT_TESTS_SUPPORT_SAMPLE_SETTINGS_H_
 #define COPPERPOINT_TESTS_SUPPORT_SAMPLE_SETTINGS_H_
 
