--- a/src/subsetting/ring_position.cpp
+++ b/src/subsetting/ring_position.cpp
@@ -12,10 +12,11 @@
 namespace copperpoint::subsetting {
 namespace {
 
-constexpr std::uint64_t kRankSeed = 4;  // of a hash that all proxies compute the same
-constexpr int kUnconvergedChecks = 4;   // in a min_move_interval, while the membership does not converge
+constexpr std::uint64_t kRankSeed = 4;  // seed of the hash of names; must be the same at all proxies
+constexpr int kUnconvergedChecks = 4;   // checks per min_move_interval while the membership does not converge
 
-// Ranks peers by the hash of their names; the names themselves break ties, so that all proxies rank alike.
+// Returns whether the proxy named `a` ranks before the one named `b`. Proxies rank by the hash of their
+// names; the names themselves break ties, so that all proxies compute the same ranks.
 bool RanksBefore(const std::string& a, const std::string& b) {
   const auto hash_a = XXH64(a.data(), a.size(), kRankSeed);
   const auto hash_b = XXH64(b.data(), b.size(), kRankSeed);
@@ -39,7 +40,7 @@
   return (rank + zone_rank / static_cast<double>(zones.size())) / peers_of_zone;
 }
 
-// A draining proxy takes no more clients, and counts like one that has left.
+// A draining proxy takes no more clients, and is treated like one that has left.
 bool RingPosition::Serves(const membership::MemberTable& members, int index) {
   return index != membership::MemberTable::kNotFound && members[index].living() &&
          members[index].record->state() <= static_cast<std::uint32_t>(membership::MemberState::kServing);
@@ -52,7 +53,7 @@
   table_hash_ = members.hash();
   if (!std::exchange(pending_, true)) changed_ = now;
   UpdatePeers(members, now);
-  // The first offset is taken at once, since no connection moves by it.
+  // The first offset is used at once, since it closes no connections.
   const bool may_move = !ring_offset_ || now >= moved_ + options_.min_move_interval;
   const bool settled = membership.converged() || now >= changed_ + options_.max_unconverged_wait;
   if (!may_move || !settled) {
--- a/src/subsetting/ring_position.h
+++ b/src/subsetting/ring_position.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The position of this proxy on the ring of backends, from the membership that all proxies share:
-// deterministic aperture (Finagle, 2019). Its subset begins there; the decision module decides how large it
-// is. No I/O, no clock, no thread.
+// The position of this proxy on the ring of backends, computed from the membership that all proxies share, as
+// in deterministic aperture (Finagle, 2019). The subset of the proxy begins there; the decision module
+// decides how large the subset is. Has no I/O, clock or threads.
 //
-// Positions only make the connections of backends even. Proxies whose tables differ, or are outdated, have
-// subsets as large and as healthy as otherwise.
+// Positions only distribute the connections evenly over the backends. Proxies whose member tables differ or
+// are outdated still have subsets that are as large and as healthy.
 #ifndef COPPERPOINT_SUBSETTING_RING_POSITION_H_
 #define COPPERPOINT_SUBSETTING_RING_POSITION_H_
 
@@ -19,37 +19,40 @@
 
 namespace copperpoint::subsetting {
 
-// A proxy, by its name and its zone.
+// The name and the zone of a proxy.
 struct Peer {
   std::string name, zone;
 };
 
-// The offset on the ring, from 0 to below 1: (rank among the peers of its zone + rank of the zone / zones) /
-// peers of the zone. Peers rank by a hash of their names, so that one that joins or leaves moves each other
-// one by less than 1 / peers; zones are interleaved. Nothing: no peer has this name.
+// Returns the offset of the proxy `name` on the ring, 0 to below 1: (rank among the peers of its zone + rank
+// of the zone / number of zones) / number of peers in the zone. Peers rank by a hash of their names, so that
+// a peer that joins or leaves moves each of the others by less than 1 / number of peers. The offsets of the
+// zones are interleaved. Returns nullopt if no peer has this name.
 std::optional<double> RingOffsetAmong(const std::vector<Peer>& peers, const std::string& name);
 
-// Follows the membership of one proxy, and decides when its offset changes: not while the membership is
-// changing, and not for a proxy that restarts.
+// Follows the membership as one proxy sees it, and decides when the offset of that proxy changes: not while
+// the membership is changing, and not because another proxy restarts.
 //
-// Owns the proxies that count, and the present offset.
+// Owns the present offset and the list of the proxies that it is computed from.
 class RingPosition {
  public:
   struct Options {
+    // Least time between two changes of the offset.
     membership::Time min_move_interval = std::chrono::seconds(2);
-    // A membership that does not converge is used as it is after so long.
+    // How long a change waits for the membership to converge; then the membership is used as it is.
     membership::Time max_unconverged_wait = std::chrono::seconds(10);
-    // For how long a proxy counts after it stopped serving: a restart, as in a rolling change, moves no other
-    // proxy.
+    // How long a proxy still counts after it stopped serving, so that a restart, as in a rolling update,
+    // moves no other proxy.
     membership::Time departed_retention = std::chrono::seconds(10);
   };
 
   RingPosition() = default;
   explicit RingPosition(const Options& options) : options_(options) {}
 
-  // The offset, if it differs from the last one that was returned. To be called after each event of the
-  // membership, and at next(). `now` is the host's.
+  // Returns the offset if it differs from the last one that was returned. Has to be called after each event
+  // of the membership and at the time next(). `now` is the time of the caller's clock.
   std::optional<double> Update(const membership::Membership& membership, membership::Time now);
+  // When Update has to be called even without an event.
   membership::Time next() const { return next_; }
 
  private:
@@ -63,8 +66,8 @@
 
   Options options_;
   std::unordered_map<std::string, ServingPeer> peers_;  // by name
-  std::uint64_t table_hash_ = 0;                        // at the last update
-  bool pending_ = false;  // the table has changed, and the offset was not computed since
+  std::uint64_t table_hash_ = 0;                        // hash of the member table at the last update
+  bool pending_ = false;  // the member table has changed and the offset has not been recomputed since
   membership::Time changed_{}, moved_{}, next_ = membership::Time::max();
   std::optional<double> ring_offset_;
 };
--- a/tests/subsetting/ring_position_test.cpp
+++ b/tests/subsetting/ring_position_test.cpp
@@ -23,7 +23,8 @@
   return peers;
 }
 
-// Proxies that have each backend in their subset, where a subset is the `width` backends from the offset on.
+// Returns for each backend how many proxies have it in their subset, where a subset is the `width` backends
+// from the offset of the proxy on.
 std::vector<int> ProxiesByBackend(const std::vector<Peer>& peers, int backends, int width) {
   std::vector<int> proxies_of(static_cast<std::size_t>(backends));
   for (const Peer& peer : peers) {
@@ -38,7 +39,8 @@
            {300, 1, 200}, {300, 6, 200}, {24, 3, 12}, {50, 1, 200}, {7, 2, 31}, {1, 1, 5}}) {
     const auto proxies_of = ProxiesByBackend(Fleet(proxies, zones), backends, std::min(8, backends));
     const auto [fewest, most] = std::minmax_element(proxies_of.begin(), proxies_of.end());
-    // Subsets of one zone begin at equal steps; each zone of another size adds one at most.
+    // The subsets of one zone begin at equal distances. Each zone with another number of proxies adds at most
+    // one to the difference.
     EXPECT_LE(*most - *fewest, proxies % zones == 0 ? 2 : 1 + zones)
         << proxies << " " << zones << " " << backends;
   }
@@ -57,15 +59,15 @@
   }
 }
 
-TEST(RingPosition, ANewZoneMovesNobodyByMoreThanAStepAndAStrangerHasNoOffset) {
+TEST(RingPosition, ANewZoneMovesNoProxyByMoreThanAStepAndAnUnknownProxyHasNoOffset) {
   std::vector<Peer> fleet = Fleet(20, 2);
-  EXPECT_FALSE(RingOffsetAmong(fleet, "stranger").has_value());
+  EXPECT_FALSE(RingOffsetAmong(fleet, "unknown").has_value());
   const double before = *RingOffsetAmong(fleet, "p0");
   fleet.push_back({"elsewhere", "c"});
   EXPECT_NEAR(*RingOffsetAmong(fleet, "p0"), before, 1.0 / 10);
 }
 
-// Five members of one zone, whose offsets are followed as the proxy follows its own.
+// Five members of one zone. Their offsets are updated as a proxy updates its own.
 class TrackedFleet {
  public:
   TrackedFleet() {
@@ -90,7 +92,7 @@
     std::sort(all.begin(), all.end());
     return all;
   }
-  int Moves() {
+  int CountMoves() {
     int count = 0;
     for (const auto& [name, n] : moves) count += n;
     return count;
@@ -102,59 +104,62 @@
 };
 
 TEST(RingPosition, ConvergedMembersAreEvenlySpaced) {
-  TrackedFleet f;
-  f.Run(8000);
-  const std::vector<double> all = f.Offsets();
+  TrackedFleet fleet;
+  fleet.Run(8000);
+  const std::vector<double> all = fleet.Offsets();
   ASSERT_EQ(all.size(), 5u);
   for (std::size_t i = 0; i < 5; ++i) EXPECT_NEAR(all[i], 0.2 * static_cast<double>(i), 1e-9);
 }
 
-// Mutant: a departed proxy is not retained. A rolling restart must cost no connection.
-TEST(RingPosition, ARestartMovesNobody) {
-  TrackedFleet f;
-  f.Run(8000);
-  const int before = f.Moves();
+// A rolling restart must close no connections. Fails if a departed proxy is not retained, which is a mutant
+// of tests/mutants.
+TEST(RingPosition, ARestartMovesNoOtherProxy) {
+  TrackedFleet fleet;
+  fleet.Run(8000);
+  const int before = fleet.CountMoves();
   for (const std::string name : {"b", "c", "d"}) {
-    f.net.nodes[name]->Leave(f.net.now);
-    f.net.Flush(name);
-    f.Run(3000);
-    f.net.nodes.erase(name);
-    f.net.Add(name);
-    f.net.nodes[name]->SetState(f.net.now, membership::MemberState::kServing);
-    f.net.Flush(name);
-    f.positions[name] = RingPosition();
-    f.offsets.erase(name);
-    f.Run(5000);
+    fleet.net.nodes[name]->Leave(fleet.net.now);
+    fleet.net.Flush(name);
+    fleet.Run(3000);
+    fleet.net.nodes.erase(name);
+    fleet.net.Add(name);
+    fleet.net.nodes[name]->SetState(fleet.net.now, membership::MemberState::kServing);
+    fleet.net.Flush(name);
+    fleet.positions[name] = RingPosition();
+    fleet.offsets.erase(name);
+    fleet.Run(5000);
   }
-  EXPECT_EQ(f.Offsets().size(), 5u);
-  EXPECT_EQ(f.Moves(), before + 3);  // each restarted proxy takes its offset once
+  EXPECT_EQ(fleet.Offsets().size(), 5u);
+  EXPECT_EQ(fleet.CountMoves(), before + 3);  // each restarted proxy gets its offset once
 }
 
 TEST(RingPosition, OthersCloseTheGapOfADepartedProxy) {
-  TrackedFleet f;
-  f.Run(8000);
-  f.net.stopped["c"] = true;
-  f.Run(6000);
-  const int before = f.Moves();
-  f.Run(40000);
-  EXPECT_GT(f.Moves(), before);
-  const std::vector<double> all = f.Offsets();
+  TrackedFleet fleet;
+  fleet.Run(8000);
+  fleet.net.stopped["c"] = true;
+  fleet.Run(6000);
+  const int before = fleet.CountMoves();
+  fleet.Run(40000);
+  EXPECT_GT(fleet.CountMoves(), before);
+  const std::vector<double> all = fleet.Offsets();
   ASSERT_EQ(all.size(), 4u);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_NEAR(all[i], 0.25 * static_cast<double>(i), 1e-9);
 }
 
-// A proxy that is cut off stays where it was while the membership does not converge, and at most until
-// max_unconverged_wait and departed_retention are over.
-TEST(RingPosition, ACutMovesNobodyWithinTheRetention) {
-  TrackedFleet f;
-  f.Run(8000);
-  const auto before = f.offsets;
-  f.net.passes = [](const std::string& from, const std::string& to) { return (from < "c") == (to < "c"); };
-  f.Run(7000);
-  EXPECT_EQ(f.offsets, before);
-  f.net.passes = nullptr;
-  f.Run(60000);
-  EXPECT_EQ(f.offsets, before);
+// During a network partition the offsets must not change while the membership does not converge, at most
+// until max_unconverged_wait and departed_retention are over.
+TEST(RingPosition, APartitionMovesNoProxyWithinTheRetention) {
+  TrackedFleet fleet;
+  fleet.Run(8000);
+  const auto before = fleet.offsets;
+  fleet.net.passes = [](const std::string& from, const std::string& to) {
+    return (from < "c") == (to < "c");
+  };
+  fleet.Run(7000);
+  EXPECT_EQ(fleet.offsets, before);
+  fleet.net.passes = nullptr;
+  fleet.Run(60000);
+  EXPECT_EQ(fleet.offsets, before);
 }
 
 }  // namespace
