--- a/src/decision/endpoint_set.cpp
+++ b/src/decision/endpoint_set.cpp
@@ -49,11 +49,11 @@
   return found == index_.end() ? nullptr : &backends_[found->second];
 }
 
-// Returns the record for a new backend: that of a backend removed longer than kRemovedMemory ago, or a new
+// Returns the record for a new backend: that of a backend removed longer than kRemovedRetention ago, or a new
 // one.
 BackendIndex EndpointSet::Add(TimePoint now) {
   BackendIndex index = 0;
-  if (!TakeForgotten(now, &index)) {
+  if (!TakeExpiredRecord(now, &index)) {
     index = static_cast<BackendIndex>(backends_.size());
     backends_.emplace_back();
   }
@@ -63,7 +63,7 @@
   return index;
 }
 
-bool EndpointSet::TakeForgotten(TimePoint now, BackendIndex* index) {
+bool EndpointSet::TakeExpiredRecord(TimePoint now, BackendIndex* index) {
   const auto stale = [this](const auto& removed) {
     const BackendState& backend = backends_[removed.second];
     return backend.endpoint.state != EndpointState::kRemoved || backend.removed_at != removed.first;
@@ -71,7 +71,7 @@
   while (!removed_.empty() && stale(removed_.front())) removed_.pop_front();
   if (removed_.empty()) return false;
   const auto [removed_at, oldest] = removed_.front();
-  if (now - removed_at <= kRemovedMemory || backends_[oldest].outstanding_attempts != 0) return false;
+  if (now - removed_at <= kRemovedRetention || backends_[oldest].outstanding_attempts != 0) return false;
   removed_.pop_front();
   index_.erase(backends_[oldest].endpoint.backend);
   ring_.Remove(oldest);
--- a/src/decision/endpoint_set.h
+++ b/src/decision/endpoint_set.h
@@ -15,12 +15,12 @@
 
 namespace copperpoint {
 
-// Owns the records of all backends. The record of a removed backend stays unchanged for kRemovedMemory, since
-// requests and a later list may refer to it; then it is reused for the next new backend. A BackendIndex is
-// valid until its record is reused.
+// Owns the records of all backends. The record of a removed backend stays unchanged for kRemovedRetention,
+// since requests and a later list may refer to it; then it is reused for the next new backend. A BackendIndex
+// is valid until its record is reused.
 class EndpointSet {
  public:
-  static constexpr Duration kRemovedMemory{600000};
+  static constexpr Duration kRemovedRetention{600000};
 
   // The changes that an update made.
   struct Changes {
@@ -57,7 +57,7 @@
   static constexpr std::size_t kMaxRingInsertions = 64;
 
   BackendIndex Add(TimePoint now);
-  bool TakeForgotten(TimePoint now, BackendIndex* index);
+  bool TakeExpiredRecord(TimePoint now, BackendIndex* index);
   void SetState(BackendState& backend, EndpointState state, TimePoint now, Changes* changes);
   void MarkUnlistedRemoved(const EndpointUpdate& snapshot, TimePoint now, Changes* changes);
   void UpdateRing(const EndpointUpdate& update);
--- a/src/decision/overload_monitor.cpp
+++ b/src/decision/overload_monitor.cpp
@@ -27,21 +27,21 @@
          "% client retries";
 }
 
-OverloadState OverloadMonitor::CurrentSigns() const {
+OverloadState OverloadMonitor::IndicatedState() const {
   const bool rejecting = RejectedFraction() > kRejectedFraction;
   const bool no_answers = decayed_.unserved > 1 && decayed_.succeeded < 0.05 * decayed_.unserved;
   if (no_answers || (rejecting && ClientRetryFraction() > kClientRetryFraction)) return OverloadState::kStorm;
   return rejecting ? OverloadState::kSurge : OverloadState::kCalm;
 }
 
-OverloadState OverloadMonitor::NextState(TimePoint now, OverloadState signs) const {
-  const Duration lasted = now - signs_since_;
-  if (signs > state_ || (state_ == OverloadState::kRecovery && signs != OverloadState::kCalm))
-    return lasted >= kEnterAfter ? signs : state_;
+OverloadState OverloadMonitor::NextState(TimePoint now, OverloadState indicated) const {
+  const Duration lasted = now - indicated_since_;
+  if (indicated > state_ || (state_ == OverloadState::kRecovery && indicated != OverloadState::kCalm))
+    return lasted >= kEnterAfter ? indicated : state_;
   // Rejected clients keep retrying for a while, so that a storm is followed by recovery and not by calm.
-  if (state_ == OverloadState::kStorm && signs != OverloadState::kStorm)
+  if (state_ == OverloadState::kStorm && indicated != OverloadState::kStorm)
     return lasted >= kLeaveAfter ? OverloadState::kRecovery : state_;
-  if (state_ == OverloadState::kSurge && signs == OverloadState::kCalm)
+  if (state_ == OverloadState::kSurge && indicated == OverloadState::kCalm)
     return lasted >= kLeaveAfter ? OverloadState::kCalm : state_;
   if (state_ == OverloadState::kRecovery && now - entered_at_ >= kRecoveryTime) return OverloadState::kCalm;
   return state_;
@@ -56,12 +56,12 @@
   decay_and_add(decayed_.unserved, counts.unserved);
   decay_and_add(decayed_.succeeded, counts.succeeded);
 
-  const OverloadState signs = CurrentSigns();
-  if (signs != signs_) {
-    signs_ = signs;
-    signs_since_ = now;
+  const OverloadState indicated = IndicatedState();
+  if (indicated != indicated_) {
+    indicated_ = indicated;
+    indicated_since_ = now;
   }
-  const OverloadState next = NextState(now, signs);
+  const OverloadState next = NextState(now, indicated);
   if (next == state_) return std::nullopt;
   previous_ = std::exchange(state_, next);
   entered_at_ = now;
--- a/src/decision/overload_monitor.h
+++ b/src/decision/overload_monitor.h
@@ -50,13 +50,15 @@
   }
 
  private:
-  OverloadState CurrentSigns() const;
-  OverloadState NextState(TimePoint now, OverloadState signs) const;
+  // Returns the state that the decayed counts indicate: calm, surge or storm.
+  OverloadState IndicatedState() const;
+  // Returns the state to be in at `now`, when the counts indicate `indicated`.
+  OverloadState NextState(TimePoint now, OverloadState indicated) const;
 
   OverloadCounts decayed_;
   OverloadState state_ = OverloadState::kCalm, previous_ = OverloadState::kCalm;
-  OverloadState signs_ = OverloadState::kCalm;
-  TimePoint signs_since_{}, entered_at_{};
+  OverloadState indicated_ = OverloadState::kCalm;
+  TimePoint indicated_since_{}, entered_at_{};
 };
 
 }  // namespace copperpoint
--- a/src/decision/request_scheduler.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -133,10 +133,10 @@
 // Writes a sample of the ended requests to the log, limited by LogLimiter. The reason of each single request
 // is in the event request_completed at level debug.
 void RequestScheduler::LogEnd(const RequestState& request, bool rejected) {
-  std::string cause = "not in time";
+  std::string cause = "no attempt was started";
   if (!request.attempts.empty()) {
     const Endpoint& last = state_.endpoints[request.attempts.back().backend].endpoint;
-    cause = "last at backend " + std::to_string(last.backend);
+    cause = "last attempt at backend " + std::to_string(last.backend);
   }
   state_.WriteLog((rejected ? "rejected: " : "failed: ") + cause + "; " +
                   std::to_string(state_.concurrency_limit.in_flight()) + " in flight, " +
--- a/tests/decision/decision_log_scenarios_test.cpp
+++ b/tests/decision/decision_log_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The lines that decisions are logged with.
+// The log lines of the decision module: their number is limited, and they name the backend and the reason.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,11 +19,12 @@
       if (const auto* log = std::get_if<Log>(&a)) lines.push_back(log->text);
   };
   for (int i = 0; i < 5; ++i) {
-    harness.SubmitRequest(next_request_id++, 0, 10, -50);  // due in the past
+    harness.SubmitRequest(next_request_id++, 0, 10, -50);  // with a deadline in the past
     note();
   }
-  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not logged";
-  EXPECT_NE(lines[0].find("rejected: not in time"), std::string::npos) << lines[0];
+  ASSERT_EQ(lines.size(), 1u) << "further rejections within ten seconds are not logged";
+  EXPECT_NE(lines[0].find("rejected: no attempt was started; 0 in flight, 0 queued"), std::string::npos)
+      << lines[0];
   harness.AdvanceTime(20000);
   harness.AdvanceTime(20000);
   harness.UpdateEndpoints({MakeEndpoint(1, 0, 0, EndpointState::kReady, harness.now)});
--- a/tests/decision/endpoint_set_test.cpp
+++ b/tests/decision/endpoint_set_test.cpp
@@ -56,9 +56,9 @@
   EndpointSet set;
   set.Apply({EndpointUpdateKind::kSnapshot, {Ready(1)}}, At(0));
   set.Apply({EndpointUpdateKind::kIncremental, {Removed(1)}}, At(1));
-  set.Apply({EndpointUpdateKind::kIncremental, {Ready(2)}}, At(1) + EndpointSet::kRemovedMemory);
-  EXPECT_EQ(set.backends().size(), 2u) << "not before its time is over";
-  set.Apply({EndpointUpdateKind::kIncremental, {Ready(3)}}, At(2) + EndpointSet::kRemovedMemory);
+  set.Apply({EndpointUpdateKind::kIncremental, {Ready(2)}}, At(1) + EndpointSet::kRemovedRetention);
+  EXPECT_EQ(set.backends().size(), 2u) << "the record must not be reused before kRemovedRetention has passed";
+  set.Apply({EndpointUpdateKind::kIncremental, {Ready(3)}}, At(2) + EndpointSet::kRemovedRetention);
   EXPECT_EQ(set.backends().size(), 2u);
   EXPECT_EQ(set.Find(1), nullptr);
   EXPECT_EQ(set.IndexOf(*set.Find(3)), 0u);
@@ -69,7 +69,7 @@
   set.Apply({EndpointUpdateKind::kSnapshot, {Ready(1)}}, At(0));
   set.Apply({EndpointUpdateKind::kIncremental, {Removed(1)}}, At(1));
   set.Find(1)->outstanding_attempts = 1;
-  set.Apply({EndpointUpdateKind::kIncremental, {Ready(2)}}, At(2) + EndpointSet::kRemovedMemory);
+  set.Apply({EndpointUpdateKind::kIncremental, {Ready(2)}}, At(2) + EndpointSet::kRemovedRetention);
   EXPECT_NE(set.Find(1), nullptr);
   EXPECT_EQ(set.backends().size(), 2u);
 }
