--- a/tests/decision/admission_order_scenarios_test.cpp
+++ b/tests/decision/admission_order_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which of the requests that wait goes first.
+// The order in which queued requests are dispatched. Guards against a request of higher weight, within its
+// quota or of greater age being overtaken by another.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,15 +22,15 @@
   const RequestId first = next_request_id++;
   ASSERT_TRUE(harness.SubmitRequest(first, 2, 10, 5000).has_value());
   ASSERT_TRUE(harness.SubmitRequest(next_request_id++, 2, 10, 5000).has_value());
-  const RequestId poor = next_request_id++, rich = next_request_id++;
-  EXPECT_FALSE(harness.SubmitRequest(poor, 2, 10, 5000).has_value());
-  EXPECT_FALSE(harness.SubmitRequest(rich, 0, 10, 5000).has_value());
+  const RequestId low_priority = next_request_id++, high_priority = next_request_id++;
+  EXPECT_FALSE(harness.SubmitRequest(low_priority, 2, 10, 5000).has_value());
+  EXPECT_FALSE(harness.SubmitRequest(high_priority, 0, 10, 5000).has_value());
   harness.CompleteAttempt(first, 0, 1, AttemptOutcome::kSuccess, 10);
   std::vector<RequestId> order;
   for (const StartAttempt& d : harness.attempts) order.push_back(d.request);
-  const auto rich_at = std::find(order.begin(), order.end(), rich);
-  ASSERT_NE(rich_at, order.end());
-  EXPECT_EQ(std::find(order.begin(), rich_at, poor), rich_at);
+  const auto high_priority_at = std::find(order.begin(), order.end(), high_priority);
+  ASSERT_NE(high_priority_at, order.end());
+  EXPECT_EQ(std::find(order.begin(), high_priority_at, low_priority), high_priority_at);
 }
 
 TEST(AdmissionOrder, TenantOverItsQuotaGoesLast) {
@@ -39,19 +40,19 @@
   s.proxy_count = 2;
   BalancerHarness harness(s);
   harness.SetBackends(1);
-  auto ask = [&](RequestId id, int tenant) {
-    RequestReceived submit;
-    submit.request = id;
-    submit.tenant = tenant;
-    submit.deadline = At(harness.now + 900);
-    harness.Handle(submit);
+  auto submit_request = [&](RequestId id, int tenant) {
+    RequestReceived request;
+    request.request = id;
+    request.tenant = tenant;
+    request.deadline = At(harness.now + 900);
+    harness.Handle(request);
     return harness.AttemptBackend(id).has_value();
   };
-  EXPECT_TRUE(ask(9001, 0));  // uses up its quota of one request a second
-  EXPECT_TRUE(ask(9002, 0));
-  EXPECT_FALSE(ask(9003, 1));
+  EXPECT_TRUE(submit_request(9001, 0));  // uses up its quota of one request a second
+  EXPECT_TRUE(submit_request(9002, 0));
+  EXPECT_FALSE(submit_request(9003, 1));
   harness.now += 1;
-  EXPECT_FALSE(ask(9004, 0)) << "newer, but over its quota";
+  EXPECT_FALSE(submit_request(9004, 0)) << "a request over the quota of its tenant is queued as well";
   harness.CompleteAttempt(9001, 0, 1, AttemptOutcome::kSuccess);
   EXPECT_TRUE(harness.AttemptBackend(9003).has_value());
   EXPECT_FALSE(harness.AttemptBackend(9004).has_value());
--- a/tests/decision/admission_rules_test.cpp
+++ b/tests/decision/admission_rules_test.cpp
@@ -24,7 +24,7 @@
   return limit.in_flight();
 }
 
-TEST(ConcurrencyLimit, IsTheRateTimesThreeUncongestedLatenciesAndOneDeviation) {
+TEST(ConcurrencyLimit, IsTheRateTimesThreeUncongestedLatenciesPlusOneDeviation) {
   ConcurrencyLimit::Inputs inputs;
   inputs.answers_per_ms = 1;
   inputs.mean_objective_ms = 1000;
@@ -37,10 +37,10 @@
   inputs.answers_per_ms = 1;
   inputs.mean_objective_ms = 100;
   inputs.uncongested_latency_ms = 100;
-  EXPECT_EQ(LimitOf(inputs), 39) << "33 and its root, rounded up";
+  EXPECT_EQ(LimitOf(inputs), 39) << "33 plus its square root, rounded up";
 }
 
-TEST(ConcurrencyLimit, PermitsThreeAttemptsABackendOverAllProxies) {
+TEST(ConcurrencyLimit, PermitsThreeAttemptsPerBackendOverAllProxies) {
   ConcurrencyLimit::Inputs inputs;
   inputs.ready_capacity = 10;
   inputs.proxy_count = 2;
@@ -56,7 +56,7 @@
   EXPECT_TRUE(limit.HasCapacity(inputs));
   limit.OnAttemptStarted();
   limit.OnAttemptEnded(/*overdue=*/true);
-  EXPECT_FALSE(limit.HasCapacity(inputs)) << "an attempt that ends overdue frees nothing that was not free";
+  EXPECT_FALSE(limit.HasCapacity(inputs)) << "the end of an overdue attempt frees no capacity";
 }
 
 TEST(ConcurrencyLimit, FallsToOneAttemptUnderCongestionAndRecovers) {
@@ -73,7 +73,7 @@
   ServiceTime service_time;
   EXPECT_FALSE(service_time.known());
   for (int i = 0; i < 3; ++i) service_time.OnSuccess(10, 5, 20);
-  EXPECT_DOUBLE_EQ(service_time.ReliableOfWork(10), 0) << "too few answers to reject by";
+  EXPECT_DOUBLE_EQ(service_time.ReliableOfWork(10), 0) << "three answers are too few to reject requests for";
   for (int i = 0; i < 7; ++i) service_time.OnSuccess(10, 5, 20);
   EXPECT_NEAR(service_time.ReliableOfWork(10), 20, 1e-9);
   service_time.OnSuccess(10, 5, 30);
@@ -88,7 +88,7 @@
   EXPECT_FALSE(service_time.known());
 }
 
-TEST(ServiceTime, WeakensWithEachRequestFoundTooLarge) {
+TEST(ServiceTime, FallsWithEachRequestFoundTooLarge) {
   ServiceTime service_time;
   service_time.OnSuccess(10, 5, 20);
   service_time.OnFoundTooLarge();
@@ -97,11 +97,12 @@
 
 class LoadShedderTest : public ::testing::Test {
  protected:
-  // The fraction shed of many requests with an estimate.
+  // Returns the fraction that is shed of 1000 requests with a work estimate.
   double Shed(bool over_quota) {
     int shed = 0;
     for (std::uint64_t fingerprint = 1; fingerprint <= 1000; ++fingerprint)
-      shed += shedder_.ShouldShed({fingerprint, true, over_quota}, /*alone=*/false, random_);
+      shed +=
+          shedder_.ShouldShed({fingerprint, true, over_quota}, /*concurrency_limit_suffices=*/false, random_);
     return shed / 1000.0;
   }
   LoadShedder shedder_;
@@ -114,7 +115,7 @@
   EXPECT_DOUBLE_EQ(Shed(false), 0);
 }
 
-TEST_F(LoadShedderTest, ShedsBySquareOfThePressureAndMoreOverQuota) {
+TEST_F(LoadShedderTest, ShedsByTheSquareOfThePressureAndMoreOverQuota) {
   for (int i = 0; i < 500; ++i) shedder_.OnLatency(80, Duration(100));
   EXPECT_NEAR(shedder_.pressure(), 2, 1e-6);
   EXPECT_NEAR(Shed(false), 1 - 1 / 4.0, 0.05);
@@ -130,10 +131,10 @@
               other.ShouldShed({fingerprint, true, false}, false, other_random));
 }
 
-TEST_F(LoadShedderTest, ShedsNothingAlone) {
+TEST_F(LoadShedderTest, ShedsNothingWhereTheConcurrencyLimitSuffices) {
   for (int i = 0; i < 500; ++i) shedder_.OnNoCapacity();
   EXPECT_GT(shedder_.pressure(), 2);
-  EXPECT_FALSE(shedder_.ShouldShed({1, false, true}, /*alone=*/true, random_));
+  EXPECT_FALSE(shedder_.ShouldShed({1, false, true}, /*concurrency_limit_suffices=*/true, random_));
   shedder_.Decay(Duration(8000));
   EXPECT_TRUE(shedder_.IsRelaxed());
 }
@@ -154,7 +155,7 @@
   }
 }
 
-TEST(TenantQuotas, StoresTwoSecondsOfAProxysPart) {
+TEST(TenantQuotas, StoresTwoSecondsOfThePartOfAProxy) {
   Settings settings;
   settings.proxy_count = 2;
   settings.tenants = {{10}, {0}};
@@ -162,19 +163,20 @@
   quotas.Refill(60000);
   int taken = 0;
   while (quotas.TakeToken(0)) ++taken;
-  EXPECT_EQ(taken, 10) << "5 a second";
+  EXPECT_EQ(taken, 10) << "this proxy's part of the quota is 5 requests per second";
   EXPECT_TRUE(quotas.TakeToken(1));
   EXPECT_FALSE(quotas.TakeToken(1));
-  EXPECT_TRUE(quotas.TakeToken(7)) << "no such tenant, no quota";
+  EXPECT_TRUE(quotas.TakeToken(7)) << "a tenant that isn't in the settings has no quota";
   quotas.Refill(200);
   EXPECT_TRUE(quotas.TakeToken(0));
 }
 
-TEST(ClientTimeouts, ReportsWhatALastAttemptHasUsed) {
+TEST(ClientTimeouts, ReturnsTheTimeAClientHasWaitedForAtItsLastAttempt) {
   ClientTimeouts timeouts;
   for (int i = 0; i < 9; ++i)
     EXPECT_EQ(timeouts.ElapsedOnArrival(Duration(500), Duration(1000), false), Duration(0));
-  EXPECT_EQ(timeouts.ElapsedOnArrival(Duration(500), Duration(1000), false), Duration(0)) << "usual";
+  EXPECT_EQ(timeouts.ElapsedOnArrival(Duration(500), Duration(1000), false), Duration(0))
+      << "counted ten times, 500 ms is a usual timeout";
   EXPECT_EQ(timeouts.ElapsedOnArrival(Duration(300), Duration(1000), false), Duration(700));
   EXPECT_EQ(timeouts.ElapsedOnArrival(Duration(505), Duration(1000), true), Duration(495 * 0.5));
 }
@@ -202,7 +204,7 @@
   EXPECT_EQ(queue.size(), 2u);
 }
 
-TEST(RequestQueue, ReturnsDeadlinesThatHaveComeEarliestFirst) {
+TEST(RequestQueue, ReturnsWakeUpsThatAreDueEarliestFirst) {
   RequestQueue queue;
   EXPECT_EQ(queue.next_wake_up(), kNever);
   queue.AddWakeUp(At(20), 2);
--- a/tests/decision/backend_picker_test.cpp
+++ b/tests/decision/backend_picker_test.cpp
@@ -157,7 +157,7 @@
   List(2, 2);
   for (int i = 0; i < 20; ++i) zone_locality_.OnOutcome(/*own_zone=*/true, 0);
   endpoints_.Find(0)->outstanding_work_ms = 9;
-  EXPECT_EQ(Picked(), 0u) << "10 requests of 10 ms, a tenth of it";
+  EXPECT_EQ(Picked(), 0u) << "the crossing counts as a tenth of 10 requests of 10 ms, which is 10 ms";
   endpoints_.Find(0)->outstanding_work_ms = 11;
   EXPECT_EQ(Picked(), 1u);
 }
--- a/tests/decision/backend_selection_scenarios_test.cpp
+++ b/tests/decision/backend_selection_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which backend a request is sent to, among those that may serve it.
+// Which of the backends that may serve a request it is sent to.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -18,8 +18,8 @@
   const auto a = harness.SubmitRequest(1001, 0, 50), b = harness.SubmitRequest(1002, 0, 20),
              c = harness.SubmitRequest(1003, 0, 40);
   EXPECT_EQ(std::set<BackendId>({*a, *b, *c}).size(), 3u);
-  EXPECT_EQ(harness.SubmitRequest(1004, 0, 25), b) << "20 in flight is the least";
-  EXPECT_EQ(harness.SubmitRequest(1005, 0, 5), c) << "now 40 is";
+  EXPECT_EQ(harness.SubmitRequest(1004, 0, 25), b) << "20 ms of work in flight is the least";
+  EXPECT_EQ(harness.SubmitRequest(1005, 0, 5), c) << "40 ms is the least after another 25 ms at the second";
 }
 
 TEST(BackendSelection, CountsRequestsWhereWorkIsNotEstimated) {
@@ -38,7 +38,8 @@
   harness.UpdateEndpoints({MakeEndpoint(1, 1), MakeEndpoint(2, 0), MakeEndpoint(3, 1)});
   for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndComplete(harness), BackendId{2});
   harness.SubmitRequest(next_request_id++);
-  EXPECT_NE(harness.SubmitRequest(next_request_id++), BackendId{2}) << "a request in flight outweighs it";
+  EXPECT_NE(harness.SubmitRequest(next_request_id++), BackendId{2})
+      << "a request in flight outweighs the cost of crossing zones";
 }
 
 TEST(BackendSelection, BreaksTiesAtRandom) {
@@ -61,7 +62,7 @@
     harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, *backend == 1 ? 60 : 20);
   }
   for (int i = 0; i < 10; ++i) EXPECT_EQ(SubmitAndComplete(harness), BackendId{2});
-  // And with that one busy it still serves.
+  // The slower backend is still used while the other one is busy.
   const RequestId busy = next_request_id++;
   EXPECT_EQ(harness.SubmitRequest(busy, 0, 100, 900), BackendId{2});
   EXPECT_EQ(harness.SubmitRequest(next_request_id++, 0, 10, 900), BackendId{1});
@@ -77,30 +78,31 @@
   EXPECT_EQ(harness.SubmitRequest(next_request_id++), BackendId{1});
 }
 
-// Responses of the own zone are late, but no failures in the sense of gRFC A50.
+// Late responses of the own zone are not failures in the sense of gRFC A50, so that outlier detection doesn't
+// eject its backends; requests would stay in an overloaded zone.
 TEST(BackendSelection, LeavesOwnZoneOnlyWhenItIsOverloaded) {
-  for (const bool full : {true, false}) {
+  for (const bool overloaded : {true, false}) {
     Settings settings = DefaultSettings();
     settings.cross_zone_cost = 0.06;
     BalancerHarness harness(settings);
     std::vector<Endpoint> list;
     for (BackendId id = 1; id <= 40; ++id) list.push_back(MakeEndpoint(id, id > 20));
     harness.UpdateEndpoints(list);
-    int away = 0;
+    int to_other_zone = 0;
     for (int i = 0; i < 120; ++i) {
       harness.AdvanceTime(200);
       const RequestId id = next_request_id++;
       const auto s = harness.SubmitRequest(id, 2, 10);
-      if (!s) continue;  // rejected as too slow
-      if (i >= 40) away += *s > 20;
-      const bool late = full && *s <= 20;  // succeeds, but long after the objective
+      if (!s) continue;  // the request was rejected because its service time is too long
+      if (i >= 40) to_other_zone += *s > 20;
+      const bool late = overloaded && *s <= 20;  // succeeds, but long after the objective
       if (late) harness.now += 400;
       harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, late ? 400 : 20);
     }
-    if (full) {
-      EXPECT_GT(away, 30) << "of 80";
+    if (overloaded) {
+      EXPECT_GT(to_other_zone, 30) << "of 80";
     } else {
-      EXPECT_EQ(away, 0) << "a crossing costs, and nothing is gained";
+      EXPECT_EQ(to_other_zone, 0) << "crossing zones has a cost and gains nothing";
     }
   }
 }
--- a/tests/decision/client_retry_detector_scenarios_test.cpp
+++ b/tests/decision/client_retry_detector_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Client retries: how they are recognised.
+// How client retries are recognised. Guards against a retry counted as a new request, and a new request taken
+// for the retry of another.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -15,13 +16,13 @@
 using copperpoint::testing::At;
 
 RequestReceived MakeRequest(int request_class, int tenant, std::uint64_t key, double work) {
-  RequestReceived submit;
-  submit.request_class = request_class;
-  submit.tenant = tenant;
-  submit.key = key;
-  submit.has_work_estimate = work > 0;
-  submit.estimated_work_ms = work;
-  return submit;
+  RequestReceived request;
+  request.request_class = request_class;
+  request.tenant = tenant;
+  request.key = key;
+  request.has_work_estimate = work > 0;
+  request.estimated_work_ms = work;
+  return request;
 }
 
 TEST(Fingerprint, IsTheSameForRetriesOfOneRequest) {
@@ -33,7 +34,7 @@
   for (const RequestReceived& other : {MakeRequest(0, 2, 3, 4.5), MakeRequest(1, 0, 3, 4.5),
                                        MakeRequest(1, 2, 0, 4.5), MakeRequest(1, 2, 3, 4.25)})
     EXPECT_NE(FingerprintOf(one), FingerprintOf(other));
-  EXPECT_EQ(FingerprintOf(MakeRequest(1, 2, 0, 0)), 0u) << "class and tenant alone identify nobody";
+  EXPECT_EQ(FingerprintOf(MakeRequest(1, 2, 0, 0)), 0u) << "class and tenant alone identify no request";
   EXPECT_NE(FingerprintOf(MakeRequest(1, 2, 3, 0)), 0u);
 }
 
@@ -63,7 +64,7 @@
   EXPECT_EQ(detector.OnReceived(0, At(0)).client_attempts, 1);
 }
 
-// The same estimate or key for many clients: the next request may be of any of them.
+// If many clients use the same estimate or key, the next request with it may be of any of them.
 TEST(ClientRetryDetector, SharedFingerprintIdentifiesNoRequest) {
   ClientRetryDetector detector;
   const LogicalRequest one = detector.OnReceived(7, At(0));
@@ -75,7 +76,8 @@
   detector.OnReceived(8, At(0));
   detector.OnServed(8, At(500));
   detector.OnUnserved(8, detector.OnReceived(8, At(100)), At(1100));
-  EXPECT_EQ(detector.OnReceived(8, At(200)).client_attempts, 1) << "one like it was served a moment ago";
+  EXPECT_EQ(detector.OnReceived(8, At(200)).client_attempts, 1)
+      << "a request with the same fingerprint was served shortly before";
 }
 
 TEST(ClientRetryDetector, MemoryIsBoundedAndReleased) {
--- a/tests/decision/concurrency_limit_scenarios_test.cpp
+++ b/tests/decision/concurrency_limit_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How many attempts a proxy has in flight.
+// How many attempts a proxy has in flight. Guards against queues at the backends, and against requests that
+// are held back although there is capacity.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +14,7 @@
 namespace copperpoint::testing {
 namespace {
 
-// Together, many proxies with a fixed minimum would overload the backends.
+// If each of many proxies had a fixed minimum, they would together overload the backends.
 TEST(ConcurrencyLimit, MinimumFollowsOverloadOfBackends) {
   std::size_t in_flight[2];
   for (const bool overloaded : {false, true}) {
@@ -35,7 +36,7 @@
   EXPECT_LE(in_flight[true], 2u);
 }
 
-// Backends that warm up have little capacity, and count for as little.
+// A backend that is warming up has little capacity and must raise the minimum only by that fraction.
 TEST(ConcurrencyLimit, WarmingBackendsRaiseMinimumByTheirShareOnly) {
   Settings s = DefaultSettings();
   s.proxy_count = 4;
@@ -45,17 +46,19 @@
     list.push_back(MakeEndpoint(id, 0, 0, EndpointState::kReady, harness.now));
   harness.UpdateEndpoints(list);
   for (int i = 0; i < 50; ++i) harness.SubmitRequest(next_request_id++, 0, 10, 900);
-  EXPECT_EQ(harness.attempts.size(), 3u) << "2 + 8 x 0.25 backends, 3 each, of 4 proxies";
+  EXPECT_EQ(harness.attempts.size(), 3u)
+      << "3 attempts at each of 2 + 8 x 0.25 backends, split over 4 proxies";
 }
 
-// It knows no rate yet, and a flood would leave queues that last far longer.
+// A new proxy knows no rate of answers yet. Too many attempts at its start would leave queues at the backends
+// that take far longer to drain.
 TEST(ConcurrencyLimit, NewProxyStartsWithSmallLimit) {
   Settings s = DefaultSettings();
   s.proxy_count = 4;
   BalancerHarness harness(s);
   harness.SetBackends(4);
   for (int i = 0; i < 50; ++i) harness.SubmitRequest(next_request_id++, 0, 10, 900);
-  EXPECT_EQ(harness.attempts.size(), 3u) << "3 a backend, of 4 proxies";
+  EXPECT_EQ(harness.attempts.size(), 3u) << "3 attempts at each of 4 backends, split over 4 proxies";
 }
 
 TEST(ConcurrencyLimit, AdmitsLargeRequestOnIdleProxy) {
@@ -68,7 +71,8 @@
   EXPECT_TRUE(harness.SubmitRequest(next_request_id++, 2, 150, 5000).has_value());
 }
 
-// Otherwise client retries would sustain the overload.
+// If a slow fleet were sent more than it answers within the objective, client retries would sustain the
+// overload.
 TEST(ConcurrencyLimit, SlowFleetGetsOnlyWhatItServesInTime) {
   Settings s = DefaultSettings();
   s.proxy_count = 2;
@@ -80,7 +84,7 @@
     harness.AdvanceTime(5);
     const RequestId id = next_request_id++;
     if (const auto to = harness.SubmitRequest(id, 2, 10, 900)) out.emplace_back(harness.now, id, *to);
-    // The fleet completes one in 20 ms, the oldest first.
+    // The fleet completes one attempt every 20 ms, the oldest first.
     if (i % 4 == 0 && !out.empty()) {
       const auto [at, oldest, backend] = out.front();
       out.pop_front();
@@ -94,10 +98,10 @@
     }
     if (i > 1000) most = std::max(most, out.size());
   }
-  EXPECT_LE(most, 8u) << "0.05 a ms x a third of the objective of 200 ms, and its deviation, is 5";
+  EXPECT_LE(most, 8u) << "0.05 answers per ms x a third of the objective of 200 ms, plus the deviation, is 5";
 }
 
-// A limit at the mean number in flight would reject what arrives by chance.
+// Random arrivals exceed the mean number in flight by chance; a limit at the mean would reject them.
 TEST(ConcurrencyLimit, AllowsForRandomArrivals) {
   Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
@@ -109,10 +113,11 @@
     harness.AdvanceTime(2);
   }
   for (int i = 0; i < 40; ++i) harness.SubmitRequest(next_request_id++, 2, 10, 5000);
-  EXPECT_EQ(harness.attempts.size() - 4000, 19u) << "0.5 a ms x 3 x 10 ms is 15, and its deviation 3.9";
+  EXPECT_EQ(harness.attempts.size() - 4000, 19u)
+      << "0.5 answers per ms x 3 x 10 ms is 15, and its deviation is 3.9";
 }
 
-// Long queues at backends would lower their throughput.
+// With a long objective, the limit must not grow with it: long queues at backends lower their throughput.
 TEST(ConcurrencyLimit, LongObjectivesDoNotRaiseIt) {
   Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
@@ -126,8 +131,9 @@
   }
   for (int i = 0; i < 40; ++i) harness.SubmitRequest(next_request_id++, 2, 10, 5000);
   const auto out = harness.attempts.size() - 200;
-  EXPECT_EQ(out, 5u)
-      << "0.05 a ms x 3 x 10 ms is less than 3 a backend, of 2 proxies; a third of the objective would be 16";
+  EXPECT_EQ(out, 5u) << "0.05 answers per ms x 3 x 10 ms is less than 3 attempts per backend, split over 2 "
+                        "proxies; a third of "
+                        "the objective would give 16";
 }
 
 }  // namespace
--- a/tests/decision/determinism_scenarios_test.cpp
+++ b/tests/decision/determinism_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The same events have the same actions.
+// Equal settings, seeds and events must lead to equal actions. Guards against decisions that depend on
+// anything else.
 #include <gtest/gtest.h>
 
 #include <cstddef>
--- a/tests/decision/endpoint_poller_test.cpp
+++ b/tests/decision/endpoint_poller_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When discovery is polled: the list has to be up to date 6 s after discovery has a change and can be
-// reached.
+// When discovery is polled. If discovery can be reached, the list has to be up to date 6 s after a change;
+// backoff after failures and the wait for an answer must not delay it for longer.
 #include "decision/endpoint_poller.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
     EXPECT_TRUE(poller.TakeDuePoll(now));
     for (int failure = 0; failure < 20; ++failure) {
       poller.OnUpdate(EndpointUpdateKind::kFailed, now, random);
-      EXPECT_GT(poller.next_poll_at(), now) << "not at once, over and over";
+      EXPECT_GT(poller.next_poll_at(), now) << "a failure must not be followed by a poll at once";
       EXPECT_LE(poller.next_poll_at(), now + Duration(1000));
       now = poller.next_poll_at();
       EXPECT_TRUE(poller.TakeDuePoll(now));
--- a/tests/decision/endpoint_update_scenarios_test.cpp
+++ b/tests/decision/endpoint_update_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Endpoint lists: when they are polled, and what follows a change or an empty one.
+// Endpoint lists: when they are polled, and how requests are handled after a change or an empty list.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -19,7 +19,7 @@
   }
   BalancerHarness harness;
   harness.SetBackends(2);
-  harness.UpdateEndpoints({MakeEndpoint(2)});  // absent from a snapshot: removed
+  harness.UpdateEndpoints({MakeEndpoint(2)});  // removes backend 1, which is absent from the snapshot
   for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndComplete(harness), BackendId{2});
 }
 
@@ -31,13 +31,14 @@
   harness.UpdateEndpoints({MakeEndpoint(1)}, EndpointUpdateKind::kCached);
   EXPECT_EQ(harness.CountActions<PollEndpoints>(), 1);
   harness.AdvanceTime(100);
-  EXPECT_EQ(harness.CountActions<PollEndpoints>(), 0) << "one call at a time";
+  EXPECT_EQ(harness.CountActions<PollEndpoints>(), 0) << "only one poll may be outstanding";
   harness.UpdateEndpoints({}, EndpointUpdateKind::kFailed);
   double waited = 0;
   while (harness.CountActions<PollEndpoints>() == 0 && waited < 20000) harness.AdvanceTime(10), waited += 10;
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(harness.SubmitRequest(next_request_id++), BackendId{1}) << "the old list is used";
+  EXPECT_EQ(harness.SubmitRequest(next_request_id++), BackendId{1})
+      << "the old list is used after a failed poll";
   harness.UpdateEndpoints({MakeEndpoint(1)});
   for (int i = 0; i < 1000; ++i) {
     harness.AdvanceTime(100);
--- a/tests/decision/invalid_events_scenarios_test.cpp
+++ b/tests/decision/invalid_events_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Events that are malformed, and settings at their extremes.
+// Invalid events and extreme settings. Guards against a crash, an endless wait or a decision that rests on
+// NaN.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -13,21 +14,21 @@
 TEST(InvalidEvents, AreIgnoredOrRejected) {
   const double inf = std::numeric_limits<double>::infinity(), nan = std::numeric_limits<double>::quiet_NaN();
   BalancerHarness harness;
-  EXPECT_FALSE(harness.SubmitRequest(1, 0).has_value()) << "no list yet: queued";
+  EXPECT_FALSE(harness.SubmitRequest(1, 0).has_value()) << "before the first list the request is queued";
   harness.UpdateEndpoints({});
   harness.CompleteAttempt(77, 0, 1, AttemptOutcome::kSuccess);
   harness.Handle(ClientDisconnected{77});
   harness.Handle(ResponseStarted{77, 0});
   harness.SetBackends(1);
-  EXPECT_EQ(harness.AttemptBackend(1), BackendId{1}) << "queued ones go once a backend is listed";
+  EXPECT_EQ(harness.AttemptBackend(1), BackendId{1}) << "the queued request is sent once a backend is listed";
   harness.CompleteAttempt(1, 9, 1, AttemptOutcome::kSuccess);
   harness.CompleteAttempt(1, -1, 1, AttemptOutcome::kSuccess);
   harness.SubmitRequest(1, 0);
-  EXPECT_FALSE(harness.AttemptBackend(1).has_value()) << "a duplicate id";
+  EXPECT_FALSE(harness.AttemptBackend(1).has_value()) << "a request with the id of an open one is ignored";
   harness.SubmitRequest(2, 99);
-  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "an unknown class";
+  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "a request of an unknown class is rejected";
   harness.SubmitRequest(3, 0, 10, -50);
-  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "due in the past";
+  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "a request with a deadline in the past is rejected";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
     const RequestId id = 100 + next_request_id++;
     RequestReceived s;
--- a/tests/decision/key_affinity_test.cpp
+++ b/tests/decision/key_affinity_test.cpp
@@ -44,7 +44,7 @@
     moved += all.Contains(5);
   }
   EXPECT_GT(moved, 20);
-  EXPECT_LT(moved, 60) << "4 of 20 keys prefer one backend";
+  EXPECT_LT(moved, 60) << "each backend is preferred by 4 of 20 keys, so that about 40 of 200 move";
 }
 
 }  // namespace
--- a/tests/decision/large_fleet_scenarios_test.cpp
+++ b/tests/decision/large_fleet_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Fleets of which backend selection ranks a sample only.
+// Fleets that are so large that backend selection ranks only a sample of the backends.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,8 +31,7 @@
   }
 }
 
-// Backends without a slow-start budget fill nearly every sample; those with capacity must be found all the
-// same.
+// Backends without slow start budget fill nearly every sample; the backend with capacity must still be found.
 TEST(LargeFleet, FindsWarmBackendAmongWarmingOnes) {
   Settings settings = DefaultSettings();
   settings.slow_start_min_capacity = 0.001;
@@ -80,7 +79,7 @@
   BalancerHarness harness;
   harness.SetBackends(kMany);
   RequestId request = 0;
-  // A thousand requests a second for a while: a new proxy uses few backends.
+  // A new proxy uses few backends, until a thousand requests per second have been measured for a while.
   for (int ms = 0; ms < 8000; ++ms) {
     harness.AdvanceTime(1);
     const auto backend = harness.SubmitRequest(++request);
@@ -94,7 +93,7 @@
     if (backend) ++sent, most = std::max(most, ++out[*backend]);
   }
   EXPECT_GT(sent, kMany / 4);
-  EXPECT_LE(most, 2) << "half as many requests as backends hardly need to share one";
+  EXPECT_LE(most, 2) << "with half as many requests as backends, no backend needs more than two";
 }
 
 TEST(LargeFleet, ReusesSlotsOfRemovedBackends) {
@@ -108,7 +107,7 @@
       harness.AdvanceTime(10);
       const auto backend = harness.SubmitRequest(++request);
       ASSERT_TRUE(backend.has_value());
-      ASSERT_EQ((*backend - 1) / 1000, static_cast<BackendId>(life)) << "only those listed now";
+      ASSERT_EQ((*backend - 1) / 1000, static_cast<BackendId>(life)) << "the backend is no longer listed";
       harness.CompleteAttempt(request, 0, *backend, AttemptOutcome::kSuccess);
     }
     harness.AdvanceTime(700000);
--- a/tests/decision/load_shedding_scenarios_test.cpp
+++ b/tests/decision/load_shedding_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which requests are rejected while backends are overloaded, and when.
+// Which requests are rejected while backends are overloaded, and when. Guards against an overload that lasts
+// because of late answers and client retries, and against rejections without an overload.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -33,7 +34,8 @@
   EXPECT_LT(sent[true], 45);
 }
 
-// With cached keys and machines of several speeds the fastest responses are no measure of the others.
+// With cached keys and machines of several speeds, the latency of the fastest responses says nothing about
+// the others, and must not be taken for the uncongested latency of all.
 TEST(LoadShedding, DoesNotThrottleUnevenResponsesWithinObjective) {
   Settings settings = DefaultSettings();
   settings.proxy_count = 100;
@@ -52,7 +54,7 @@
   EXPECT_EQ(sent, 120);
 }
 
-// It has seen slow responses only, and must not take them for usual ones.
+// A proxy that starts during an overload sees slow responses only, and must not take them for normal.
 TEST(LoadShedding, ProxyStartedUnderOverloadThrottlesByObjective) {
   Settings settings = DefaultSettings();
   settings.proxy_count = 400;
@@ -70,13 +72,13 @@
   EXPECT_LT(sent, 50);
 }
 
-// A client that one proxy rejects retries at another, which cannot know it; rejections at random would let
-// such retries in late.
+// A client that one proxy rejects retries at another proxy, which doesn't know of the rejection. If each
+// proxy rejected requests at random, such retries would be admitted late.
 TEST(LoadShedding, ManyProxiesRejectTheSameRequests) {
-  const auto admitted = [](std::uint64_t seed, int me) {
+  const auto admissions_of = [](std::uint64_t seed, int proxy_index) {
     Settings settings = DefaultSettings();
     settings.proxy_count = 100;
-    settings.proxy_index = me;
+    settings.proxy_index = proxy_index;
     BalancerHarness harness(settings, seed);
     harness.SetBackends(60);
     for (int i = 0; i < 60; ++i) {
@@ -85,58 +87,58 @@
       if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, 250);  // objective: 200 ms
       harness.AdvanceTime(50);
     }
-    std::vector<bool> expectations;
+    std::vector<bool> admissions;
     for (int request_number = 0; request_number < 200; ++request_number) {
       const RequestId id = next_request_id++;
       const auto s = harness.SubmitRequest(id, 2, 10 + 0.01 * request_number, 5000, 1000 + request_number);
-      expectations.push_back(s.has_value());
+      admissions.push_back(s.has_value());
       if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, 130);
       harness.AdvanceTime(50);
     }
-    return expectations;
+    return admissions;
   };
-  const auto one = admitted(1, 1), other = admitted(2, 42);
+  const auto one = admissions_of(1, 1), other = admissions_of(2, 42);
   int rejected = 0, differ = 0;
   for (std::size_t i = 0; i < one.size(); ++i) rejected += !one[i], differ += one[i] != other[i];
   EXPECT_GT(rejected, 60);
   EXPECT_LT(rejected, 190);
-  EXPECT_LT(differ, 30) << "by chance it would be 80 or more";
+  EXPECT_LT(differ, 30) << "with rejections at random, 80 or more decisions would differ";
 }
 
-// Without estimates all requests for a key have the same place in the order of rejections.
+// Without work estimates, all requests for a key have the same fingerprint, and would all be rejected.
 TEST(LoadShedding, RejectsNoKeyForeverWithoutWorkEstimates) {
   Settings settings = DefaultSettings();
   settings.proxy_count = 100;
   BalancerHarness harness(settings);
   harness.SetBackends(60);
-  const auto ask = [&](std::uint64_t key, double duration) {
+  const auto submit_request = [&](std::uint64_t key, double duration) {
     const RequestId id = next_request_id++;
     const auto s = harness.SubmitRequest(id, 2, 0, 5000, key);
     if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, duration);  // objective: 200 ms
     harness.AdvanceTime(50);
     return s.has_value();
   };
-  for (int i = 0; i < 60; ++i) ask(0, 250);
+  for (int i = 0; i < 60; ++i) submit_request(0, 250);
   std::map<std::uint64_t, int> served;
-  for (int i = 0; i < 600; ++i) served[1 + i % 20] += ask(1 + i % 20, 130);
+  for (int i = 0; i < 600; ++i) served[1 + i % 20] += submit_request(1 + i % 20, 130);
   int all = 0;
   for (const auto& [key, n] : served) {
     EXPECT_GT(n, 0) << key;
     all += n;
   }
-  EXPECT_LT(all, 560) << "the fleet was overloaded";
+  EXPECT_LT(all, 560) << "some requests are rejected, since the fleet is overloaded";
 }
 
 TEST(LoadShedding, QueuesBeyondLimitAndRejectsWithinObjective) {
   BalancerHarness harness;
   harness.SetBackends(1);
-  harness.AdvanceTime(10000), harness.AdvanceTime(10000);  // not overloaded, as far as it knows
+  harness.AdvanceTime(10000), harness.AdvanceTime(10000);  // the congestion assumed at the start has decayed
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(harness.SubmitRequest(next_request_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(harness.SubmitRequest(next_request_id++, 2, 10, 5000).has_value());
   double waited = 0;
   while (harness.CountActions<RejectRequest>() == 0 && waited < 2000) harness.AdvanceTime(5), waited += 5;
   EXPECT_EQ(harness.CountActions<RejectRequest>(), 1);
-  EXPECT_LE(waited, 205) << "within the objective, not at the deadline";
+  EXPECT_LE(waited, 205) << "the request must be rejected within the objective, not at the deadline";
 }
 
 TEST(LoadShedding, OneSlowFirstResponseRejectsNothing) {
@@ -147,7 +149,7 @@
   ASSERT_TRUE(s.has_value());
   harness.CompleteAttempt(first, 0, *s, AttemptOutcome::kSuccess, 190);
   EXPECT_TRUE(harness.SubmitRequest(next_request_id++, 2, 20, 350).has_value())
-      << "380 ms at that rate, past the objective and the deadline";
+      << "one answer is too few to expect 380 ms, which is past the objective and the deadline";
 }
 
 TEST(LoadShedding, RejectsLargeRequestOnlyUnderOverload) {
@@ -163,7 +165,7 @@
       harness.AdvanceTime(200);
     }
     EXPECT_EQ(harness.SubmitRequest(next_request_id++, 0, 600, 900).has_value(), !overloaded)
-        << "1.2 s at this pace";
+        << "the request would take 1.2 s, at 2 ms per ms of work";
   }
 }
 
@@ -175,59 +177,59 @@
     harness.AdvanceTime(50);
   }
   harness.SubmitRequest(next_request_id++, 0, 1000, 900);
-  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "about 1500 ms of 900";
+  EXPECT_EQ(harness.CountActions<RejectRequest>(), 1) << "it would take 1500 ms, with a deadline of 900 ms";
   harness.SubmitRequest(next_request_id++, 0, 100, 900);
   EXPECT_EQ(harness.CountActions<StartAttempt>(), 1);
 }
 
-// The last retry of a client has what is left of its deadline; serving it would be late for certain, and make
-// others late.
+// The last retry of a client has the rest of its deadline. If its objective has passed already, its answer is
+// late for certain and takes capacity from others.
 TEST(LoadShedding, CountsElapsedDeadlineAgainstObjective) {
   Settings settings = DefaultSettings();
   settings.max_retry_after = Duration(300);
   BalancerHarness harness(settings);
   harness.SetBackends(3);
-  auto served = [&](double left, bool repeat = false) {
+  auto served = [&](double remaining_ms, bool client_retry = false) {
     RequestReceived s;
     s.request = next_request_id++;
     s.request_class = 2;
     s.has_work_estimate = true;
     s.estimated_work_ms = 10;
-    s.deadline = At(harness.now + left);
-    s.client_retry = repeat;
+    s.deadline = At(harness.now + remaining_ms);
+    s.client_retry = client_retry;
     harness.Handle(s);
     const auto backend = harness.AttemptBackend(s.request);
     if (backend) harness.CompleteAttempt(s.request, 0, *backend, AttemptOutcome::kSuccess);
     return backend.has_value();
   };
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "no usual deadline yet";
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "there is no usual timeout yet";
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(served(600));
-  EXPECT_TRUE(served(900)) << "100 of its 1000 ms have passed, of an objective of 200";
-  EXPECT_FALSE(served(780)) << "220 are";
-  EXPECT_FALSE(served(600, true)) << "about 200: half of what may have passed before a client retry";
+  EXPECT_TRUE(served(900)) << "100 of the 1000 ms have passed, and the objective is 200 ms";
+  EXPECT_FALSE(served(780)) << "220 ms have passed";
+  EXPECT_FALSE(served(600, true)) << "a client retry counts half of the 400 ms that may have passed";
   const auto* rejection = std::get_if<RejectRequest>(&harness.actions.front());
   ASSERT_NE(rejection, nullptr);
-  EXPECT_GE(rejection->retry_after.count(), 270) << "another retry would be later still";
+  EXPECT_GE(rejection->retry_after.count(), 270) << "an earlier retry would also be late";
   EXPECT_LE(rejection->retry_after.count(), 300);
   EXPECT_TRUE(served(600));
 }
 
-// Clients that give up after a fifth of the usual time are not at their last retry.
+// Clients that give up after a fifth of the usual time must not be taken for clients at their last retry.
 TEST(LoadShedding, AdmitsClientsWithSeveralDeadlines) {
   BalancerHarness harness;
   harness.SetBackends(3);
   RequestId id = 0;
-  const auto served = [&](double left) {
-    const auto s = harness.SubmitRequest(++id, 2, 10, left);
+  const auto served = [&](double remaining_ms) {
+    const auto s = harness.SubmitRequest(++id, 2, 10, remaining_ms);
     if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
     return s.has_value();
   };
   for (int i = 0; i < 100; ++i) served(600);
   for (int i = 0; i < 40; ++i) served(120), served(600);
-  int impatient = 0;
-  for (int i = 0; i < 20; ++i) impatient += served(120), served(600);
-  EXPECT_EQ(impatient, 20);
-  EXPECT_FALSE(served(333)) << "not a usual deadline: what is left of one of 1000";
+  int with_short_deadline = 0;
+  for (int i = 0; i < 20; ++i) with_short_deadline += served(120), served(600);
+  EXPECT_EQ(with_short_deadline, 20);
+  EXPECT_FALSE(served(333)) << "333 ms is no usual timeout but the rest of a deadline of 1000 ms";
 }
 
 }  // namespace
--- a/tests/decision/outlier_detection_scenarios_test.cpp
+++ b/tests/decision/outlier_detection_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When a backend is ejected for its failures, and when it returns.
+// When a backend is ejected for its failures, and when it returns. Guards against a failing backend that
+// stays in use, and against ejections by chance or under a general overload.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,7 +11,7 @@
 namespace copperpoint::testing {
 namespace {
 
-// Traffic that brings each backend to the minimum volume within the interval.
+// Sends traffic that brings each backend to the minimum volume within the interval.
 void ReachMinimumVolume(BalancerHarness& harness) {
   for (int i = 0; i < 100; ++i)
     harness.AdvanceTime(5), CompleteOneRequest(harness, AttemptOutcome::kSuccess, {});
@@ -28,8 +29,8 @@
 TEST(OutlierDetection, MinimumVolumeCountsOnlyTheBackendsOwnAttempts) {
   BalancerHarness harness;
   harness.SetBackends(3);
-  CompleteRequestsOnEach(
-      harness, 3, 3, AttemptOutcome::kCancelled);  // the others qualify, backend 1 has no attempt that counts
+  CompleteRequestsOnEach(harness, 3, 3,
+                         AttemptOutcome::kCancelled);  // only the other backends have attempts that count
   CompleteRequestsOnEach(harness, 2, 2);
   EXPECT_TRUE(IsInService(harness, 1));
   CompleteRequestsOnEach(harness, 1, 1);
@@ -41,15 +42,15 @@
   settings.max_attempts = 1;
   BalancerHarness harness(settings);
   harness.SetBackends(6);
-  std::set<BackendId> late_on;
+  std::set<BackendId> backends_in_use;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_request_id++;
     const auto s = harness.SubmitRequest(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    if (i >= 80) late_on.insert(*s);
+    if (i >= 80) backends_in_use.insert(*s);
     harness.CompleteAttempt(id, 0, *s, *s <= 4 ? AttemptOutcome::kConnectionReset : AttemptOutcome::kSuccess);
   }
-  EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are ejected";
+  EXPECT_EQ(backends_in_use.size(), 3u) << "four of six backends always fail, and three of them are ejected";
 }
 
 TEST(OutlierDetection, RestoredStateKeepsEjectionForItsRemainingTime) {
@@ -58,19 +59,19 @@
   CompleteRequestsOnEach(before, 3, 3);
   ASSERT_FALSE(IsInService(before, 1));
   before.AdvanceTime(500);
-  const auto learnt = before.ExportState();
-  ASSERT_EQ(learnt.size(), 1u);
-  EXPECT_EQ(learnt[0].ejection_multiplier, 1);
+  const auto exported = before.ExportState();
+  ASSERT_EQ(exported.size(), 1u);
+  EXPECT_EQ(exported[0].ejection_multiplier, 1);
 
   BalancerHarness next;
   next.now = before.now;
   next.SetBackends(3);
   EXPECT_TRUE(IsInService(next, 1));
-  StateRestored inherited{learnt};
-  inherited.backends.push_back({99, 3, Duration(1000), 0});  // a backend that is not listed here
-  next.Handle(inherited);
+  StateRestored restored{exported};
+  restored.backends.push_back({99, 3, Duration(1000), 0});  // a backend that isn't in the endpoint list
+  next.Handle(restored);
   EXPECT_FALSE(IsInService(next, 1));
-  next.AdvanceTime(learnt[0].ejection_remaining.count() - 1);
+  next.AdvanceTime(exported[0].ejection_remaining.count() - 1);
   EXPECT_FALSE(IsInService(next, 1));
   next.AdvanceTime(2);
   EXPECT_TRUE(IsInService(next, 1));
@@ -79,7 +80,7 @@
 TEST(OutlierDetection, FailureRateAtThresholdDoesNotEject) {
   BalancerHarness at;
   at.SetBackends(3);
-  // 2 of 5 failing is exactly 0.4; successes first so that no shorter prefix is over the threshold.
+  // 2 failures of 5 are exactly 0.4. The successes come first, so that the fraction was never higher before.
   for (int i = 0; i < 5; ++i) CompleteRequestsOnEach(at, 1, i >= 3 ? 1 : 0);
   EXPECT_TRUE(IsInService(at, 1));
   BalancerHarness over;
@@ -92,7 +93,7 @@
   BalancerHarness harness;
   harness.SetBackends(1);
   for (int i = 0; i < 10; ++i) CompleteOneRequest(harness, AttemptOutcome::kServerError, {1});
-  EXPECT_TRUE(IsInService(harness, 1)) << "there is nothing to compare a lone backend with";
+  EXPECT_TRUE(IsInService(harness, 1)) << "a single backend can't be compared with others";
 }
 
 TEST(OutlierDetection, IgnoresCancelledAndUnsentAttempts) {
@@ -128,7 +129,7 @@
   harness.AdvanceTime(1999);
   EXPECT_FALSE(IsInService(harness, 1));
   harness.AdvanceTime(1);
-  EXPECT_TRUE(IsInService(harness, 1)) << "base ejection time x 1";
+  EXPECT_TRUE(IsInService(harness, 1)) << "a first ejection lasts for the base ejection time";
 }
 
 TEST(OutlierDetection, EjectionAfterReturnLastsNoLonger) {
@@ -136,7 +137,8 @@
   harness.SetBackends(3);
   ReachMinimumVolume(harness);
   harness.AdvanceTime(1500);
-  // 1 at ejection, 0 at return, 1 at the next: the same time again, as in gRFC A50, step 6b.
+  // The multiplier is 1 at the ejection, 0 at the return and 1 at the next ejection, so that each ejection
+  // lasts equally long, as in gRFC A50, step 6b.
   for (int round = 0; round < 3; ++round) {
     CompleteRequestsOnEach(harness, 3, 3);
     EXPECT_FALSE(IsInService(harness, 1));
@@ -153,16 +155,18 @@
   harness.AdvanceTime(1500);
   harness.AdvanceTime(1000);  // half way through an interval
   CompleteRequestsOnEach(harness, 3, 3);
-  harness.AdvanceTime(1500);  // it ends while the backend is ejected
+  harness.AdvanceTime(1500);  // the interval ends while the backend is ejected
   harness.AdvanceTime(500);
   EXPECT_TRUE(IsInService(harness, 1));
   CompleteRequestsOnEach(harness, 3, 3);
   EXPECT_FALSE(IsInService(harness, 1));
   harness.AdvanceTime(2000);
-  EXPECT_TRUE(IsInService(harness, 1)) << "twice as long had the multiplier not fallen";
+  EXPECT_TRUE(IsInService(harness, 1))
+      << "with a multiplier that had not fallen, it would last twice as long";
 }
 
-// In a large fleet three attempts to one backend within two seconds never come.
+// In a large fleet, no backend gets three attempts within two seconds, so that the usual minimum volume would
+// never be reached.
 TEST(OutlierDetection, EjectsOnFewAttemptsWhenChanceIsUnlikely) {
   for (const bool failing_elsewhere : {false, true}) {
     BalancerHarness harness;
@@ -178,9 +182,9 @@
       if (*s == 1 && ++sent > 2) ++after_two;
     }
     if (!failing_elsewhere) {
-      EXPECT_LE(sent, 7) << "one or two failures eject; an eighth of 120 would be 15";
+      EXPECT_LE(sent, 7) << "one or two failures eject the backend; an eighth of 120 attempts would be 15";
     } else {
-      EXPECT_GT(after_two, 2) << "a third fails everywhere: two failures are weak evidence";
+      EXPECT_GT(after_two, 2) << "if a third fails everywhere, two failures may be chance";
     }
   }
 }
@@ -198,7 +202,7 @@
   for (BackendId s = 1; s <= 4; ++s) {
     if (IsInService(harness, s)) in.insert(s);
   }
-  EXPECT_GE(in.size(), 2u) << "never more than half";
+  EXPECT_GE(in.size(), 2u) << "at most half of the backends may be ejected";
 }
 
 TEST(OutlierDetection, EjectsNoneWhenAllFailAlike) {
@@ -210,7 +214,7 @@
   EXPECT_EQ(in, 3);
 }
 
-// Twice the failure rate of the others would be above 1 here.
+// A threshold of twice the failure rate of the other backends would be 1 here, and could not be exceeded.
 TEST(OutlierDetection, EjectsBackendThatAlwaysFailsWhenHalfOfTheOthersFail) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 1;
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -26,7 +26,7 @@
   Succeed(good_, 5);
   EXPECT_FALSE(Fail(bad_));
   EXPECT_FALSE(Fail(bad_));
-  EXPECT_TRUE(Fail(bad_)) << "the third reaches the request volume";
+  EXPECT_TRUE(Fail(bad_)) << "the third attempt reaches the request volume";
   EXPECT_TRUE(bad_.ejected);
   EXPECT_EQ(bad_.ejected_until, kNow + OutlierDetector::kBaseEjectionTime);
   EXPECT_EQ(detector_.next_return_at(), bad_.ejected_until);
@@ -44,7 +44,7 @@
   EXPECT_FALSE(good_.ejected);
   EXPECT_FALSE(Fail(bad_));
   Succeed(bad_, 2);
-  EXPECT_FALSE(Fail(bad_)) << "2 of 4, where half fails elsewhere";
+  EXPECT_FALSE(Fail(bad_)) << "2 of 4 attempts failed, as half of the attempts at the other backend did";
 }
 
 TEST_F(OutlierDetectorTest, DoesNotEjectMoreThanHalfOfTheBackends) {
@@ -54,7 +54,7 @@
   for (BackendHealth& health : failing) {
     for (int i = 0; i < 5; ++i) ejected += Fail(health);
   }
-  EXPECT_EQ(ejected, 2) << "of 4";
+  EXPECT_EQ(ejected, 2) << "half of the 4 backends";
 }
 
 TEST_F(OutlierDetectorTest, ReturnsBackendWhenItsTimeIsOverAndEjectsLongerTheNextTime) {
@@ -62,7 +62,7 @@
   while (!Fail(bad_)) continue;
   EXPECT_FALSE(detector_.ReturnIfDue(bad_, true, bad_.ejected_until - Duration(1)));
   OutlierDetector::EndInterval(bad_);
-  EXPECT_EQ(bad_.ejection_multiplier, 1) << "kept while ejected";
+  EXPECT_EQ(bad_.ejection_multiplier, 1) << "the multiplier doesn't fall while the backend is ejected";
   EXPECT_TRUE(detector_.ReturnIfDue(bad_, true, bad_.ejected_until));
   EXPECT_EQ(bad_.ejection_multiplier, 0);
   bad_.ejection_multiplier = 2;
@@ -85,7 +85,7 @@
   ASSERT_TRUE(detector_.low_traffic());
   Succeed(good_, 5);
   EXPECT_FALSE(Fail(bad_));
-  EXPECT_TRUE(Fail(bad_)) << "two failures where nearly nothing fails elsewhere are no chance";
+  EXPECT_TRUE(Fail(bad_)) << "two failures are unlikely to be chance if hardly anything fails elsewhere";
   detector_.FitInterval(1000, 4);
   EXPECT_FALSE(detector_.low_traffic());
 }
--- a/tests/decision/overload_monitor_scenarios_test.cpp
+++ b/tests/decision/overload_monitor_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Surge, retry storm and recovery, as derived from the counts of requests.
+// How surge, retry storm and recovery are derived from the counts of requests.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -13,10 +13,11 @@
 
 using copperpoint::testing::At;
 
-// An overload state, ten counts a second, and its changes.
+// An OverloadMonitor that is updated ten times per second, and its changes of state.
 class OverloadMonitorAt10Hz {
  public:
-  void For(double seconds, double arrived, double client_retries, double rejected) {
+  // Updates the monitor for `seconds`; the other parameters are requests per second.
+  void RunFor(double seconds, double arrived, double client_retries, double rejected) {
     for (int i = 0; i < static_cast<int>(seconds * 10 + 0.5); ++i) {
       now_ += 100;
       const OverloadCounts counts{arrived / 10, client_retries / 10, rejected / 10,
@@ -33,59 +34,59 @@
 
 using enum OverloadState;
 
-TEST(OverloadMonitor, SurgeOfNewRequestsIsNoStorm) {
-  OverloadMonitorAt10Hz s;
-  s.For(10, 200, 0, 0);
-  s.For(10, 400, 20, 150);
-  s.For(10, 200, 0, 0);
-  EXPECT_EQ(s.changes, (std::vector{kSurge, kCalm}));
+TEST(OverloadMonitor, SurgeOfNewRequestsIsNotAStorm) {
+  OverloadMonitorAt10Hz monitor;
+  monitor.RunFor(10, 200, 0, 0);
+  monitor.RunFor(10, 400, 20, 150);
+  monitor.RunFor(10, 200, 0, 0);
+  EXPECT_EQ(monitor.changes, (std::vector{kSurge, kCalm}));
 }
 
 TEST(OverloadMonitor, StormIsFollowedByRecoveryBeforeCalm) {
-  OverloadMonitorAt10Hz s;
-  s.For(10, 200, 0, 0);
-  s.For(10, 600, 300, 400);
-  EXPECT_EQ(s.state.state(), kStorm);
-  s.For(5, 200, 0, 0);
-  EXPECT_EQ(s.state.state(), kRecovery);
-  s.For(10, 200, 0, 0);
-  EXPECT_EQ(s.changes.back(), kCalm);
-  EXPECT_EQ(s.changes[s.changes.size() - 2], kRecovery);
+  OverloadMonitorAt10Hz monitor;
+  monitor.RunFor(10, 200, 0, 0);
+  monitor.RunFor(10, 600, 300, 400);
+  EXPECT_EQ(monitor.state.state(), kStorm);
+  monitor.RunFor(5, 200, 0, 0);
+  EXPECT_EQ(monitor.state.state(), kRecovery);
+  monitor.RunFor(10, 200, 0, 0);
+  EXPECT_EQ(monitor.changes.back(), kCalm);
+  EXPECT_EQ(monitor.changes[monitor.changes.size() - 2], kRecovery);
 }
 
 TEST(OverloadMonitor, NoResponsesAtAllIsAStorm) {
-  OverloadMonitorAt10Hz s;
-  s.For(5, 200, 0, 200);
-  EXPECT_EQ(s.state.state(), kStorm);
+  OverloadMonitorAt10Hz monitor;
+  monitor.RunFor(5, 200, 0, 200);
+  EXPECT_EQ(monitor.state.state(), kStorm);
 }
 
 TEST(OverloadMonitor, LowOrBriefRetryRatesChangeNothing) {
-  OverloadMonitorAt10Hz s;
-  s.For(30, 200, 9, 9);
+  OverloadMonitorAt10Hz monitor;
+  monitor.RunFor(30, 200, 9, 9);
   for (int i = 0; i < 10; ++i) {
-    s.For(0.1, 200, 60, 60);
-    s.For(3, 200, 0, 0);
+    monitor.RunFor(0.1, 200, 60, 60);
+    monitor.RunFor(3, 200, 0, 0);
   }
-  EXPECT_TRUE(s.changes.empty());
+  EXPECT_TRUE(monitor.changes.empty());
 }
 
-TEST(OverloadMonitor, DoesNotFlapWhileItsSignsComeAndGo) {
-  OverloadMonitorAt10Hz s;
-  s.For(5, 400, 0, 200);
+TEST(OverloadMonitor, DoesNotFlapWhileOverloadComesAndGoes) {
+  OverloadMonitorAt10Hz monitor;
+  monitor.RunFor(5, 400, 0, 200);
   for (int i = 0; i < 20; ++i) {
-    s.For(1, 400, 0, 200);
-    s.For(1, 200, 0, 0);
+    monitor.RunFor(1, 400, 0, 200);
+    monitor.RunFor(1, 200, 0, 0);
   }
-  EXPECT_EQ(s.changes, (std::vector{kSurge}));
+  EXPECT_EQ(monitor.changes, (std::vector{kSurge}));
 }
 
 TEST(OverloadMonitor, StormDuringRecoveryIsAStormAgain) {
-  OverloadMonitorAt10Hz s;
-  s.For(5, 600, 300, 400);
-  s.For(5, 200, 0, 0);
-  ASSERT_EQ(s.state.state(), kRecovery);
-  s.For(3, 600, 300, 400);
-  EXPECT_EQ(s.state.state(), kStorm);
+  OverloadMonitorAt10Hz monitor;
+  monitor.RunFor(5, 600, 300, 400);
+  monitor.RunFor(5, 200, 0, 0);
+  ASSERT_EQ(monitor.state.state(), kRecovery);
+  monitor.RunFor(3, 600, 300, 400);
+  EXPECT_EQ(monitor.state.state(), kStorm);
 }
 
 }  // namespace
--- a/tests/decision/queue_wait_scenarios_test.cpp
+++ b/tests/decision/queue_wait_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How long a request waits at a proxy that is at its limit.
+// How long a request waits at a proxy that has reached its concurrency limit. Guards against answers that are
+// late after a long wait, and against rejections during a short interruption.
 #include <gtest/gtest.h>
 
 #include "support/balancer_fixture.h"
@@ -8,7 +9,7 @@
 namespace copperpoint::testing {
 namespace {
 
-// A proxy with two attempts in flight, its limit; further requests are queued.
+// A proxy with two attempts in flight, which is its limit. Further requests are queued.
 class ProxyAtLimit : public ::testing::Test {
  protected:
   ProxyAtLimit() : harness_(Limited()) {
@@ -46,7 +47,7 @@
   harness_.CompleteAttempt(10, 0, 1, AttemptOutcome::kSuccess, 20);
   harness_.CompleteAttempt(11, 0, 1, AttemptOutcome::kSuccess, 20);
   EXPECT_TRUE(harness_.SubmitRequest(20, 0, 4, 900).has_value()) << "there is capacity for others";
-  EXPECT_FALSE(harness_.SubmitRequest(22, 0, 8, 900).has_value()) << "but not for a retry of 13";
+  EXPECT_FALSE(harness_.SubmitRequest(22, 0, 8, 900).has_value()) << "a retry of 13 is past its objective";
   const RejectRequest* reject = RejectionOf(22);
   ASSERT_NE(reject, nullptr);
   EXPECT_LE(reject->retry_after, Duration(800));
@@ -58,18 +59,18 @@
   harness_.AdvanceTime(1);
   harness_.SubmitRequest(11, 0, 6, 900);
   harness_.AdvanceTime(30);
-  EXPECT_EQ(RejectionOf(10), nullptr) << "no response has arrived since";
+  EXPECT_EQ(RejectionOf(10), nullptr) << "without a response since its arrival, the request waits longer";
   harness_.AdvanceTime(1);
   harness_.CompleteAttempt(1, 0, 1, AttemptOutcome::kSuccess, 20);
   EXPECT_TRUE(harness_.AttemptBackend(10).has_value());
-  // As many more as are admitted, and a few that are queued.
+  // Submit requests until eight are queued behind those that are admitted.
   RequestId last = 12;
   for (int waiting = 0; waiting < 8; ++last)
     waiting += !harness_.SubmitRequest(last, 0, static_cast<double>(last), 900);
   harness_.AdvanceTime(1);
   harness_.CompleteAttempt(2, 0, 1, AttemptOutcome::kSuccess, 20);
   const RequestId newest = last - 1;
-  ASSERT_FALSE(harness_.AttemptBackend(newest).has_value()) << "older ones are before it";
+  ASSERT_FALSE(harness_.AttemptBackend(newest).has_value()) << "older requests are served first";
   harness_.AdvanceTime(30);  // more than 0.08 of the objective
   EXPECT_NE(RejectionOf(newest), nullptr);
 }
--- a/tests/decision/random_events_scenarios_test.cpp
+++ b/tests/decision/random_events_scenarios_test.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random but legal events with fixed seeds, checked against an independent model of the decision rules.
+// Random but valid events with fixed seeds, checked against an independent model of the decision rules.
+// Guards against orders of events that no scenario tests, such as a list that removes a backend before a
+// retry.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,11 +22,11 @@
   double sent_at;
   double ends_at;
   AttemptOutcome outcome;
-  bool out = true;
+  bool outstanding = true;
 };
 struct OpenRequest {
   int request_class;
-  double due;
+  double deadline_ms;
   std::vector<Attempt> attempts;
   int completions = 0;
 };
@@ -33,11 +35,11 @@
  public:
   RandomEventSource(Settings settings, std::uint64_t seed)
       : settings_(settings), rng_(seed), balancer_(settings, seed) {
-    for (BackendId id = 1; id <= 8; ++id) servers_[id] = MakeEndpoint(id, id % 2, id % 3);
+    for (BackendId id = 1; id <= 8; ++id) backends_[id] = MakeEndpoint(id, id % 2, id % 3);
   }
 
   void Run() {
-    Update(EndpointUpdateKind::kCached, All());
+    Update(EndpointUpdateKind::kCached, AllEndpoints());
     for (now_ = 1000; now_ < 9000; now_ += 1 + Random(8)) {
       if (now_ > 7000) {
         Step(false);
@@ -54,9 +56,9 @@
  private:
   int Random(int n) { return static_cast<int>(rng_() % static_cast<unsigned>(n)); }
 
-  std::vector<Endpoint> All() const {
+  std::vector<Endpoint> AllEndpoints() const {
     std::vector<Endpoint> all;
-    for (const auto& [id, e] : servers_) all.push_back(e);
+    for (const auto& [id, e] : backends_) all.push_back(e);
     return all;
   }
 
@@ -68,24 +70,24 @@
     // Timers, completed attempts, arrivals and endpoint updates of one step, in a random order.
     std::vector<int> order = {0, 1, 2, 3};
     std::shuffle(order.begin(), order.end(), rng_);
-    for (int what : order) {
-      while (what == 0 && !timers_.empty() && *timers_.begin() <= now_) {
+    for (int part : order) {
+      while (part == 0 && !timers_.empty() && *timers_.begin() <= now_) {
         timers_.erase(timers_.begin());
         Handle(TimerFired{});
       }
-      if (what == 1) CompleteAttempts();
-      if (what == 2 && load) {
-        for (int k = Random(4); k > 0; --k) Arrive();
+      if (part == 1) CompleteAttempts();
+      if (part == 2 && load) {
+        for (int k = Random(4); k > 0; --k) SubmitRequest();
       }
-      if (what == 3 && Random(20) == 0) ChangeList();
+      if (part == 3 && Random(20) == 0) ChangeEndpoints();
     }
     for (auto& [id, r] : open_) {
-      if (r.completions == 0 && r.due + 20 < now_)
-        ADD_FAILURE() << "request " << id << " due " << r.due << " is not completed at " << now_;
+      if (r.completions == 0 && r.deadline_ms + 20 < now_)
+        ADD_FAILURE() << "request " << id << " due " << r.deadline_ms << " is not completed at " << now_;
     }
   }
 
-  void Arrive() {
+  void SubmitRequest() {
     RequestReceived s;
     s.request = ++last_id_;
     s.request_class = Random(3);
@@ -96,27 +98,28 @@
     Handle(s);
   }
 
-  void ChangeList() {
+  void ChangeEndpoints() {
     const BackendId id = 1 + static_cast<BackendId>(Random(8));
-    Endpoint& e = servers_[id];
+    Endpoint& e = backends_[id];
     e.state = static_cast<EndpointState>(Random(3));
     if (e.state == EndpointState::kReady && Random(2)) e.up_since = At(now_);
     Update(Random(5) ? EndpointUpdateKind::kIncremental : EndpointUpdateKind::kSnapshot,
-           Random(5) ? std::vector<Endpoint>{e} : All());
+           Random(5) ? std::vector<Endpoint>{e} : AllEndpoints());
   }
 
   void CompleteAttempts() {
     std::vector<std::pair<RequestId, int>> ended;
     for (auto& [id, r] : open_) {
       for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-        if (r.attempts[i].out && r.attempts[i].ends_at <= now_) ended.emplace_back(id, static_cast<int>(i));
+        if (r.attempts[i].outstanding && r.attempts[i].ends_at <= now_)
+          ended.emplace_back(id, static_cast<int>(i));
       }
     }
     std::shuffle(ended.begin(), ended.end(), rng_);
     for (const auto& [id, i] : ended) {
       OpenRequest& r = open_[id];
       Attempt& t = r.attempts[static_cast<std::size_t>(i)];
-      t.out = false;
+      t.outstanding = false;
       if (t.outcome == AttemptOutcome::kSuccess && r.completions == 0) r.completions = 1;
       AttemptCompleted e;
       e.request = id;
@@ -130,7 +133,7 @@
   }
 
   void Handle(const Event& event) {
-    // The endpoint updates that the balancer has received decide which backends drain.
+    // The model knows the endpoints of the updates that the balancer has received.
     if (const auto* list = std::get_if<EndpointUpdate>(&event)) {
       if (list->kind != EndpointUpdateKind::kIncremental) listed_.clear();
       for (const Endpoint& e : list->endpoints) listed_[e.backend] = e;
@@ -141,8 +144,9 @@
   }
 
   static bool NeverRan(const Attempt& t) {
-    return !t.out && (t.outcome == AttemptOutcome::kBackendRejected ||
-                      t.outcome == AttemptOutcome::kConnectFailure || t.outcome == AttemptOutcome::kNotSent);
+    return !t.outstanding &&
+           (t.outcome == AttemptOutcome::kBackendRejected || t.outcome == AttemptOutcome::kConnectFailure ||
+            t.outcome == AttemptOutcome::kNotSent);
   }
 
   void Check(const Action& action) {
@@ -152,22 +156,23 @@
       EXPECT_EQ(r.completions, 0) << "attempt after the request was completed";
       EXPECT_LT(static_cast<int>(r.attempts.size()), settings_.max_attempts);
       EXPECT_TRUE(listed_.count(d->backend) && listed_[d->backend].state == EndpointState::kReady)
-          << "draining";
+          << "attempt at a backend that is not ready";
       const Idempotency idempotency =
           settings_.classes[static_cast<std::size_t>(r.request_class)].idempotency;
       for (const Attempt& t : r.attempts) {
-        EXPECT_TRUE(!t.out) << "two at once";
+        EXPECT_TRUE(!t.outstanding) << "two attempts of one request at the same time";
         if (NeverRan(t)) continue;
-        EXPECT_NE(idempotency, Idempotency::kNonIdempotent) << "executed twice";
+        EXPECT_NE(idempotency, Idempotency::kNonIdempotent) << "may have been executed twice";
         if (idempotency == Idempotency::kIdempotencyKey) {
-          EXPECT_EQ(servers_[t.backend].cell, servers_[d->backend].cell);
+          EXPECT_EQ(backends_[t.backend].cell, backends_[d->backend].cell);
           EXPECT_LE(
               now_ - t.sent_at,
               settings_.classes[static_cast<std::size_t>(r.request_class)].deduplication_window.count());
         }
       }
       Attempt t{d->backend, now_, now_ + Random(400), static_cast<AttemptOutcome>(Random(9))};
-      const double timeout = d->timeout.count() > 0 ? std::min(now_ + d->timeout.count(), r.due) : r.due;
+      const double timeout =
+          d->timeout.count() > 0 ? std::min(now_ + d->timeout.count(), r.deadline_ms) : r.deadline_ms;
       if (t.ends_at > timeout) t.ends_at = timeout, t.outcome = AttemptOutcome::kTimeout;
       r.attempts.push_back(t);
     } else if (const auto* reject = std::get_if<RejectRequest>(&action)) {
@@ -191,7 +196,7 @@
   double now_ = 500;
   std::multiset<double> timers_;
   RequestId last_id_ = 0;
-  std::map<BackendId, Endpoint> servers_, listed_;
+  std::map<BackendId, Endpoint> backends_, listed_;
   std::map<RequestId, OpenRequest> open_;
 };
 
@@ -207,7 +212,7 @@
     source.Run();
     attempts += source.attempts_started;
   }
-  EXPECT_GT(attempts, 2000u) << "the rounds must make attempts";
+  EXPECT_GT(attempts, 2000u) << "the test is void without enough attempts";
 }
 
 }  // namespace
--- a/tests/decision/recorded_replies_test.cpp
+++ b/tests/decision/recorded_replies_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The decision module's replies, as the simulator's wire carries them, on the event streams of a dozen
-// scenarios: their hashes are recorded, so that a change meant to keep behaviour shows that it kept every
-// decision. Log texts are left out. To record anew after an intended change of a decision:
-// COPPERPOINT_RECORD_REPLIES=FILE and run this.
+// Compares hashes of the decision module's replies to the event streams of a dozen scenarios with recorded
+// ones. The replies are encoded as in the simulator's protocol, without log texts. Guards against a change
+// that is meant to keep behaviour but changes a decision. After an intended change, run this test with
+// COPPERPOINT_RECORD_REPLIES=FILE to record the hashes anew.
 #include <gtest/gtest.h>
 #include <xxhash.h>
 
@@ -30,9 +30,9 @@
                                       "lost_zone",  "mass_join",  "monday_surge",   "one_way_cut",
                                       "ordinary",   "overload",   "proxy_release",  "throng"};
 constexpr std::uint64_t kSeeds[] = {1, 2, 3};
-constexpr double kMaxLengthSeconds = 12;  // of a scenario: a test has to end
+constexpr double kMaxLengthSeconds = 12;  // scenarios are cut off here to bound the test's run time
 
-// Hosts the decision module as the simulator does, and hashes each reply into one sum of all proxies.
+// Hosts the decision module as the simulator does, and adds each reply to one hash over all proxies.
 class RecordingPolicy : public simulation::Policy {
  public:
   RecordingPolicy(simulation::PolicyContext context, XXH3_state_t* sum)
--- a/tests/decision/request_priority_scenarios_test.cpp
+++ b/tests/decision/request_priority_scenarios_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The priority of a request by its class and tenant.
+// The priority of a request, which depends on its class and its tenant.
 #include <gtest/gtest.h>
 
 #include "decision/request_priority.h"
@@ -12,13 +12,13 @@
 using copperpoint::testing::DefaultSettings;
 using copperpoint::testing::MakeClass;
 
-Settings SettingsWithObjective(ServiceObjective goal) {
+Settings SettingsWithObjective(ServiceObjective objective) {
   Settings s = DefaultSettings();
   s.classes = {MakeClass(Idempotency::kIdempotent), MakeClass(Idempotency::kNonIdempotent)};
   s.classes[0].priority_weight = 5;
   s.classes[1].priority_weight = 3;
   s.tenants = {{100}, {100}};
-  s.service_objective = goal;
+  s.service_objective = objective;
   return s;
 }
 
@@ -33,15 +33,15 @@
 
 TEST(RequestPriority, WorstServedClassRisesByGainOfTheObjective) {
   RequestPriority priority(SettingsWithObjective({0.5, 0.35, 0}));
-  priority.OnOffered(0, 0, 70, true);       // 350 of weight
-  priority.OnOffered(1, 0, 50, true);       // 150
-  priority.OnServedInTime(0, 0, 70, true);  // all
-  priority.OnServedInTime(1, 0, 25, true);  // half
+  priority.OnOffered(0, 0, 70, true);       // offered work times weight: 350
+  priority.OnOffered(1, 0, 50, true);       // offered work times weight: 150
+  priority.OnServedInTime(0, 0, 70, true);  // all of it is served
+  priority.OnServedInTime(1, 0, 25, true);  // half of it is served
   EXPECT_DOUBLE_EQ(priority.PriorityOf(0, 0), 5 * 0.5);
   EXPECT_DOUBLE_EQ(priority.PriorityOf(1, 0), 3 * (0.5 + 0.35 * 500 / 150));
   EXPECT_GT(priority.PriorityOf(1, 0), priority.PriorityOf(0, 0));
   priority.OnServedInTime(1, 0, 25, true);
-  priority.OnOffered(0, 0, 70, true);  // now this one is at half
+  priority.OnOffered(0, 0, 70, true);  // now half of class 0 is served, and all of class 1
   EXPECT_GT(priority.PriorityOf(0, 0), priority.PriorityOf(1, 0));
 }
 
@@ -52,12 +52,12 @@
   priority.OnOffered(0, 1, 10, true);
   priority.OnServedInTime(0, 1, 9, true);
   EXPECT_GT(priority.PriorityOf(0, 1), priority.PriorityOf(0, 0));
-  RequestPriority beyond(SettingsWithObjective({0.5, 0, 0.5}));
-  beyond.OnOffered(0, 0, 10, true);
-  beyond.OnServedInTime(0, 0, 9, true);
-  beyond.OnOffered(0, 1, 1000, false);
-  EXPECT_GT(beyond.PriorityOf(0, 0), beyond.PriorityOf(0, 1))
-      << "a storm of one tenant does not displace another";
+  RequestPriority over_quota(SettingsWithObjective({0.5, 0, 0.5}));
+  over_quota.OnOffered(0, 0, 10, true);
+  over_quota.OnServedInTime(0, 0, 9, true);
+  over_quota.OnOffered(0, 1, 1000, false);
+  EXPECT_GT(over_quota.PriorityOf(0, 0), over_quota.PriorityOf(0, 1))
+      << "requests over the quota of one tenant must not displace those of another";
 }
 
 TEST(RequestPriority, PastCountsDecay) {
--- a/tests/decision/retry_scenarios_test.cpp
+++ b/tests/decision/retry_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// After an attempt has failed: whether the request is sent again, and where; attempt timeouts.
+// Whether a request is sent again after a failed attempt, and where; and attempt timeouts. Guards against a
+// request that is executed twice, and against retries that multiply the load.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -10,11 +11,12 @@
 namespace copperpoint::testing {
 namespace {
 
-// What follows the outcome of an attempt of a request class.
+// What is expected after an attempt of `request_class` with `outcome`: `retried`, another attempt starts;
+// `may_reject`, the request is rejected and not failed if there is no attempt left.
 struct Expectation {
   int request_class;
   AttemptOutcome outcome;
-  bool again, rejectable;
+  bool retried, may_reject;
 };
 
 TEST(Retry, RetriesOrRejectsOnlyWhatIsPermitted) {
@@ -29,29 +31,29 @@
       {2, AttemptOutcome::kBackendRejected, true, true},   {2, AttemptOutcome::kConnectFailure, true, true},
       {2, AttemptOutcome::kCancelled, false, false},
   };
-  for (const Expectation& v : expectations) {
-    SCOPED_TRACE(::testing::Message()
-                 << "class " << v.request_class << " outcome " << static_cast<int>(v.outcome));
+  for (const Expectation& expectation : expectations) {
+    SCOPED_TRACE(::testing::Message() << "class " << expectation.request_class << " outcome "
+                                      << static_cast<int>(expectation.outcome));
     BalancerHarness harness;
     harness.SetBackends(3);
-    const auto first = harness.SubmitRequest(1, v.request_class);
+    const auto first = harness.SubmitRequest(1, expectation.request_class);
     ASSERT_TRUE(first.has_value());
-    harness.CompleteAttempt(1, 0, *first, v.outcome);
-    EXPECT_EQ(harness.AttemptBackend(1).has_value(), v.again);
-    if (v.again) {
-      EXPECT_NE(harness.AttemptBackend(1), first) << "elsewhere";
+    harness.CompleteAttempt(1, 0, *first, expectation.outcome);
+    EXPECT_EQ(harness.AttemptBackend(1).has_value(), expectation.retried);
+    if (expectation.retried) {
+      EXPECT_NE(harness.AttemptBackend(1), first) << "a retry goes to another backend";
     } else {
       EXPECT_EQ(harness.CountActions<FailRequest>(), 1);
     }
-    // With no attempt left: rejected only where that is permitted.
+    // If no attempt is left, the request may be rejected only if it has had no effect or may be repeated.
     Settings s = DefaultSettings();
     s.max_attempts = 1;
-    BalancerHarness last(s);
-    last.SetBackends(3);
-    const auto only = last.SubmitRequest(1, v.request_class);
-    last.CompleteAttempt(1, 0, *only, v.outcome);
-    EXPECT_EQ(last.CountActions<RejectRequest>(), v.rejectable ? 1 : 0);
-    EXPECT_EQ(last.CountActions<FailRequest>(), v.rejectable ? 0 : 1);
+    BalancerHarness without_retry(s);
+    without_retry.SetBackends(3);
+    const auto only = without_retry.SubmitRequest(1, expectation.request_class);
+    without_retry.CompleteAttempt(1, 0, *only, expectation.outcome);
+    EXPECT_EQ(without_retry.CountActions<RejectRequest>(), expectation.may_reject ? 1 : 0);
+    EXPECT_EQ(without_retry.CountActions<FailRequest>(), expectation.may_reject ? 0 : 1);
   }
 }
 
@@ -79,7 +81,7 @@
   }
 }
 
-// There are no hedged requests.
+// The balancer sends no hedged requests.
 TEST(Retry, HasOneAttemptAtATime) {
   BalancerHarness harness;
   harness.SetBackends(3);
@@ -95,16 +97,16 @@
   EXPECT_TRUE(harness.attempts.empty());
 }
 
-// A timeout of what is merely late would double its work.
+// If an attempt that is merely late were cancelled and retried, its work would be done twice.
 TEST(Retry, RespondingBackendGetsNoAttemptTimeout) {
   BalancerHarness harness;
   harness.SetBackends(1);
   for (int i = 0; i < 40; ++i) SubmitAndComplete(harness);
   harness.SubmitRequest(next_request_id++, 0, 10, 900);
-  EXPECT_EQ(harness.attempts.back().timeout.count(), 0) << "nothing is outstanding there yet";
+  EXPECT_EQ(harness.attempts.back().timeout.count(), 0) << "no other attempt is outstanding at the backend";
   harness.AdvanceTime(5);
   harness.SubmitRequest(next_request_id++, 0, 10, 900);
-  EXPECT_EQ(harness.attempts.back().timeout.count(), 0) << "what is outstanding is not overdue";
+  EXPECT_EQ(harness.attempts.back().timeout.count(), 0) << "the outstanding attempt is not overdue";
 }
 
 TEST(Retry, SilentBackendGetsAttemptTimeoutWhereRetryIsPermitted) {
@@ -148,7 +150,8 @@
       s = harness.AttemptBackend(id);
     }
   }
-  EXPECT_LE(harness.attempts.size(), 300u + 20u + 61u) << "a budget of 20, and a fifth of the first attempts";
+  EXPECT_LE(harness.attempts.size(), 300u + 20u + 61u)
+      << "20 retries at once and a fifth of the first attempts";
   EXPECT_GE(harness.attempts.size(), 300u + 20u);
 }
 
--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Retry policy, retry budget and attempt timeout.
+// The rules for retries: retry policy, retry budget and attempt timeout.
 #include <gtest/gtest.h>
 
 #include "decision/attempt_timeout.h"
@@ -37,7 +37,7 @@
 TEST_F(RetryPolicyTest, NeverRepeatsANonIdempotentRequestThatMayHaveRun) {
   Ended(AttemptOutcome::kTimeout);
   EXPECT_FALSE(At100().may_dispatch);
-  EXPECT_FALSE(At100().may_reject) << "a rejection would promise that it had no effect";
+  EXPECT_FALSE(At100().may_reject) << "a rejection tells the client that a retry is harmless";
 }
 
 TEST_F(RetryPolicyTest, RetriesWhatCertainlyDidNotRun) {
@@ -77,9 +77,10 @@
   EXPECT_EQ(At100().deduplication_anchor, BackendIndex{7});
   EXPECT_FALSE(At100().may_reject);
   EXPECT_TRUE(policy_.PermissionFor(request_, settings_, At(180)).may_dispatch);
-  EXPECT_FALSE(policy_.PermissionFor(request_, settings_, At(181)).may_dispatch) << "0.9 of the window";
+  EXPECT_FALSE(policy_.PermissionFor(request_, settings_, At(181)).may_dispatch)
+      << "a retry may start within 0.9 of the deduplication window";
   settings_.deduplication_scope = DeduplicationScope::kAll;
-  EXPECT_TRUE(At100().may_reject) << "the client's retry is recognised wherever it goes";
+  EXPECT_TRUE(At100().may_reject) << "every backend recognises the client's retry as a duplicate";
 }
 
 TEST(DeduplicationScope, CellIsPartOfItsZone) {
--- a/tests/decision/slow_start_scenarios_test.cpp
+++ b/tests/decision/slow_start_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a backend that has just started is sent, by one proxy and by many.
+// How much work a backend is sent after its start, by one proxy and by many together. Guards against a
+// starting backend that is overloaded, and against one that isn't used.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +21,7 @@
   BalancerHarness harness;
   std::vector<Endpoint> list = {MakeEndpoint(1), MakeEndpoint(2), MakeEndpoint(3)};
   harness.UpdateEndpoints(list);
-  // 30 ms of work every 10 ms, completed at once, for 20 s: each warm backend gets about 1 a ms.
+  // Sends 30 ms of work every 10 ms, completed at once; each warm backend gets about 1 ms of work per ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
@@ -39,7 +40,7 @@
   };
   run(20000);
   harness.UpdateEndpoints({MakeEndpoint(3, 0, 0, EndpointState::kReady, harness.now)},
-                          EndpointUpdateKind::kIncremental);  // the same id, started again
+                          EndpointUpdateKind::kIncremental);  // the same backend after a restart
   const double start = harness.now;
   const auto sent = run(10000);
   double most = 0;
@@ -47,14 +48,14 @@
     double window = 0;
     for (std::size_t k = i; k < sent.size() && sent[k].first - sent[i].first < 1000; ++k)
       window += sent[k].second;
-    const double share = 0.25 + 0.75 * std::min(1.0, (sent[i].first - start + 1000) / 10000);
-    most = std::max(most, window / (share * 1000));
+    const double capacity_fraction = 0.25 + 0.75 * std::min(1.0, (sent[i].first - start + 1000) / 10000);
+    most = std::max(most, window / (capacity_fraction * 1000));
   }
-  EXPECT_LE(most, 2.5) << "of what a warm backend was sent, times its share; it is overloaded at 3";
-  EXPECT_GT(sent.size(), 100u) << "and it is used";
+  EXPECT_LE(most, 2.5) << "times the capacity fraction of a warm backend's work; 3 is an overload";
+  EXPECT_GT(sent.size(), 100u) << "the starting backend must be used";
 }
 
-// An overloaded fleet is sent far more than it serves.
+// An overloaded fleet is sent far more than it serves, so that work sent would give too large a budget.
 TEST(SlowStart, BudgetFollowsWhatWarmBackendsServe) {
   Settings s = DefaultSettings();
   s.max_attempts = 1;
@@ -71,10 +72,11 @@
     harness.CompleteAttempt(id, 0, *backend,
                             i % 20 ? AttemptOutcome::kBackendRejected : AttemptOutcome::kSuccess, 5);
   }
-  EXPECT_LE(sent, 6) << "4 s, of a fleet that served 0.05 of 2 ms of work a ms";
+  EXPECT_LE(sent, 6) << "in 4 s, of a fleet that served 0.05 of 2 ms of work per ms";
 }
 
-// What all backends served before is no measure of the one that is left and warming up.
+// After the loss of most backends, the work that all of them served before would give the remaining one,
+// which is warming up, too large a budget.
 TEST(SlowStart, BudgetShrinksWhenMostBackendsAreLost) {
   Settings s = DefaultSettings();
   s.max_attempts = 1;
@@ -92,11 +94,13 @@
   };
   run(3000);
   harness.UpdateEndpoints({MakeEndpoint(1, 0, 0, EndpointState::kReady, harness.now)});
-  // A warm one has served 0.33 of work a ms; it starts at a quarter and is overloaded at three times that.
-  EXPECT_LT(run(200), 1000) << "of 2000 that are submitted in this second";
+  // A warm backend has served 0.33 ms of work per ms. The backend starts at a quarter of that, and three
+  // times as much overloads it.
+  EXPECT_LT(run(200), 1000) << "ms of work, of the 2000 ms that are submitted in this second";
 }
 
-// A rolling deploy can leave every backend warming up.
+// A rolling deployment can leave every backend warming up. Budgets from the present rate would then reduce
+// themselves until no request is sent.
 TEST(SlowStart, BudgetRecoversWhenNoBackendIsWarm) {
   Settings settings = DefaultSettings();
   settings.slow_start_window = Duration(20000);
@@ -124,10 +128,11 @@
   served = false;
   run(250);
   served = true;
-  EXPECT_GT(run(100), 70) << "after five seconds in which nothing succeeded";
+  EXPECT_GT(run(100), 70) << "of 100 requests, after five seconds in which no attempt succeeded";
 }
 
-// What all serve is no measure of what the few warm ones could do.
+// While most backends are warming up, the work that all of them serve must not be attributed to the few warm
+// ones.
 TEST(SlowStart, BudgetDoesNotGrowWhenMostBackendsAreWarmingUp) {
   Settings settings = DefaultSettings();
   settings.slow_start_window = Duration(60000);
@@ -148,12 +153,13 @@
     }
     return to_first;
   };
-  run(2000);  // 2 ms of work a ms: 0.25 by each
+  run(2000);  // 2 ms of work per ms, of which each backend serves 0.25
   for (BackendId id = 1; id <= 7; ++id)
     list[id - 1] = MakeEndpoint(id, 0, 0, EndpointState::kReady, harness.now);
   harness.UpdateEndpoints(list);
   run(1600);  // eight seconds, in which recent rates replace earlier ones
-  // At 0.22 of its capacity and three times that at the most: 10 ms each, over two seconds.
+  // The backend has 0.22 of its capacity, and three times as much overloads it. Requests take 10 ms each,
+  // over two seconds.
   EXPECT_LE(run(400), 0.6 * 3 * 0.24 * 0.25 * 2000 / 10 * 2);
 }
 
@@ -166,7 +172,7 @@
     const auto s = harness.SubmitRequest(id, 2, 10, 2000);
     if (s) ++sent, harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kBackendRejected);
   }
-  EXPECT_LE(sent, 2) << "nothing is known of warm backends: one mean request a window";
+  EXPECT_LE(sent, 2) << "without a known rate of warm backends, one mean request per window may be sent";
 }
 
 TEST(SlowStart, NewProxyServesWhenAllBackendsAreWarmingUp) {
@@ -176,10 +182,10 @@
   const RequestId id = next_request_id++;
   bool sent = harness.SubmitRequest(id, 0).has_value();
   for (int i = 0; i < 20 && !sent; ++i) harness.AdvanceTime(5), sent = harness.AttemptBackend(id).has_value();
-  EXPECT_TRUE(sent) << "within half of the objective";
+  EXPECT_TRUE(sent) << "the request must be sent within half of its objective";
 }
 
-// One first request of each proxy at once would overload a backend that has just started.
+// If all proxies sent their first request at once, they would overload a backend that has just started.
 TEST(SlowStart, ManyProxiesStaggerFirstRequests) {
   Settings settings = DefaultSettings();
   settings.proxy_count = 400;
@@ -201,26 +207,27 @@
         at_once += *s == 3, harness.CompleteAttempt(next_request_id - 1, 0, *s, AttemptOutcome::kSuccess);
     }
   }
-  // Each warm backend serves 400 x 10 ms of work each 600 ms: 6.7 a ms. A warming one does 0.1 to 0.19 of
-  // that in its first second, and is overloaded at 3 times as much.
+  // Each warm backend serves 400 x 10 ms of work every 600 ms, which is 6.7 ms per ms. A backend that is
+  // warming up can serve 0.1 to 0.19 of that in its first second, and 3 times as much overloads it.
   EXPECT_LE(at_once * 10, 3 * 0.145 * 6.7 * 1000);
-  EXPECT_GT(at_once, 50) << "and it is used";
+  EXPECT_GT(at_once, 50) << "the starting backend must be used";
 }
 
-// A hundred proxies each use some of sixty backends, half of which start: together they send a warming one
-// about its share of what a warm one gets, and never what overloads it.
+// A hundred proxies each use a subset of sixty backends, half of which restart. Together they must send a
+// backend that is warming up about its capacity fraction of what a warm one gets, and never so much that it
+// is overloaded.
 TEST(SlowStart, SubsettingProxiesTogetherSendWarmingBackendItsShare) {
-  constexpr int kProxies = 100, kBackends = 60, kRounds = 80;  // of 100 ms
+  constexpr int kProxies = 100, kBackends = 60, kRounds = 80;  // rounds of 100 ms each
   constexpr double kWork = 10;
   Settings settings = DefaultSettings();
   settings.proxy_count = kProxies;
   std::map<BackendId, std::vector<double>> sent_at;
   double started = 0;
-  for (int me = 0; me < kProxies; ++me) {
-    settings.proxy_index = me;
-    BalancerHarness harness(settings, static_cast<std::uint64_t>(me) + 1);
+  for (int proxy_index = 0; proxy_index < kProxies; ++proxy_index) {
+    settings.proxy_index = proxy_index;
+    BalancerHarness harness(settings, static_cast<std::uint64_t>(proxy_index) + 1);
     RequestId id = 0;
-    const auto ask = [&](bool count) {
+    const auto submit_request = [&](bool count) {
       harness.AdvanceTime(100);
       if (const auto s = harness.SubmitRequest(++id, 2, kWork)) {
         if (count) sent_at[*s].push_back(harness.now);
@@ -228,25 +235,25 @@
       }
     };
     harness.SetBackends(kBackends);
-    for (int i = 0; i < 100; ++i) ask(false);
+    for (int i = 0; i < 100; ++i) submit_request(false);
     started = harness.now;
     std::vector<Endpoint> restarted;
     for (BackendId s = 1; s <= kBackends; s += 2)
       restarted.push_back(MakeEndpoint(s, 0, 0, EndpointState::kReady, started));
     harness.UpdateEndpoints(restarted, EndpointUpdateKind::kIncremental);
-    for (int i = 0; i < kRounds; ++i) ask(true);
+    for (int i = 0; i < kRounds; ++i) submit_request(true);
   }
-  // Over the last four seconds warming backends have 0.55 to 0.85 of their capacity: 0.7 in the mean.
+  // Over the last four seconds the restarted backends have 0.55 to 0.85 of their capacity, 0.7 in the mean.
   double warm = 0, warming = 0;
   for (const auto& [backend, times] : sent_at) {
     const auto late =
         std::count_if(times.begin(), times.end(), [&](double at) { return at > started + 4000; });
     (backend % 2 ? warming : warm) += static_cast<double>(late);
   }
-  EXPECT_GT(warming / warm, 0.25) << "by the share of one of all proxies it is 0.1";
+  EXPECT_GT(warming / warm, 0.25) << "it would be 0.1 if each proxy kept to its part among all proxies";
   EXPECT_LT(warming / warm, 1);
-  // Before the start a backend had 100 x 10 requests a second over 60: 16.7. Three times its share overloads
-  // a warming one.
+  // Before the restart each backend had 100 x 10 / 60 = 16.7 requests per second. Three times its capacity
+  // fraction of that overloads a backend that is warming up.
   for (const auto& [backend, times] : sent_at) {
     if (backend % 2 == 0) continue;
     std::vector<double> sorted = times;
@@ -254,21 +261,22 @@
     for (std::size_t i = 0; i < sorted.size(); ++i) {
       const auto within = std::upper_bound(sorted.begin(), sorted.end(), sorted[i] + 1000) -
                           (sorted.begin() + static_cast<std::ptrdiff_t>(i));
-      const double share = 0.25 + 0.75 * (sorted[i] - started) / 10000;
-      EXPECT_LE(static_cast<double>(within), 3 * share * 16.7 + 3)
+      const double capacity_fraction = 0.25 + 0.75 * (sorted[i] - started) / 10000;
+      EXPECT_LE(static_cast<double>(within), 3 * capacity_fraction * 16.7 + 3)
           << backend << " at " << sorted[i] - started;
     }
   }
 }
 
-// What all proxies together send a warming backend within the overload window stays below the overload factor
-// times its capacity. The fleet has a load of 0.7; backends restart at random and warm up as slowly as the
-// settings allow.
+// The work that all proxies together send a backend that is warming up, within the overload window, must stay
+// below the overload factor times its capacity. The fleet has a load of 0.7. Backends restart at random and
+// warm up as slowly as the settings allow.
 TEST(SlowStart, ManyProxiesTogetherStayBelowOverloadFactor) {
   constexpr int kProxies = 60, kBackends = 12;
   constexpr double kWork = 10, kEveryMs = 200, kWindow = 1000;
-  const double capacity = kProxies * kWork / kEveryMs / kBackends / 0.7;  // work a ms of a warm backend
-  std::size_t to_warming = 0;
+  const double capacity =
+      kProxies * kWork / kEveryMs / kBackends / 0.7;  // of a warm backend, ms of work per ms
+  std::size_t sent_to_warming = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937_64 rng(seed);
@@ -276,8 +284,8 @@
     Settings settings = DefaultSettings();
     settings.proxy_count = kProxies;
     settings.overload_window = Duration(kWindow);
-    for (int me = 0; me < kProxies; ++me) {
-      settings.proxy_index = me;
+    for (int proxy_index = 0; proxy_index < kProxies; ++proxy_index) {
+      settings.proxy_index = proxy_index;
       proxies.emplace_back(settings, rng());
     }
     std::vector<Endpoint> list;
@@ -315,12 +323,12 @@
         recent.push_back(now);
         while (now - recent.front() > kWindow) recent.pop_front();
         if (e.up_since != TimePoint{} && age < settings.slow_start_window.count()) {
-          ++to_warming;
-          const double share = settings.slow_start_min_capacity + (1 - settings.slow_start_min_capacity) *
-                                                                      age /
-                                                                      settings.slow_start_window.count();
+          ++sent_to_warming;
+          const double capacity_fraction =
+              settings.slow_start_min_capacity +
+              (1 - settings.slow_start_min_capacity) * age / settings.slow_start_window.count();
           EXPECT_LE(static_cast<double>(recent.size()) * kWork,
-                    settings.overload_factor * share * capacity * kWindow)
+                    settings.overload_factor * capacity_fraction * capacity * kWindow)
               << "backend " << d->backend << " " << age << " ms after its start";
         }
         AttemptCompleted end;
@@ -333,7 +341,7 @@
       }
     }
   }
-  EXPECT_GT(to_warming, 1000u) << "warming backends must be used at all";
+  EXPECT_GT(sent_to_warming, 1000u) << "backends that are warming up must be used";
 }
 
 }  // namespace
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(slow_start.CapacityFraction(endpoint, At(0)), 0.2);
   EXPECT_DOUBLE_EQ(slow_start.CapacityFraction(endpoint, At(5000)), 0.6);
   EXPECT_DOUBLE_EQ(slow_start.CapacityFraction(endpoint, At(10000)), 1);
-  EXPECT_DOUBLE_EQ(slow_start.CapacityFraction(Endpoint(), At(0)), 1) << "up for long";
+  EXPECT_DOUBLE_EQ(slow_start.CapacityFraction(Endpoint(), At(0)), 1) << "the backend has been up for long";
 }
 
 class SlowStartBudget : public ::testing::Test {
@@ -37,7 +37,7 @@
   SlowStartBudget() {
     for (int i = 0; i < 10; ++i) slow_start_.OnOutcome();
     SlowStart::ServiceRates rates;
-    rates.served_work = 10;  // ms a ms, by 10 backends
+    rates.served_work = 10;  // ms of work per ms, served by 10 backends
     rates.in_service = rates.mean_in_service = 10;
     slow_start_.UpdateWarmRate(rates, Duration(100));
     budget_.capacity_fraction = 0.2;
@@ -50,14 +50,14 @@
   Random random_{1};
 };
 
-// 0.6 x 2 x 0.2 x 1 ms a ms, for a second.
+// kBudgetFraction 0.6 x overload_factor 2 x capacity fraction 0.2 x 1 ms of work per ms, for a second.
 constexpr double kBudgetMs = 240;
 
 TEST_F(SlowStartBudget, AdmitsItsFractionOfWhatAWarmBackendServes) {
   EXPECT_TRUE(slow_start_.HasBudget(backend_, kBudgetMs - 1, budget_, At(1)));
   SlowStart::OnSent(backend_.slow_start, /*warming_up=*/true, kBudgetMs - 10, At(1));
   EXPECT_FALSE(slow_start_.HasBudget(backend_, 20, budget_, At(2)));
-  EXPECT_TRUE(slow_start_.HasBudget(backend_, 20, budget_, At(1200))) << "the window has passed";
+  EXPECT_TRUE(slow_start_.HasBudget(backend_, 20, budget_, At(1200))) << "the overload window has passed";
 }
 
 TEST_F(SlowStartBudget, AdmitsNothingOutsideOfTheSubset) {
@@ -74,7 +74,8 @@
 TEST_F(SlowStartBudget, AdmitsALargeRequestOnceTheBudgetHasPaidForIt) {
   SlowStart::OnSent(backend_.slow_start, true, 1, At(0));
   EXPECT_FALSE(slow_start_.HasBudget(backend_, 480, budget_, At(1200)));
-  EXPECT_TRUE(slow_start_.HasBudget(backend_, 480, budget_, At(2001))) << "480 ms at 0.24 ms a ms";
+  EXPECT_TRUE(slow_start_.HasBudget(backend_, 480, budget_, At(2001)))
+      << "at 0.24 ms per ms, 480 ms of work take 2000 ms";
 }
 
 TEST_F(SlowStartBudget, ExportsAndRestoresWhatWasSent) {
@@ -97,7 +98,7 @@
   rates.Decay(Duration(0));
   EXPECT_DOUBLE_EQ(rates.RelativeRate(0, 0), 1.5);
   EXPECT_DOUBLE_EQ(rates.RelativeRate(1, 0), 0.5);
-  EXPECT_GT(rates.RelativeRate(1, 100), 0.5) << "with a prior it is taken for the mean longer";
+  EXPECT_GT(rates.RelativeRate(1, 100), 0.5) << "prior work at the mean rate moves the result towards 1";
 }
 
 }  // namespace
--- a/tests/decision/subset_test.cpp
+++ b/tests/decision/subset_test.cpp
@@ -48,7 +48,7 @@
   Subset subset{Settings()};
   EXPECT_TRUE(subset.SetEvaluableBackends(20));
   EXPECT_FALSE(subset.SetEvaluableBackends(20));
-  EXPECT_FALSE(subset.SetEvaluableBackends(10)) << "half is still enough";
+  EXPECT_FALSE(subset.SetEvaluableBackends(10)) << "a change to half of the number is ignored";
   EXPECT_TRUE(subset.SetEvaluableBackends(9));
   EXPECT_TRUE(subset.SetEvaluableBackends(21));
 }
--- a/tests/decision/subsetting_scenarios_test.cpp
+++ b/tests/decision/subsetting_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which backends each of many proxies uses.
+// Which backends each of many proxies uses. Guards against backends with too many connections, and against
+// backends that no proxy uses.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,15 +13,15 @@
 namespace copperpoint::testing {
 namespace {
 
-// Hundreds of proxies with a connection to every backend would be more than backends accept.
+// If hundreds of proxies each had a connection to every backend, backends would run out of connections.
 TEST(Subsetting, LightTrafficUsesFewBackendsSpreadEvenlyOverProxies) {
   constexpr int kProxies = 400, kBackends = 80;
   std::map<BackendId, int> proxies_at;
-  for (int me = 0; me < kProxies; ++me) {
+  for (int proxy_index = 0; proxy_index < kProxies; ++proxy_index) {
     Settings settings = DefaultSettings();
     settings.proxy_count = kProxies;
-    settings.proxy_index = me;
-    BalancerHarness harness(settings, me + 1);
+    settings.proxy_index = proxy_index;
+    BalancerHarness harness(settings, proxy_index + 1);
     harness.SetBackends(kBackends);
     std::set<BackendId> used;
     for (int i = 0; i < 100; ++i) {
@@ -38,7 +39,8 @@
   for (const auto& [s, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << s;
 }
 
-// Subsets of a fixed size would bring too many proxies to each backend that is left.
+// After most of the fleet has been removed, subsets of a fixed size would bring too many proxies to each of
+// the remaining backends.
 TEST(Subsetting, ShrunkFleetIsUsedThroughSmallerSubsets) {
   Settings settings = DefaultSettings();
   settings.proxy_count = 640;
@@ -55,7 +57,7 @@
     if (const auto s = harness.SubmitRequest(id, 2, 10))
       used.insert(*s), harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
   }
-  EXPECT_LE(used.size(), 4u) << "640 x 3 / 30 is 64";
+  EXPECT_LE(used.size(), 4u) << "640 proxies with 3 of 30 backends each are 64 proxies per backend";
 }
 
 TEST(Subsetting, ClosesIdleConnectionsOfEjectedBackend) {
@@ -93,15 +95,15 @@
   EXPECT_EQ(used.size(), 40u);
 }
 
-// Proxies at even positions of the ring use subsets that cover it evenly, whatever their numbers are; one
-// that moves closes its idle connections.
+// Proxies at evenly spaced positions of the ring must use subsets that cover it evenly, whatever their
+// proxy_index is. A proxy whose position changes must close its idle connections.
 TEST(Subsetting, AssignedPositionsDivideBackendsEvenly) {
   constexpr int kBackends = 64, kProxies = 8;
-  std::map<BackendId, int> holders;
+  std::map<BackendId, int> proxies_at;
   for (int proxy = 0; proxy < kProxies; ++proxy) {
     Settings settings = DefaultSettings();
     settings.proxy_count = 200;
-    settings.proxy_index = 3;  // all the same number
+    settings.proxy_index = 3;  // the same at all proxies
     BalancerHarness harness(settings);
     harness.SetBackends(kBackends);
     harness.Handle(SubsetPosition{static_cast<double>(proxy) / kProxies});
@@ -113,12 +115,12 @@
       harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
     }
     EXPECT_LE(used.size(), 8u);
-    for (const BackendId backend : used) ++holders[backend];
+    for (const BackendId backend : used) ++proxies_at[backend];
     harness.Handle(SubsetPosition{static_cast<double>(proxy) / kProxies + 0.5 / kProxies});
     EXPECT_GE(harness.CountActions<CloseIdleConnections>(), 3);
   }
-  EXPECT_EQ(holders.size(), static_cast<std::size_t>(kBackends));
-  for (const auto& [backend, n] : holders) EXPECT_EQ(n, 1) << backend;
+  EXPECT_EQ(proxies_at.size(), static_cast<std::size_t>(kBackends));
+  for (const auto& [backend, n] : proxies_at) EXPECT_EQ(n, 1) << backend;
 }
 
 }  // namespace
--- a/tests/decision/zone_outage_detector_test.cpp
+++ b/tests/decision/zone_outage_detector_test.cpp
@@ -22,7 +22,8 @@
   EXPECT_TRUE(detector_.OnNoAnswer(kZone, 1, At(3), random_));
   EXPECT_TRUE(detector_.InOutage(kZone, At(4)));
   EXPECT_FALSE(detector_.InOutage(kOtherZone, At(4)));
-  EXPECT_FALSE(detector_.InOutage(kZone, At(3 + 2500))) << "at most 1.25 times the ejection time";
+  EXPECT_FALSE(detector_.InOutage(kZone, At(3 + 2500)))
+      << "an outage lasts at most 1.25 times the base ejection time";
 }
 
 TEST_F(ZoneOutageDetectorTest, IgnoresOneBackendThatDoesNotAnswer) {
--- a/tests/decision/zone_outage_scenarios_test.cpp
+++ b/tests/decision/zone_outage_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A zone whose backends do not respond.
+// A zone whose backends do not respond. Guards against requests that are sent there again and again, and
+// against a zone that is avoided without need.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 namespace copperpoint::testing {
 namespace {
 
-// Three zones of six backends each; an id says its zone: 100 and on, 200 and on, 300 and on.
+// Three zones of six backends each. The ids of the backends of zone N are 100 * N to 100 * N + 5.
 class ThreeZones {
  public:
   explicit ThreeZones(Settings settings = DefaultSettings()) : harness(std::move(settings)) {
@@ -63,7 +64,7 @@
   EXPECT_GT(fleet.CountAttempts(60, {}, 3), 5);
   const int lost = fleet.CountAttempts(60, {3}, 3);
   EXPECT_GE(lost, 3);
-  EXPECT_LE(lost, 7) << "backend by backend it would be six times two or more";
+  EXPECT_LE(lost, 7) << "detection per backend would cost at least two attempts at each of six backends";
 }
 
 TEST(ZoneOutage, FirstResponseAfterBackoffRestoresZone) {
@@ -75,7 +76,7 @@
   fleet.harness.AdvanceTime(1);
   fleet.CountAttempts(60, {3}, 3);
   fleet.harness.AdvanceTime(2500);
-  EXPECT_LE(fleet.CountAttempts(60, {3}, 3), 4) << "and avoided again, if it is still silent";
+  EXPECT_LE(fleet.CountAttempts(60, {3}, 3), 4) << "a zone that is still silent is avoided again";
 }
 
 TEST(ZoneOutage, NoZoneIsAvoidedWhenNoneResponds) {
@@ -96,7 +97,7 @@
       backend = fleet.harness.AttemptBackend(id);
     }
   }
-  EXPECT_EQ(logged, 0) << "the fault is likely the proxy's own";
+  EXPECT_EQ(logged, 0) << "if no zone responds, the cause is likely the proxy's own connection";
   for (int i = 0; i < 10; ++i) EXPECT_FALSE(fleet.RunRequest({}).empty());
 }
 
@@ -104,11 +105,11 @@
   ThreeZones fleet;
   fleet.CountAttempts(60, {}, 3);
   fleet.CountAttempts(30, {2, 3}, 2);
-  int away = 0;
+  int to_silent_zones = 0;
   for (int i = 0; i < 40; ++i) {
-    for (const int zone : fleet.RunRequest({2, 3})) away += zone != 1;
+    for (const int zone : fleet.RunRequest({2, 3})) to_silent_zones += zone != 1;
   }
-  EXPECT_LE(away, 2);
+  EXPECT_LE(to_silent_zones, 2);
 }
 
 TEST(ZoneOutage, OneSilentBackendDoesNotExcludeItsZone) {
@@ -117,10 +118,11 @@
   fleet.harness.UpdateEndpoints(list);
   fleet.CountAttempts(20, {3}, 3);
   fleet.harness.UpdateEndpoints({MakeEndpoint(301, 3)}, EndpointUpdateKind::kIncremental);
-  EXPECT_GT(fleet.CountAttempts(20, {}, 3), 0) << "the new one is used";
+  EXPECT_GT(fleet.CountAttempts(20, {}, 3), 0) << "the new backend of the zone is used";
 }
 
-// Timeouts of an unreachable zone say nothing of the load of the others.
+// Timeouts of an unreachable zone say nothing about the load of the other zones, and must not lead to
+// rejections.
 TEST(ZoneOutage, TimeoutsOfSilentZoneAreNoOverload) {
   Settings settings = DefaultSettings();
   settings.proxy_count = 100;
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A Balancer under test, its clock, and methods that send it events.
+// A Balancer under test with its clock, and functions that send it events.
 #ifndef COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 #define COPPERPOINT_TESTS_SUPPORT_BALANCER_FIXTURE_H_
 
@@ -19,7 +19,7 @@
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-// Settings of a request class; times in milliseconds.
+// Returns the settings of a request class. Times are in milliseconds.
 inline ClassSettings MakeClass(Idempotency idempotency, double latency_objective = 200,
                                double deadline = 1000) {
   ClassSettings c;
@@ -30,7 +30,8 @@
   return c;
 }
 
-// Three request classes: 0 idempotent, 1 with an idempotency key (of a cell), 2 not idempotent.
+// Returns settings with three request classes: 0 is idempotent, 1 has an idempotency key with the scope of a
+// cell, and 2 is not idempotent.
 inline Settings DefaultSettings() {
   Settings s;
   s.classes = {MakeClass(Idempotency::kIdempotent), MakeClass(Idempotency::kIdempotencyKey),
@@ -57,15 +58,15 @@
   return e;
 }
 
-// Owns a Balancer and its clock, in milliseconds; records the actions that it answers events with.
+// Owns a Balancer and its clock, and records the actions that the Balancer returns.
 class BalancerHarness {
  public:
   explicit BalancerHarness(Settings settings = DefaultSettings(), std::uint64_t seed = 1)
       : balancer_(std::move(settings), seed) {}
 
-  double now = 100000;
-  std::vector<Action> actions;         // of the last event
-  std::vector<StartAttempt> attempts;  // of all events
+  double now = 100000;                 // the Balancer's time, in milliseconds
+  std::vector<Action> actions;         // actions of the last event
+  std::vector<StartAttempt> attempts;  // attempts started by all events
 
   const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
@@ -81,7 +82,7 @@
     Handle(EndpointUpdate{kind, std::move(endpoints)});
   }
 
-  // A snapshot of the backends 1 to n.
+  // Sends a snapshot of the backends 1 to n.
   void SetBackends(int n) {
     std::vector<Endpoint> endpoints;
     for (int i = 1; i <= n; ++i) endpoints.push_back(MakeEndpoint(static_cast<BackendId>(i)));
@@ -120,7 +121,7 @@
     Handle(TimerFired{});
   }
 
-  // The backend to which the last event started an attempt of the request.
+  // Returns the backend at which the last event started an attempt of the request.
   std::optional<BackendId> AttemptBackend(RequestId id) const {
     for (const Action& a : actions) {
       const auto* start = std::get_if<StartAttempt>(&a);
@@ -129,7 +130,7 @@
     return std::nullopt;
   }
 
-  // How many actions of the type the last event had.
+  // Returns how many actions of the type T the last event led to.
   template <typename T>
   int CountActions() const {
     int n = 0;
@@ -145,7 +146,8 @@
 
 inline RequestId next_request_id = 1;
 
-// Submits a request and completes it: with `outcome` at one of the backends `failing`, else with success.
+// Submits a request and completes it, with `outcome` if its backend is one of `failing` and otherwise with
+// success.
 inline void CompleteOneRequest(BalancerHarness& harness, AttemptOutcome outcome, std::set<BackendId> failing,
                                double duration = 10) {
   const RequestId id = next_request_id++;
@@ -155,7 +157,7 @@
   harness.CompleteAttempt(id, 0, *backend, fails ? outcome : AttemptOutcome::kSuccess, duration);
 }
 
-// Submits a request and completes it with success. Returns its backend, if an attempt started.
+// Submits a request and completes it with success. Returns its backend if an attempt was started.
 inline std::optional<BackendId> SubmitAndComplete(BalancerHarness& harness) {
   const RequestId id = next_request_id++;
   const auto backend = harness.SubmitRequest(id);
@@ -163,7 +165,7 @@
   return backend;
 }
 
-// Whether one of three requests at once goes to the backend.
+// Returns whether the backend gets one of three requests that are submitted at the same time.
 inline bool IsInService(BalancerHarness& harness, BackendId backend) {
   std::vector<std::pair<RequestId, BackendId>> open;
   bool seen = false;
@@ -189,7 +191,7 @@
       ASSERT_TRUE(s.has_value());
       open[*s] = id;
     }
-    // Backend 1 last: the others have reached the minimum volume by then.
+    // Backend 1 is completed last, so that the others have reached the minimum volume before.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
       const auto [s, id] = *it;
       harness.CompleteAttempt(id, 0, s, s == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
