--- a/benchmarks/pick_bench.cpp
+++ b/benchmarks/pick_bench.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the decision module costs as the fleet grows: a pick, an outcome, both together and the memory, while
-// half as many requests are out as there are backends, and answers take 20 ms. Read the ratios within one
-// run.
+// Measures the cost of the decision module for several numbers of backends: a pick, an outcome, both
+// together, and memory. Half as many requests are in flight as there are backends, and answers take 20 ms.
+// Only the ratios within one run are meaningful.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -17,9 +17,9 @@
 namespace copperpoint {
 namespace {
 
-constexpr Duration kAnswer{20};
+constexpr Duration kLatency{20};
 
-Settings SettingsFor() {
+Settings BenchmarkSettings() {
   Settings s;
   ClassSettings lookup;
   lookup.idempotency = Idempotency::kIdempotent;
@@ -30,122 +30,124 @@
   return s;
 }
 
-// A proxy in a steady state.
-class Steady {
+// A Balancer in a steady state, with half as many requests in flight as there are backends.
+class LoadedProxy {
  public:
-  explicit Steady(int backends)
-      : balancer_(SettingsFor(), 1), out_at_once_(static_cast<std::size_t>(backends) / 2) {
+  explicit LoadedProxy(int backends)
+      : balancer_(BenchmarkSettings(), 1), target_in_flight_(static_cast<std::size_t>(backends) / 2) {
     EndpointUpdate list{EndpointUpdateKind::kSnapshot, {}};
     for (int i = 0; i < backends; ++i) {
-      Endpoint entry;
-      entry.backend = static_cast<BackendId>(i);
-      list.endpoints.push_back(entry);
+      Endpoint endpoint;
+      endpoint.backend = static_cast<BackendId>(i);
+      list.endpoints.push_back(endpoint);
     }
     Handle(list);
-    gap_ = kAnswer / static_cast<double>(out_at_once_);
-    // Long enough for the module's averages and its subset to have settled.
-    for (std::size_t i = 0; i < out_at_once_ * 6 + 5000; ++i) Turn();
+    interval_ = kLatency / static_cast<double>(target_in_flight_);
+    // Runs until the averages and the subset of the module have settled.
+    for (std::size_t i = 0; i < target_in_flight_ * 6 + 5000; ++i) AnswerAndSubmit();
   }
 
-  // One request comes, the oldest one out is answered.
-  void Turn() {
-    now_ += gap_;
-    while (!out_.empty() && out_.front().due <= now_) AnswerOldest();
-    Ask();
+  // Advances to the next arrival: completes the attempts that are due and submits a request.
+  void AnswerAndSubmit() {
+    now_ += interval_;
+    while (!in_flight_.empty() && in_flight_.front().due <= now_) CompleteOldest();
+    SubmitRequest();
   }
 
-  void Ask() {
-    RequestReceived submit;
-    submit.request = ++last_;
-    submit.deadline = now_ + Duration(2500);
-    submit.has_work_estimate = true;
-    submit.estimated_work_ms = 10;
-    Handle(submit);
+  void SubmitRequest() {
+    RequestReceived received;
+    received.request = ++last_request_;
+    received.deadline = now_ + Duration(2500);
+    received.has_work_estimate = true;
+    received.estimated_work_ms = 10;
+    Handle(received);
   }
 
-  void AnswerOldest() {
-    if (out_.empty()) return;
-    AttemptCompleted end;
-    end.request = out_.front().request;
-    end.backend = out_.front().server;
-    end.request_completed = true;
-    end.outcome = AttemptOutcome::kSuccess;
-    end.duration = kAnswer;
-    out_.pop_front();
-    Handle(end);
+  void CompleteOldest() {
+    if (in_flight_.empty()) return;
+    AttemptCompleted completed;
+    completed.request = in_flight_.front().request;
+    completed.backend = in_flight_.front().backend;
+    completed.request_completed = true;
+    completed.outcome = AttemptOutcome::kSuccess;
+    completed.duration = kLatency;
+    in_flight_.pop_front();
+    Handle(completed);
   }
 
-  // Time goes on by as many gaps as requests are to come at once.
-  void Wait(int requests) { now_ += gap_ * requests; }
+  // Advances the time by that of `requests` arrivals.
+  void AdvanceTime(int requests) { now_ += interval_ * requests; }
 
  private:
-  struct Out {
+  struct InFlight {
     TimePoint due;
     RequestId request;
-    BackendId server;
+    BackendId backend;
   };
   void Handle(const Event& event) {
     actions_.clear();
     balancer_.Handle(now_, event, &actions_);
     for (const Action& action : actions_) {
-      if (const auto* dispatch = std::get_if<StartAttempt>(&action))
-        out_.push_back({now_ + kAnswer, dispatch->request, dispatch->backend});
+      if (const auto* start = std::get_if<StartAttempt>(&action))
+        in_flight_.push_back({now_ + kLatency, start->request, start->backend});
     }
   }
 
   Balancer balancer_;
-  std::size_t out_at_once_;
-  Duration gap_{1};
+  std::size_t target_in_flight_;
+  Duration interval_{1};
   TimePoint now_{Duration(1e9)};
-  RequestId last_ = 0;
-  std::deque<Out> out_;
+  RequestId last_request_ = 0;
+  std::deque<InFlight> in_flight_;
   std::vector<Action> actions_;
 };
 
-// One for each size: the benchmark calls its function again and again to find how often it has to.
-Steady& SteadyOf(std::int64_t backends) {
-  static std::map<std::int64_t, Steady> all;
+// Returns the proxy for a number of backends. It is kept, since the library calls a benchmark function
+// several times.
+LoadedProxy& LoadedProxyOf(std::int64_t backends) {
+  static std::map<std::int64_t, LoadedProxy> all;
   return all.try_emplace(backends, static_cast<int>(backends)).first->second;
 }
 
 void RequestAndOutcome(benchmark::State& state) {
-  Steady& steady = SteadyOf(state.range(0));
-  for (auto _ : state) steady.Turn();
+  LoadedProxy& proxy = LoadedProxyOf(state.range(0));
+  for (auto _ : state) proxy.AnswerAndSubmit();
 }
 
-// In handfuls, so that the clock is read seldom: what only one of the two kinds of events costs.
-constexpr int kHandful = 4;  // of twelve backends six requests are out
+// Measures the cost of only one of the two kinds of events. Events are measured in batches, so that the clock
+// is read seldom.
+constexpr int kBatchSize = 4;  // fewer than the six requests in flight at twelve backends
 
-void TimedByHand(benchmark::State& state, bool picks) {
-  Steady& steady = SteadyOf(state.range(0));
+void MeasureBatches(benchmark::State& state, bool measure_picks) {
+  LoadedProxy& proxy = LoadedProxyOf(state.range(0));
   for (auto _ : state) {
-    steady.Wait(kHandful);
+    proxy.AdvanceTime(kBatchSize);
     const auto start = std::chrono::steady_clock::now();
-    for (int k = 0; k < kHandful; ++k) steady.AnswerOldest();
+    for (int k = 0; k < kBatchSize; ++k) proxy.CompleteOldest();
     const auto between = std::chrono::steady_clock::now();
-    for (int k = 0; k < kHandful; ++k) steady.Ask();
+    for (int k = 0; k < kBatchSize; ++k) proxy.SubmitRequest();
     const auto end = std::chrono::steady_clock::now();
-    state.SetIterationTime(std::chrono::duration<double>(picks ? end - between : between - start).count() /
-                           kHandful);
+    state.SetIterationTime(
+        std::chrono::duration<double>(measure_picks ? end - between : between - start).count() / kBatchSize);
   }
 }
-void Pick(benchmark::State& state) { TimedByHand(state, true); }
-void OutcomeOf(benchmark::State& state) { TimedByHand(state, false); }
+void Pick(benchmark::State& state) { MeasureBatches(state, true); }
+void OutcomeOf(benchmark::State& state) { MeasureBatches(state, false); }
 
-// What one module holds of the heap in its steady state.
+// Measures the heap memory of one Balancer in its steady state.
 void Memory(benchmark::State& state) {
   const std::size_t before = mallinfo2().uordblks;
-  const Steady steady(static_cast<int>(state.range(0)));
-  const std::size_t held = mallinfo2().uordblks - before;
-  for (auto _ : state) benchmark::DoNotOptimize(held);
-  state.counters["bytes"] = static_cast<double>(held);
-  state.counters["per_backend"] = static_cast<double>(held) / static_cast<double>(state.range(0));
+  const LoadedProxy proxy(static_cast<int>(state.range(0)));
+  const std::size_t allocated = mallinfo2().uordblks - before;
+  for (auto _ : state) benchmark::DoNotOptimize(allocated);
+  state.counters["bytes"] = static_cast<double>(allocated);
+  state.counters["per_backend"] = static_cast<double>(allocated) / static_cast<double>(state.range(0));
 }
 
 void Sizes(benchmark::internal::Benchmark* bench) {
   for (const int backends : {12, 100, 1000, 10000}) bench->Arg(backends);
 }
-// A fixed number, so that callgrind counts the same work in two programs.
+// The number of iterations is fixed, so that callgrind counts the same work in two programs.
 constexpr int kIterations = 40000;
 BENCHMARK(RequestAndOutcome)->Apply(Sizes)->Iterations(kIterations)->Unit(benchmark::kMicrosecond);
 BENCHMARK(Pick)->Apply(Sizes)->Iterations(kIterations)->Unit(benchmark::kMicrosecond)->UseManualTime();
--- a/benchmarks/request_cost.sh
+++ b/benchmarks/request_cost.sh
@@ -1,19 +1,20 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
 #
-# Instructions of a request through a real `serve`, program beside program, counted by callgrind: the difference of
-# two runs of the rig at different rates over the difference of their requests, so that start and idling fall out.
+# Measures the instructions that `serve` executes per request, for one or more programs, with callgrind. The result is
+# the difference of the instructions of two rig runs at different rates, divided by the difference of their requests, so
+# that the cost of starting and idling cancels out.
 #
 #   benchmarks/request_cost.sh RIG PROGRAM [PROGRAM...]
 #
-# RIG is the program that plays the rig; a PROGRAM may be of an earlier commit of this repository.
+# RIG is the program that runs the rig. A PROGRAM may be built from an earlier commit of this repository.
 set -euo pipefail
 rig=$(realpath "$1")
 shift
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# Instructions and requests of one run at a rate.
+# Prints the instructions and the number of requests of one run at RATE requests per second.
 count() {  # PROGRAM RATE
   cat >"$work/plan.toml" <<PLAN
 members = 1
@@ -53,5 +54,5 @@
   read -r few few_requests <<<"$(count "$program" 20)"
   read -r many many_requests <<<"$(count "$program" 120)"
   awk -v p="$program" -v i=$((many - few)) -v r=$((many_requests - few_requests)) \
-    'BEGIN { printf "%s: %.0f instructions a request (%d requests)\n", p, i / r, r }'
+    'BEGIN { printf "%s: %.0f instructions per request (%d requests)\n", p, i / r, r }'
 done
