--- a/tests/decision/backend_selection_scenarios_test.cpp
+++ b/tests/decision/backend_selection_scenarios_test.cpp
@@ -92,12 +92,12 @@
     for (int i = 0; i < 120; ++i) {
       harness.AdvanceTime(200);
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10);
-      if (!s) continue;  // the request was rejected because its service time is too long
-      if (i >= 40) to_other_zone += *s > 20;
-      const bool late = overloaded && *s <= 20;  // succeeds, but long after the objective
+      const auto backend = harness.SubmitRequest(id, 2, 10);
+      if (!backend) continue;  // the request was rejected because its service time is too long
+      if (i >= 40) to_other_zone += *backend > 20;
+      const bool late = overloaded && *backend <= 20;  // succeeds, but long after the objective
       if (late) harness.now += 400;
-      harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, late ? 400 : 20);
+      harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, late ? 400 : 20);
     }
     if (overloaded) {
       EXPECT_GT(to_other_zone, 30) << "of 80";
--- a/tests/decision/concurrency_limit_scenarios_test.cpp
+++ b/tests/decision/concurrency_limit_scenarios_test.cpp
@@ -24,8 +24,9 @@
     harness.SetBackends(80);
     for (int i = 0; i < 60; ++i) {
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-      if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, overloaded && i >= 45 ? 120 : 10);
+      const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+      if (backend)
+        harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, overloaded && i >= 45 ? 120 : 10);
       harness.AdvanceTime(200);
     }
     const std::size_t before = harness.attempts.size();
--- a/tests/decision/determinism_scenarios_test.cpp
+++ b/tests/decision/determinism_scenarios_test.cpp
@@ -16,10 +16,11 @@
   for (BalancerHarness* harness : {&a, &b}) {
     harness->SetBackends(5);
     for (RequestId id = 1; id <= 200; ++id) {
-      const auto s = harness->SubmitRequest(id, static_cast<int>(id % 3));
+      const auto backend = harness->SubmitRequest(id, static_cast<int>(id % 3));
       harness->AdvanceTime(3);
-      if (s && id % 4)
-        harness->CompleteAttempt(id, 0, *s, id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
+      if (backend && id % 4)
+        harness->CompleteAttempt(id, 0, *backend,
+                                 id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
     }
   }
   ASSERT_EQ(a.attempts.size(), b.attempts.size());
--- a/tests/decision/invalid_events_scenarios_test.cpp
+++ b/tests/decision/invalid_events_scenarios_test.cpp
@@ -58,9 +58,9 @@
   harness.SetBackends(1000);
   for (int i = 0; i < 100; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, i % 3, 0, 900);
-    ASSERT_TRUE(s.has_value());
-    harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
+    const auto backend = harness.SubmitRequest(id, i % 3, 0, 900);
+    ASSERT_TRUE(backend.has_value());
+    harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
     harness.AdvanceTime(200);
   }
 }
--- a/tests/decision/key_affinity_scenarios_test.cpp
+++ b/tests/decision/key_affinity_scenarios_test.cpp
@@ -42,8 +42,9 @@
   for (const auto& [key, backends] : used[0]) {
     EXPECT_LE(backends.size(), 4u) << key;
     all.insert(backends.begin(), backends.end());
-    for (const BackendId s : backends)
-      EXPECT_TRUE(s == 3 || used[1][key].contains(s)) << "the key left a backend that is still listed";
+    for (const BackendId backend : backends)
+      EXPECT_TRUE(backend == 3 || used[1][key].contains(backend))
+          << "the key left a backend that is still listed";
     EXPECT_LE(used[1][key].size(), 4u) << key;
   }
   EXPECT_EQ(all.size(), 8u) << "keys are spread over all backends";
--- a/tests/decision/load_shedding_scenarios_test.cpp
+++ b/tests/decision/load_shedding_scenarios_test.cpp
@@ -22,10 +22,10 @@
     harness.SetBackends(80);
     for (int i = 0; i < 120; ++i) {
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-      if (s && i >= 60) ++sent[overloaded];
-      if (s)
-        harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess,
+      const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+      if (backend && i >= 60) ++sent[overloaded];
+      if (backend)
+        harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess,
                                 overloaded && i >= 30 ? 250 : 10);  // objective: 200 ms
       harness.AdvanceTime(200);
     }
@@ -44,10 +44,10 @@
   int sent = 0;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-    sent += s.has_value();
-    if (s)
-      harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess,
+    const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+    sent += backend.has_value();
+    if (backend)
+      harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess,
                               i % 3 == 0 ? 8 : 110);  // objective: 200 ms
     harness.AdvanceTime(150);
   }
@@ -64,9 +64,10 @@
   int sent = 0;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-    if (s && i >= 60) ++sent;
-    if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, 240);  // objective: 200 ms
+    const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+    if (backend && i >= 60) ++sent;
+    if (backend)
+      harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, 240);  // objective: 200 ms
     harness.AdvanceTime(200);
   }
   EXPECT_LT(sent, 50);
@@ -83,16 +84,18 @@
     harness.SetBackends(60);
     for (int i = 0; i < 60; ++i) {
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-      if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, 250);  // objective: 200 ms
+      const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+      if (backend)
+        harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, 250);  // objective: 200 ms
       harness.AdvanceTime(50);
     }
     std::vector<bool> admissions;
     for (int request_number = 0; request_number < 200; ++request_number) {
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10 + 0.01 * request_number, 5000, 1000 + request_number);
-      admissions.push_back(s.has_value());
-      if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, 130);
+      const auto backend =
+          harness.SubmitRequest(id, 2, 10 + 0.01 * request_number, 5000, 1000 + request_number);
+      admissions.push_back(backend.has_value());
+      if (backend) harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, 130);
       harness.AdvanceTime(50);
     }
     return admissions;
@@ -113,10 +116,11 @@
   harness.SetBackends(60);
   const auto submit_request = [&](std::uint64_t key, double duration) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 0, 5000, key);
-    if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, duration);  // objective: 200 ms
+    const auto backend = harness.SubmitRequest(id, 2, 0, 5000, key);
+    if (backend)
+      harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, duration);  // objective: 200 ms
     harness.AdvanceTime(50);
-    return s.has_value();
+    return backend.has_value();
   };
   for (int i = 0; i < 60; ++i) submit_request(0, 250);
   std::map<std::uint64_t, int> served;
@@ -145,9 +149,9 @@
   BalancerHarness harness;
   harness.SetBackends(3);
   const RequestId first = next_request_id++;
-  const auto s = harness.SubmitRequest(first, 2, 10, 5000);
-  ASSERT_TRUE(s.has_value());
-  harness.CompleteAttempt(first, 0, *s, AttemptOutcome::kSuccess, 190);
+  const auto backend = harness.SubmitRequest(first, 2, 10, 5000);
+  ASSERT_TRUE(backend.has_value());
+  harness.CompleteAttempt(first, 0, *backend, AttemptOutcome::kSuccess, 190);
   EXPECT_TRUE(harness.SubmitRequest(next_request_id++, 2, 20, 350).has_value())
       << "one answer is too few to expect 380 ms, which is past the objective and the deadline";
 }
@@ -160,8 +164,9 @@
     harness.SetBackends(80);
     for (int i = 0; i < 40; ++i) {
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 900);
-      if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, overloaded && i >= 30 ? 180 : 20);
+      const auto backend = harness.SubmitRequest(id, 2, 10, 900);
+      if (backend)
+        harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, overloaded && i >= 30 ? 180 : 20);
       harness.AdvanceTime(200);
     }
     EXPECT_EQ(harness.SubmitRequest(next_request_id++, 0, 600, 900).has_value(), !overloaded)
@@ -220,9 +225,9 @@
   harness.SetBackends(3);
   RequestId id = 0;
   const auto served = [&](double remaining_ms) {
-    const auto s = harness.SubmitRequest(++id, 2, 10, remaining_ms);
-    if (s) harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
-    return s.has_value();
+    const auto backend = harness.SubmitRequest(++id, 2, 10, remaining_ms);
+    if (backend) harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
+    return backend.has_value();
   };
   for (int i = 0; i < 100; ++i) served(600);
   for (int i = 0; i < 40; ++i) served(120), served(600);
--- a/tests/decision/outlier_detection_scenarios_test.cpp
+++ b/tests/decision/outlier_detection_scenarios_test.cpp
@@ -45,10 +45,11 @@
   std::set<BackendId> backends_in_use;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    if (i >= 80) backends_in_use.insert(*s);
-    harness.CompleteAttempt(id, 0, *s, *s <= 4 ? AttemptOutcome::kConnectionReset : AttemptOutcome::kSuccess);
+    const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    if (i >= 80) backends_in_use.insert(*backend);
+    harness.CompleteAttempt(id, 0, *backend,
+                            *backend <= 4 ? AttemptOutcome::kConnectionReset : AttemptOutcome::kSuccess);
   }
   EXPECT_EQ(backends_in_use.size(), 3u) << "four of six backends always fail, and three of them are ejected";
 }
@@ -175,11 +176,12 @@
     for (int i = 0; i < 120; ++i) {
       harness.AdvanceTime(250);
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10);
-      ASSERT_TRUE(s.has_value());
-      const bool fails = *s == 1 || (failing_elsewhere && i % 3 == 0);
-      harness.CompleteAttempt(id, 0, *s, fails ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
-      if (*s == 1 && ++sent > 2) ++after_two;
+      const auto backend = harness.SubmitRequest(id, 2, 10);
+      ASSERT_TRUE(backend.has_value());
+      const bool fails = *backend == 1 || (failing_elsewhere && i % 3 == 0);
+      harness.CompleteAttempt(id, 0, *backend,
+                              fails ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
+      if (*backend == 1 && ++sent > 2) ++after_two;
     }
     if (!failing_elsewhere) {
       EXPECT_LE(sent, 7) << "one or two failures eject the backend; an eighth of 120 attempts would be 15";
@@ -194,13 +196,13 @@
   harness.SetBackends(4);
   for (int i = 0; i < 60; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kServerError);
+    const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kServerError);
   }
   std::set<BackendId> in;
-  for (BackendId s = 1; s <= 4; ++s) {
-    if (IsInService(harness, s)) in.insert(s);
+  for (BackendId backend = 1; backend <= 4; ++backend) {
+    if (IsInService(harness, backend)) in.insert(backend);
   }
   EXPECT_GE(in.size(), 2u) << "at most half of the backends may be ejected";
 }
@@ -210,7 +212,7 @@
   harness.SetBackends(3);
   for (int i = 0; i < 40; ++i) CompleteOneRequest(harness, AttemptOutcome::kServerError, {1, 2, 3});
   int in = 0;
-  for (BackendId s = 1; s <= 3; ++s) in += IsInService(harness, s);
+  for (BackendId backend = 1; backend <= 3; ++backend) in += IsInService(harness, backend);
   EXPECT_EQ(in, 3);
 }
 
@@ -222,10 +224,10 @@
   harness.SetBackends(4);
   for (int i = 0; i < 24; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    harness.CompleteAttempt(id, 0, *s,
-                            *s == 1 || i % 2 ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
+    const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    harness.CompleteAttempt(id, 0, *backend,
+                            *backend == 1 || i % 2 ? AttemptOutcome::kServerError : AttemptOutcome::kSuccess);
   }
   EXPECT_FALSE(IsInService(harness, 1));
 }
--- a/tests/decision/retry_scenarios_test.cpp
+++ b/tests/decision/retry_scenarios_test.cpp
@@ -144,10 +144,10 @@
   harness.SetBackends(5);
   for (int i = 0; i < 300; ++i) {
     const RequestId id = next_request_id++;
-    auto s = harness.SubmitRequest(id, 0);
-    for (int attempt = 0; s; ++attempt) {
-      harness.CompleteAttempt(id, attempt, *s, AttemptOutcome::kServerError);
-      s = harness.AttemptBackend(id);
+    auto backend = harness.SubmitRequest(id, 0);
+    for (int attempt = 0; backend; ++attempt) {
+      harness.CompleteAttempt(id, attempt, *backend, AttemptOutcome::kServerError);
+      backend = harness.AttemptBackend(id);
     }
   }
   EXPECT_LE(harness.attempts.size(), 300u + 20u + 61u)
--- a/tests/decision/slow_start_scenarios_test.cpp
+++ b/tests/decision/slow_start_scenarios_test.cpp
@@ -29,12 +29,13 @@
       std::vector<std::pair<RequestId, BackendId>> open;
       for (int k = 0; k < 3; ++k) {
         const RequestId id = next_request_id++;
-        const auto s = harness.SubmitRequest(id, 2, 10, 900);
-        if (!s) continue;
-        open.emplace_back(id, *s);
-        if (*s == 3) sent.emplace_back(harness.now, 10);
+        const auto backend = harness.SubmitRequest(id, 2, 10, 900);
+        if (!backend) continue;
+        open.emplace_back(id, *backend);
+        if (*backend == 3) sent.emplace_back(harness.now, 10);
       }
-      for (const auto& [id, s] : open) harness.CompleteAttempt(id, 0, s, AttemptOutcome::kSuccess, 5);
+      for (const auto& [id, backend] : open)
+        harness.CompleteAttempt(id, 0, backend, AttemptOutcome::kSuccess, 5);
     }
     return sent;
   };
@@ -113,9 +114,9 @@
     for (int i = 0; i < n; ++i) {
       harness.AdvanceTime(20);
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 400);
-      if (s)
-        ++sent, harness.CompleteAttempt(id, 0, *s,
+      const auto backend = harness.SubmitRequest(id, 2, 10, 400);
+      if (backend)
+        ++sent, harness.CompleteAttempt(id, 0, *backend,
                                         served ? AttemptOutcome::kSuccess : AttemptOutcome::kCancelled, 12);
     }
     return sent;
@@ -146,10 +147,10 @@
     for (int i = 0; i < n; ++i) {
       harness.AdvanceTime(5);
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 400);
-      if (!s) continue;
-      to_first += *s == 1;
-      harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess, 12);
+      const auto backend = harness.SubmitRequest(id, 2, 10, 400);
+      if (!backend) continue;
+      to_first += *backend == 1;
+      harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, 12);
     }
     return to_first;
   };
@@ -169,8 +170,8 @@
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 2000);
-    if (s) ++sent, harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kBackendRejected);
+    const auto backend = harness.SubmitRequest(id, 2, 10, 2000);
+    if (backend) ++sent, harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kBackendRejected);
   }
   EXPECT_LE(sent, 2) << "without a known rate of warm backends, one mean request per window may be sent";
 }
@@ -196,15 +197,16 @@
     harness.UpdateEndpoints({MakeEndpoint(1), MakeEndpoint(2), MakeEndpoint(3)});
     for (int i = 0; i < 100; ++i) {  // a request every 200 ms
       harness.AdvanceTime(200);
-      if (const auto s = harness.SubmitRequest(next_request_id++, 2, 10))
-        harness.CompleteAttempt(next_request_id - 1, 0, *s, AttemptOutcome::kSuccess);
+      if (const auto backend = harness.SubmitRequest(next_request_id++, 2, 10))
+        harness.CompleteAttempt(next_request_id - 1, 0, *backend, AttemptOutcome::kSuccess);
     }
     harness.UpdateEndpoints({MakeEndpoint(3, 0, 0, EndpointState::kReady, harness.now)},
                             EndpointUpdateKind::kIncremental);
     for (int k = 0; k < 5; ++k) {
       harness.AdvanceTime(200);
-      if (const auto s = harness.SubmitRequest(next_request_id++, 2, 10))
-        at_once += *s == 3, harness.CompleteAttempt(next_request_id - 1, 0, *s, AttemptOutcome::kSuccess);
+      if (const auto backend = harness.SubmitRequest(next_request_id++, 2, 10))
+        at_once += *backend == 3,
+            harness.CompleteAttempt(next_request_id - 1, 0, *backend, AttemptOutcome::kSuccess);
     }
   }
   // Each warm backend serves 400 x 10 ms of work every 600 ms, which is 6.7 ms per ms. A backend that is
@@ -229,17 +231,17 @@
     RequestId id = 0;
     const auto submit_request = [&](bool count) {
       harness.AdvanceTime(100);
-      if (const auto s = harness.SubmitRequest(++id, 2, kWork)) {
-        if (count) sent_at[*s].push_back(harness.now);
-        harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
+      if (const auto backend = harness.SubmitRequest(++id, 2, kWork)) {
+        if (count) sent_at[*backend].push_back(harness.now);
+        harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
       }
     };
     harness.SetBackends(kBackends);
     for (int i = 0; i < 100; ++i) submit_request(false);
     started = harness.now;
     std::vector<Endpoint> restarted;
-    for (BackendId s = 1; s <= kBackends; s += 2)
-      restarted.push_back(MakeEndpoint(s, 0, 0, EndpointState::kReady, started));
+    for (BackendId backend = 1; backend <= kBackends; backend += 2)
+      restarted.push_back(MakeEndpoint(backend, 0, 0, EndpointState::kReady, started));
     harness.UpdateEndpoints(restarted, EndpointUpdateKind::kIncremental);
     for (int i = 0; i < kRounds; ++i) submit_request(true);
   }
--- a/tests/decision/subsetting_scenarios_test.cpp
+++ b/tests/decision/subsetting_scenarios_test.cpp
@@ -27,16 +27,16 @@
     for (int i = 0; i < 100; ++i) {
       harness.AdvanceTime(250);
       const RequestId id = next_request_id++;
-      if (const auto s = harness.SubmitRequest(id, 2, 10))
-        used.insert(*s), harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
+      if (const auto backend = harness.SubmitRequest(id, 2, 10))
+        used.insert(*backend), harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
     }
     EXPECT_LE(used.size(), 16u);
     EXPECT_GE(used.size(), 4u);
-    for (const BackendId s : used) ++proxies_at[s];
+    for (const BackendId backend : used) ++proxies_at[backend];
   }
   EXPECT_EQ(proxies_at.size(), static_cast<std::size_t>(kBackends));
   const double mean = 1.0 * kProxies * 8 / kBackends;
-  for (const auto& [s, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << s;
+  for (const auto& [backend, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << backend;
 }
 
 // After most of the fleet has been removed, subsets of a fixed size would bring too many proxies to each of
@@ -54,8 +54,8 @@
   for (int i = 0; i < 60; ++i) {
     harness.AdvanceTime(250);
     const RequestId id = next_request_id++;
-    if (const auto s = harness.SubmitRequest(id, 2, 10))
-      used.insert(*s), harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
+    if (const auto backend = harness.SubmitRequest(id, 2, 10))
+      used.insert(*backend), harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
   }
   EXPECT_LE(used.size(), 4u) << "640 proxies with 3 of 30 backends each are 64 proxies per backend";
 }
@@ -67,9 +67,10 @@
   for (int i = 0; i < 60; ++i) {
     harness.AdvanceTime(250);
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10);
-    ASSERT_TRUE(s.has_value());
-    harness.CompleteAttempt(id, 0, *s, *s == 1 ? AttemptOutcome::kConnectFailure : AttemptOutcome::kSuccess);
+    const auto backend = harness.SubmitRequest(id, 2, 10);
+    ASSERT_TRUE(backend.has_value());
+    harness.CompleteAttempt(id, 0, *backend,
+                            *backend == 1 ? AttemptOutcome::kConnectFailure : AttemptOutcome::kSuccess);
     for (const Action& a : harness.actions) {
       const auto* close = std::get_if<CloseIdleConnections>(&a);
       if (!close) continue;
@@ -89,8 +90,8 @@
   for (int i = 0; i < 2000; ++i) {
     harness.AdvanceTime(5);
     const RequestId id = next_request_id++;
-    if (const auto s = harness.SubmitRequest(id, 2, 10))
-      used.insert(*s), harness.CompleteAttempt(id, 0, *s, AttemptOutcome::kSuccess);
+    if (const auto backend = harness.SubmitRequest(id, 2, 10))
+      used.insert(*backend), harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess);
   }
   EXPECT_EQ(used.size(), 40u);
 }
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -171,12 +171,12 @@
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-    if (!s) break;
-    open.emplace_back(id, *s);
-    seen |= *s == backend;
+    const auto picked = harness.SubmitRequest(id, 2, 10, 5000);
+    if (!picked) break;
+    open.emplace_back(id, *picked);
+    seen |= *picked == backend;
   }
-  for (const auto& [id, s] : open) harness.CompleteAttempt(id, 0, s, AttemptOutcome::kCancelled);
+  for (const auto& [id, picked] : open) harness.CompleteAttempt(id, 0, picked, AttemptOutcome::kCancelled);
   return seen;
 }
 
@@ -187,14 +187,15 @@
     std::map<BackendId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
       const RequestId id = next_request_id++;
-      const auto s = harness.SubmitRequest(id, 2, 10, 5000);
-      ASSERT_TRUE(s.has_value());
-      open[*s] = id;
+      const auto backend = harness.SubmitRequest(id, 2, 10, 5000);
+      ASSERT_TRUE(backend.has_value());
+      open[*backend] = id;
     }
     // Backend 1 is completed last, so that the others have reached the minimum volume before.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
-      const auto [s, id] = *it;
-      harness.CompleteAttempt(id, 0, s, s == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
+      const auto [backend, id] = *it;
+      harness.CompleteAttempt(id, 0, backend,
+                              backend == 1 && i < failures ? outcome : AttemptOutcome::kSuccess);
     }
   }
 }
