--- a/include/copperpoint/balancer.h
+++ b/include/copperpoint/balancer.h
@@ -86,7 +86,7 @@
   double slow_start_min_capacity = 1;  // fraction of its full capacity that a backend has when it starts
   Duration slow_start_window{0};       // a backend reaches its full capacity this long after its start
   double overload_factor = 1;   // a starting backend fails when sent more than this multiple of its capacity
-  Duration overload_window{0};  // ... within this time
+  Duration overload_window{0};  // time over which the work sent is summed for that
 };
 
 // ---- endpoints ----------------------------------------------------------------------------------------
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -22,8 +22,7 @@
 constexpr double kMaxValue = 1e12;       // upper bound of counts, times and rates
 constexpr double kMaxListItems = 65536;  // the protocol has 16 bits for the index of a class or tenant
 
-// The path=value lines of the settings. Lines without "=" are ignored. Refers to the text that it was made
-// of.
+// The path=value lines of the settings. Lines without "=" are ignored. Doesn't own the text.
 class PathValueLines {
  public:
   explicit PathValueLines(std::string_view text) {
--- a/src/decision/client_timeouts.h
+++ b/src/decision/client_timeouts.h
@@ -17,8 +17,7 @@
 // request that arrives with a usual timeout therefore is no last attempt, and its remaining time doesn't tell
 // how much has passed. The usual timeouts of a class are found by counting how often each recurs.
 //
-// Owns the counts of at most kTimeouts timeouts of one class. A new timeout replaces the one with the lowest
-// count.
+// Owns the counts of at most kTimeouts timeouts of one class. A new timeout replaces the one counted least.
 class ClientTimeouts {
  public:
   // Counts a request that arrived with `remaining` until its deadline, where the class has the deadline
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -7,9 +7,9 @@
 namespace copperpoint {
 namespace {
 
-// The mean latency of attempts may be this fraction of the mean latency objective ...
+// The mean latency of attempts may be at most this fraction of the mean latency objective.
 constexpr double kMaxObjectiveFraction = 0.33;
-// ... and this multiple of the uncongested latency.
+// The mean latency of attempts may be at most this multiple of the uncongested latency.
 constexpr double kMaxLatencyMultiple = 3;
 // The number in flight varies like a Poisson variable; this many standard deviations are permitted.
 constexpr double kDeviations = 1;
--- a/src/decision/endpoint_set.cpp
+++ b/src/decision/endpoint_set.cpp
@@ -49,8 +49,7 @@
   return found == index_.end() ? nullptr : &backends_[found->second];
 }
 
-// Returns the record for a new backend: that of a backend removed longer than kRemovedRetention ago, or a new
-// one.
+// Returns the record for a new backend: that of one removed longer than kRemovedRetention ago, or a new one.
 BackendIndex EndpointSet::Add(TimePoint now) {
   BackendIndex index = 0;
   if (!TakeExpiredRecord(now, &index)) {
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -22,8 +22,7 @@
 //   the volume is lower (see RequestVolume), and ejection times are jittered, so that the proxies don't all
 //   send to a backend again at the same time.
 //
-// Owns BackendHealth of all backends and the sums over them, so that an outcome needs no scan of all
-// backends.
+// Owns BackendHealth of all backends and the sums over them, so that an outcome needs no scan of them.
 class OutlierDetector {
  public:
   static constexpr Duration kInterval{2000};
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -13,8 +13,7 @@
 namespace {
 
 constexpr double kMaxWorkMs = 1e6;  // upper bound of clients' work estimates; larger ones are reduced to it
-// Fraction of the latency objective that a request may wait in the queue while the concurrency limit is
-// reached.
+// Fraction of the latency objective that a request may be queued for while the concurrency limit is reached.
 constexpr double kMaxWaitFraction = 0.08;
 
 std::optional<double> WorkEstimateMs(const RequestReceived& received) {
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides whether a request may be forwarded for the first time or again, to which backends, and how it may
-// end.
+// Decides whether a request may be forwarded, once or again, to which backends, and how it may end.
 #ifndef COPPERPOINT_DECISION_RETRY_POLICY_H_
 #define COPPERPOINT_DECISION_RETRY_POLICY_H_
 
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -4,17 +4,16 @@
 namespace copperpoint {
 namespace {
 
-// Lower values of kBudgetFraction and kMaxSubsetMultiple make slow start gentler; a lower kMinWarmCores
-// lowers the least rate. kBudgetFraction: fraction of the overload factor that is used. The rest covers
-// random variation and proxies with outdated endpoint lists. kMaxSubsetMultiple: upper bound of
-// kBudgetFraction times the overload factor if only some proxies send to a backend.
+// Fraction of the overload factor that is used; the rest covers random variation and proxies with outdated
+// endpoint lists. Lower values of this and of kMaxSubsetMultiple make slow start gentler.
 constexpr double kBudgetFraction = 0.6;
+// Upper bound of kBudgetFraction times the overload factor if only some proxies send to a backend.
 constexpr double kMaxSubsetMultiple = 0.75;
-// The rate per backend is computed for at least this fraction of the recent mean number of backends in
-// service.
+// The rate per backend is computed for at least this fraction of the recent mean number in service.
 constexpr double kMinServingFraction = 0.5;
-constexpr double kMinWarmCores = 0.25;  // a warm backend has at least this many standard cores
-constexpr double kWindowSlack = 1.1;    // factor on the overload window that allows for delays
+// A warm backend has at least this many standard cores. A lower value lowers the least rate.
+constexpr double kMinWarmCores = 0.25;
+constexpr double kWindowSlack = 1.1;  // factor on the overload window that allows for delays
 
 }  // namespace
 
@@ -32,8 +31,8 @@
   const double sent_ms = backend.slow_start.sent.Within(now, window);
   if (!budget.in_subset) return false;
   // With subsets, only some of the proxies send to a backend, and each may send proportionally more. The warm
-  // rate is that of the mean machine: a machine of a slow kind gets less, one of a fast kind doesn't get
-  // more.
+  // rate is that of the mean machine: a machine of a slow kind gets less, one of a fast kind no
+  // more than a mean one.
   const double multiple = kBudgetFraction * overload_factor_;
   const double per_slot = budget.backends_per_subset_slot;
   const double rate =
--- a/src/decision/tenant_quotas.h
+++ b/src/decision/tenant_quotas.h
@@ -22,8 +22,7 @@
       rates_per_ms_.push_back(tenant.quota_per_s / settings.proxy_count / 1000);
   }
 
-  // Takes a token; returns false if there is none. A tenant that isn't in the settings has no quota to
-  // exceed.
+  // Takes a token; returns false if there is none. A tenant that isn't in the settings has no quota.
   bool TakeToken(int tenant) {
     if (tenant < 0 || tenant >= static_cast<int>(tokens_.size())) return true;
     double& tokens = tokens_[static_cast<std::size_t>(tenant)];
--- a/tests/adapter/settings_test.cpp
+++ b/tests/adapter/settings_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// How the settings of the simulator are read, and the errors for absent keys and invalid values.
 #include "adapter/settings.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/backend_picker_test.cpp
+++ b/tests/decision/backend_picker_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// How a backend is picked from the state of all backends, rule by rule, and the statistics that the pick
+// uses.
 #include "decision/backend_picker.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/backend_selection_scenarios_test.cpp
+++ b/tests/decision/backend_selection_scenarios_test.cpp
@@ -100,7 +100,7 @@
       harness.CompleteAttempt(id, 0, *backend, AttemptOutcome::kSuccess, late ? 400 : 20);
     }
     if (overloaded) {
-      EXPECT_GT(to_other_zone, 30) << "of 80";
+      EXPECT_GT(to_other_zone, 30) << "of 80 requests, while the own zone is overloaded";
     } else {
       EXPECT_EQ(to_other_zone, 0) << "crossing zones has a cost and gains nothing";
     }
--- a/tests/decision/endpoint_set_test.cpp
+++ b/tests/decision/endpoint_set_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// How endpoint lists change the records of backends. Guards against a removed backend that stays in use, and
+// against a record that is reused while a request refers to it.
 #include "decision/endpoint_set.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/key_affinity_test.cpp
+++ b/tests/decision/key_affinity_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The history of keys, and the backends that all proxies prefer for a key.
 #include "decision/key_affinity.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The rules of outlier detection, for one backend that fails and one that doesn't.
 #include "decision/outlier_detector.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The slow start budget of a backend, and the rates of machine kinds that it depends on.
 #include "decision/slow_start.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/subset_test.cpp
+++ b/tests/decision/subset_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The size and the place of a proxy's subset.
 #include "decision/subset.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/zone_locality_test.cpp
+++ b/tests/decision/zone_locality_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// When a pick prefers the own zone. Guards against requests that stay in an overloaded zone, and against
+// crossings of zones that gain nothing.
 #include "decision/zone_locality.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/zone_outage_detector_test.cpp
+++ b/tests/decision/zone_outage_detector_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// When a zone is taken out of service, and when it returns.
 #include "decision/zone_outage_detector.h"
 
 #include <gtest/gtest.h>
--- a/tests/subsetting/ring_position_test.cpp
+++ b/tests/subsetting/ring_position_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The positions of proxies on the ring of backends. Guards against connections that are distributed unevenly,
+// and against changes of position that close connections without need.
 #include "subsetting/ring_position.h"
 
 #include <gtest/gtest.h>
