--- a/src/proxy/core/action_executor.cpp
+++ b/src/proxy/core/action_executor.cpp
@@ -30,7 +30,7 @@
 void ActionExecutor::Run(const StartAttempt& action) {
   OpenRequest* request = requests_.Find(action.request);
   const auto now = Steady::now();
-  // One that cannot start has a number too.
+  // An attempt that cannot start is counted and numbered as well.
   const int number = request ? request->attempts++ : 0;
   if (!MayStart(request, now) || number >= options_.max_attempts) return ReportNotSent(action, number);
   Start(action, *request, number, now);
@@ -88,7 +88,7 @@
   events_.Dispatch(completed);
 }
 
-// Gives the final answer where the result leaves no choice; otherwise the Balancer decides on a retry.
+// Sends the final response if the result rules out a retry; otherwise the Balancer decides on a retry.
 void ActionExecutor::CompleteRequest(const AttemptRecord& attempt, AttemptResult result) {
   const OpenRequest* request = requests_.Find(attempt.request);
   const auto reject = [&](Responder& to) { to.SendUnavailable(options_.process_limit_retry_after); };
@@ -101,14 +101,14 @@
     requests_.Complete(attempt.request, RequestOutcome::kClientError, RejectReason::kNone,
                        [&](Responder& to) { to.SendClientError(result.response.result()); });
   } else if (result.local_failure) {
-    // Over a limit of this process: no backend is at fault, and another attempt would fare no better.
+    // A limit of this process was reached: no backend is at fault, and another attempt would fail likewise.
     if (attempt.number > 0) {
       requests_.Complete(attempt.request, RequestOutcome::kFailed, RejectReason::kProcessLimit, fail);
     } else {
       requests_.Complete(attempt.request, RequestOutcome::kRejected, RejectReason::kProcessLimit, reject);
     }
   } else if (request && request->upload && request->upload->consumed) {
-    // Part of the body has been forwarded and is no longer here: there can be no other attempt.
+    // Part of the body has been forwarded and is not buffered any more, so that no retry is possible.
     if (RetryPolicy::MayHaveRun(result.outcome)) {
       requests_.Complete(attempt.request, RequestOutcome::kFailed, RejectReason::kRequestBodyConsumed, fail);
     } else {
@@ -130,7 +130,7 @@
   requests_.RemoveIfDone(action.request);
 }
 
-void ActionExecutor::Run(const SetTimer&) {}  // the EventDispatcher's own
+void ActionExecutor::Run(const SetTimer&) {}  // executed by EventDispatcher itself
 
 void ActionExecutor::Run(const PollEndpoints&) { discovery_.Watch(); }
 
--- a/src/proxy/core/action_executor.h
+++ b/src/proxy/core/action_executor.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Carries out the Balancer's actions: attempts, final answers, polls and connections to be closed.
+// Executes the Balancer's actions: starts attempts, sends final responses, polls discovery, closes
+// connections.
 #ifndef COPPERPOINT_PROXY_CORE_ACTION_EXECUTOR_H_
 #define COPPERPOINT_PROXY_CORE_ACTION_EXECUTOR_H_
 
@@ -14,14 +15,14 @@
 
 namespace copperpoint::proxy {
 
-// Decides only what the Balancer can't know: the final answer where this process's own limits or a consumed
-// request body rule out another attempt. Owns no state: requests are the RequestTable's, connections those of
-// BackendPool. Sees to it that each StartAttempt is followed by one AttemptCompleted.
+// Decides only what the Balancer cannot know: the final response where this process's own limits or a
+// consumed request body rule out another attempt. Owns no state: RequestTable owns the requests and
+// BackendPool the connections. Every StartAttempt is followed by exactly one AttemptCompleted.
 class ActionExecutor : public ActionHandler {
  public:
   struct Options {
-    int max_attempts = 1;                   // of one request, the first included
-    Duration process_limit_retry_after{0};  // advice to a client that this process's own limits reject
+    int max_attempts = 1;                   // per request, including the first
+    Duration process_limit_retry_after{0};  // Retry-After where this process's own limits reject a request
   };
 
   ActionExecutor(Options options, RequestTable& requests, BackendPool& backends, DiscoveryClient& discovery,
@@ -31,10 +32,10 @@
   void OnExecuteFailed(const Action& action) override;
 
  private:
-  // An attempt in flight, for its result.
+  // Identifies an attempt in flight when its result arrives.
   struct AttemptRecord {
     RequestId request = 0;
-    int number = 0;  // counted from 0 over the request's attempts
+    int number = 0;  // among the request's attempts, from 0
     BackendId backend = 0;
     Steady::time_point started_at{};
   };
--- a/src/proxy/core/descriptor_budget.cpp
+++ b/src/proxy/core/descriptor_budget.cpp
@@ -9,10 +9,11 @@
 namespace copperpoint::proxy {
 namespace {
 
-// Standard streams, the event loop, the listener, watches of discovery, a connection being accepted.
+// Reserved for standard streams, the event loop, the listener, discovery watches and a connection being
+// accepted.
 constexpr int kBaseDescriptors = 24;
 constexpr int kAdminDescriptors = static_cast<int>(AdminServer::kMaxConnections) + 2;
-// Connections of clients and backends, however many descriptors another process holds.
+// Minimum of client and backend connections together, however many descriptors another process holds.
 constexpr int kMinConnections = 32;
 
 int ReservedDescriptors(const Config& config) {
--- a/src/proxy/core/descriptor_budget.h
+++ b/src/proxy/core/descriptor_budget.h
@@ -10,33 +10,33 @@
 
 namespace copperpoint::proxy {
 
-// A calculation without state of its own; whoever owns the connections applies the limits.
+// Calculates limits and holds no mutable state; the owners of the connections enforce the limits.
 class DescriptorBudget {
  public:
-  // Connections, at most.
+  // Maximum numbers of connections.
   struct Limits {
     std::size_t clients = 0;
     std::size_t backends = 0;
   };
 
-  // `max_descriptors`: of the process. `reserved`: for what is no connection of a client or a backend.
-  // `client_fraction`: of the rest, 0 to 1; backends have what remains.
+  // @param max_descriptors limit of the process. @param reserved for uses other than client and backend
+  // connections. @param client_fraction of the others, 0 to 1; backends get the remainder.
   DescriptorBudget(int max_descriptors, int reserved, double client_fraction);
   explicit DescriptorBudget(const Config& config);
 
-  // While this process is the only one of its proxy.
+  // Limits while this process is the only one of its proxy.
   Limits ForSingleProcess() const;
-  // While another process of the proxy holds so many descriptors: both together hold no more than one may,
-  // but for a minimum that lets this one work.
+  // Limits while another process of the proxy holds `other_descriptors`: both processes together stay within
+  // the limit of one, except for a minimum that lets this process operate.
   Limits BesideProcess(int other_descriptors) const;
-  // Descriptors in use, the reserved ones counted in full.
+  // @return descriptors in use; all reserved descriptors count as used.
   int InUse(std::size_t client_connections, std::size_t backend_connections) const;
 
  private:
   Limits Divide(double descriptors) const;
 
   int reserved_;
-  double connections_;  // of clients and backends together
+  double connections_;  // maximum of client and backend connections together
   double client_fraction_;
 };
 
--- a/src/proxy/core/endpoint_table.cpp
+++ b/src/proxy/core/endpoint_table.cpp
@@ -14,7 +14,7 @@
 namespace copperpoint::proxy {
 namespace {
 
-// Zones that the settings don't name have indices from here on, derived from their names.
+// Zones that the settings don't name get an index from this one on, derived from a hash of the name.
 constexpr int kFirstUnknownZone = 0x10000;
 constexpr std::uint64_t kUnknownZoneMask = 0x3fffffff;
 
@@ -129,7 +129,7 @@
   return static_cast<int>(kFirstUnknownZone + (StableHash(name) & kUnknownZoneMask));
 }
 
-// One past the last for a kind that the settings don't name.
+// A kind that the settings don't name gets the index after the last one.
 int EndpointTable::MachineKindIndex(const std::string& name) const {
   const auto found = std::find(options_.machine_kinds.begin(), options_.machine_kinds.end(), name);
   return static_cast<int>(found - options_.machine_kinds.begin());
--- a/src/proxy/core/endpoint_table.h
+++ b/src/proxy/core/endpoint_table.h
@@ -18,22 +18,22 @@
 
 namespace copperpoint::proxy {
 
-// Owns the backend ids and, for each backend that has been removed, since when. Discovery never uses an id
-// twice, so that a backend is forgotten once it has been removed for the retention time.
+// Owns the backend ids and the removal time of each removed backend. Discovery never reuses an id, so that a
+// backend's data is dropped once the backend has been removed for the retention time.
 class EndpointTable {
  public:
   struct Options {
-    std::vector<std::string> zones, machine_kinds;  // by the Balancer's index
+    std::vector<std::string> zones, machine_kinds;  // names, in the order of the Balancer's indices
     std::chrono::milliseconds removed_retention{900'000};
   };
 
   EndpointTable(Options options, const BalancerClock& clock, BackendPool& backends, EventSink& events);
 
-  // Sets the addresses of the backends on the list, retires those that it removes, and dispatches the update.
+  // Sets the addresses of the listed backends, drains those that the list removes, and dispatches the update.
   void Apply(const EndpointList& list, EndpointUpdateKind kind);
   void set_removed_retention(std::chrono::milliseconds retention) { options_.removed_retention = retention; }
 
-  // Nothing if no list has named the id, or the backend is forgotten.
+  // @return nullopt if no list has contained the id, or the backend's data has been dropped.
   std::optional<BackendId> Find(const std::string& id) const;
   std::unordered_map<BackendId, std::string> IdsByBackend() const;
 
@@ -51,7 +51,7 @@
   BackendPool& backends_;
   EventSink& events_;
   BackendIds backend_ids_;
-  std::unordered_map<std::string, Steady::time_point> removed_since_;  // by discovery's id
+  std::unordered_map<std::string, Steady::time_point> removed_since_;  // by discovery id
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/core/event_dispatcher.cpp
+++ b/src/proxy/core/event_dispatcher.cpp
@@ -12,7 +12,7 @@
 namespace copperpoint::proxy {
 namespace {
 
-// Sets a flag for as long as it lives, exceptions included.
+// Sets a flag for its own lifetime, also if an exception ends the scope.
 class ScopedFlag {
  public:
   explicit ScopedFlag(bool& flag) : flag_(flag) { flag_ = true; }
@@ -62,7 +62,7 @@
   }
 }
 
-// A fault in one action must not stop the others, which may be the answers to other requests.
+// An exception in one action must not prevent the others, which may be responses to other requests.
 void EventDispatcher::Execute(const Action& action) {
   try {
     if (const auto* timer = std::get_if<SetTimer>(&action)) {
--- a/src/proxy/core/event_dispatcher.h
+++ b/src/proxy/core/event_dispatcher.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Runs the decision module: every event goes through here to the Balancer, and its actions come back from
-// here.
+// Runs the decision module: passes every event to the Balancer and the resulting actions to an
+// ActionHandler.
 #ifndef COPPERPOINT_PROXY_CORE_EVENT_DISPATCHER_H_
 #define COPPERPOINT_PROXY_CORE_EVENT_DISPATCHER_H_
 
@@ -17,28 +17,27 @@
 
 namespace copperpoint::proxy {
 
-// Carries out what the Balancer decides.
+// Executes the Balancer's actions.
 class ActionHandler {
  public:
   virtual ~ActionHandler() = default;
   virtual void Execute(const Action& action) = 0;
-  // Execute threw. The Balancer still waits for the completion of an attempt that was to be started.
+  // Execute(action) threw. If it was a StartAttempt, the Balancer still waits for its AttemptCompleted.
   virtual void OnExecuteFailed(const Action& action) = 0;
 };
 
 // The only caller of Balancer::Handle. Owns the queue of events and the Balancer's timers.
 //
-// An action may bring about an event at once; such an event waits in the queue, so that the Balancer is never
-// entered while its actions are being carried out. Events are handled in the order of their arrival, but for
-// endpoint updates, which go before all others that wait: no request is forwarded by a list that is known to
-// be out of date.
+// An event that is dispatched while actions are being executed is queued, so that Balancer::Handle is never
+// re-entered. Events are handled in the order of their arrival, except that endpoint updates precede all
+// other queued events: no request is forwarded according to an endpoint list that is known to be out of date.
 class EventDispatcher : public EventSink {
  public:
   // Balancer::Handle, with the same parameters.
   using Decide = std::function<void(TimePoint now, const Event& event, std::vector<Action>* actions)>;
 
-  // SetTimer is carried out here, every other action by `handler`, which has to be set before the first
-  // event.
+  // SetTimer is executed here, every other action by the handler, which must be set before the first event
+  // is dispatched. The handler is not owned.
   EventDispatcher(boost::asio::io_context& io, const BalancerClock& clock, Decide decide);
   void set_handler(ActionHandler* handler) { handler_ = handler; }
 
--- a/src/proxy/core/event_sink.h
+++ b/src/proxy/core/event_sink.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Where the parts of the proxy send the events that decisions follow from.
+// Interface by which the components of the proxy report events to the Balancer.
 #ifndef COPPERPOINT_PROXY_CORE_EVENT_SINK_H_
 #define COPPERPOINT_PROXY_CORE_EVENT_SINK_H_
 
@@ -11,8 +11,8 @@
 class EventSink {
  public:
   virtual ~EventSink() = default;
-  // Hands the event to the Balancer: at once, or after the events that are being handled if this is called
-  // while actions are carried out.
+  // Passes the event to the Balancer: within the call or, if actions are being executed, after the events
+  // that are already queued.
   virtual void Dispatch(Event event) = 0;
 };
 
--- a/src/proxy/core/membership_publisher.cpp
+++ b/src/proxy/core/membership_publisher.cpp
@@ -29,7 +29,7 @@
     case Lifecycle::State::kDraining:
       return host_->SetState(membership::MemberState::kDraining);
     case Lifecycle::State::kShuttingDown:
-      return;  // it has left
+      return;  // Leave has been called
   }
 }
 
--- a/src/proxy/core/membership_publisher.h
+++ b/src/proxy/core/membership_publisher.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What this process publishes of itself to the other proxies: its state and what it has served.
+// Publishes this process's lifecycle state and request counts to the other proxies.
 #ifndef COPPERPOINT_PROXY_CORE_MEMBERSHIP_PUBLISHER_H_
 #define COPPERPOINT_PROXY_CORE_MEMBERSHIP_PUBLISHER_H_
 
@@ -15,14 +15,14 @@
 
 namespace copperpoint::proxy {
 
-// Owns this proxy's part in the membership. Without Join, for a proxy that talks to no other, every call does
-// nothing.
+// Owns the MembershipHost. Until Join is called, and so in a proxy without a fleet, every other call has no
+// effect.
 class MembershipPublisher : public RequestObserver {
  public:
-  // `on_ring_offset` as for MembershipHost, which says what is thrown.
+  // Creates the MembershipHost, whose constructor documents `on_ring_offset` and the exceptions thrown.
   void Join(boost::asio::io_context& io, const Config& config, std::function<void(double)> on_ring_offset);
   void Publish(Lifecycle::State state);
-  // The process shuts down: the others are notified, and the address is free for a successor.
+  // Notifies the other proxies that this process shuts down, and frees the address for a successor.
   void Leave();
 
   void OnRequestCompleted(const CompletedRequest& request) override;
--- a/src/proxy/core/request_receiver.h
+++ b/src/proxy/core/request_receiver.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Takes requests from the client connections and reports them to the Balancer.
+// Receives requests and disconnects from the client connections and reports them to the Balancer.
 #ifndef COPPERPOINT_PROXY_CORE_REQUEST_RECEIVER_H_
 #define COPPERPOINT_PROXY_CORE_REQUEST_RECEIVER_H_
 
@@ -15,16 +15,16 @@
 
 namespace copperpoint::proxy {
 
-// Owns no state: open requests are the RequestTable's.
+// Owns no state: RequestTable owns the open requests.
 class RequestReceiver {
  public:
   RequestReceiver(const BalancerClock& clock, RequestTable& requests, BackendPool& backends,
                   EventSink& events);
 
-  // The responder gets the one final answer, which may come from within this call.
+  // `responder` gets the final response, possibly within this call. @return the id of the request.
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder);
-  // The request gets no answer any more. An attempt whose connection is still being established is not
-  // written; one that is under way reports its result to the Balancer as usual.
+  // Completes the request without a response. An attempt that is not completely written is cancelled; one
+  // that is written reports its result to the Balancer as usual.
   void OnClientDisconnected(RequestId request);
 
  private:
--- a/src/proxy/core/request_table.cpp
+++ b/src/proxy/core/request_table.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char* kReqId = "Req-Id";
 
-// An exception costs this answer alone; the caller still has to report to the Balancer.
+// An exception affects this response only: the caller must still report the request to the Balancer.
 void RespondSafely(Responder& responder, const RequestTable::Respond& respond) {
   try {
     respond(responder);
@@ -21,7 +21,7 @@
     log::Global().Error(log::events::kResponseFailed, {{"error", error.what()}});
     try {
       responder.SendBadGateway();      // has no effect if the response has begun
-    } catch (const std::exception&) {  // NOLINT(bugprone-empty-catch): there is no answer left to give
+    } catch (const std::exception&) {  // NOLINT(bugprone-empty-catch): no other response is left
     }
   }
 }
@@ -58,7 +58,7 @@
   return TakeResponder(id, RequestOutcome::kClientDisconnected, RejectReason::kNone) != nullptr;
 }
 
-// Null if the request is not open or has its answer.
+// @return null if the request is not open or already complete.
 std::shared_ptr<Responder> RequestTable::TakeResponder(RequestId id, RequestOutcome outcome,
                                                        RejectReason reason) {
   OpenRequest* request = Find(id);
--- a/src/proxy/core/request_table.h
+++ b/src/proxy/core/request_table.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The requests that are open: from their arrival until they have their final answer and no attempt is in
+// The open requests. A request is open from its arrival until it has its final response and no attempt is in
 // flight.
 #ifndef COPPERPOINT_PROXY_CORE_REQUEST_TABLE_H_
 #define COPPERPOINT_PROXY_CORE_REQUEST_TABLE_H_
@@ -29,15 +29,15 @@
   int request_class = -1;
   int tenant = -1;
   double estimated_work_ms = 0;          // 0: the client gave no estimate
-  std::shared_ptr<Responder> responder;  // null once the request has its final answer
+  std::shared_ptr<Responder> responder;  // null once the final response is sent
   int attempts = 0;                      // started so far
   bool attempt_in_flight = false;
-  BackendPool::AttemptHandle attempt;  // the one in flight
+  BackendPool::AttemptHandle attempt;  // valid while attempt_in_flight
 
   bool answered() const { return !responder; }
 };
 
-// A request that has its final answer.
+// A request that has its final response, or whose client has disconnected.
 struct CompletedRequest {
   int request_class = -1;
   int tenant = -1;
@@ -53,8 +53,8 @@
   virtual void OnRequestCompleted(const CompletedRequest& request) = 0;
 };
 
-// Owns the open requests and sees to it that each gets one final answer: the first call that completes a
-// request takes its responder, and later ones find it answered.
+// Owns the open requests and ensures that each gets one final response: the first call that completes a
+// request takes its responder, and later calls have no effect.
 class RequestTable {
  public:
   using Respond = std::function<void(Responder&)>;
@@ -62,17 +62,17 @@
   explicit RequestTable(RequestObserver& observer) : observer_(observer) {}
 
   RequestId Add(ClientRequest request, std::shared_ptr<Responder> responder);
-  // Null if the request is not open. Valid until it is removed.
+  // @return null if the request is not open. The pointer is valid until the request is removed.
   OpenRequest* Find(RequestId id);
-  // Whether a request with this Req-Id is open.
+  // @return whether a request with this Req-Id is open.
   bool IsOpen(std::string_view req_id) const { return open_req_ids_.contains(std::string(req_id)); }
   std::size_t size() const { return requests_.size(); }
 
-  // Gives the request its final answer by `respond`, unless it has one. Throws nothing.
+  // Sends the final response by calling `respond`, unless the request already has one. Throws nothing.
   void Complete(RequestId id, RequestOutcome outcome, RejectReason reason, const Respond& respond);
-  // The client has disconnected: the request is completed without an answer. False if it already was.
+  // Completes the request of a disconnected client without a response. @return false if it was complete.
   bool Abandon(RequestId id);
-  // Removes the request if it is answered and has no attempt in flight.
+  // Removes the request if it is complete and has no attempt in flight.
   void RemoveIfDone(RequestId id);
 
  private:
--- a/src/proxy/core/timer_queue.cpp
+++ b/src/proxy/core/timer_queue.cpp
@@ -27,7 +27,7 @@
   });
 }
 
-// The event loop's timer may expire a moment early, by rounding: what is not due stays.
+// The event loop's timer may expire slightly early, because of rounding: tokens that are not due stay queued.
 void TimerQueue::ReportDue() {
   while (!tokens_.empty() && tokens_.begin()->first <= clock_.Now()) {
     const std::uint64_t token = tokens_.begin()->second;
--- a/src/proxy/core/timer_queue.h
+++ b/src/proxy/core/timer_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The Balancer's timers on one timer of the event loop.
+// Multiplexes the Balancer's timers onto one timer of the event loop.
 #ifndef COPPERPOINT_PROXY_CORE_TIMER_QUEUE_H_
 #define COPPERPOINT_PROXY_CORE_TIMER_QUEUE_H_
 
@@ -14,13 +14,13 @@
 
 namespace copperpoint::proxy {
 
-// Owns the tokens that are not due yet. None is reported early, since the Balancer ignores a timer that it
-// thinks is not due and would not set it again.
+// Owns the tokens of the timers that are not due yet. No timer is reported early, since the Balancer ignores
+// a timer that is not due by its own clock and would not set it again.
 class TimerQueue {
  public:
   using OnDue = std::function<void(std::uint64_t token)>;
 
-  // `on_due` is called from the event loop, once for each token that was added, in the order of their times.
+  // `on_due` is called from the event loop, once for each token added, in the order of the due times.
   TimerQueue(boost::asio::io_context& io, const BalancerClock& clock, OnDue on_due);
 
   // Takes effect with the next Arm.
--- a/src/proxy/downstream/client_listener.cpp
+++ b/src/proxy/downstream/client_listener.cpp
@@ -14,10 +14,10 @@
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
-// At the shutdown, for the rest of partly read requests.
+// Time that clients get at shutdown to send the rest of partly read requests.
 constexpr std::chrono::milliseconds kShutdownReadGrace{1500};
 constexpr std::chrono::milliseconds kShutdownPollInterval{10};
-// Bound on the connections accepted before open ones have their turn.
+// Connections accepted in one turn of the event loop, so that open ones are served in between.
 constexpr int kMaxAcceptsPerTurn = 16;
 
 bool WouldBlock(const Error& error) {
@@ -44,7 +44,7 @@
   } else {
     acceptor_.open(config_.listen.protocol());
     acceptor_.set_option(Tcp::acceptor::reuse_address(true));  // a restart listens at the same address
-    acceptor_.set_option(ReusePort(true));                     // and so may a successor, beside this process
+    acceptor_.set_option(ReusePort(true));  // and a successor may listen at it beside this process
     acceptor_.bind(config_.listen);
     acceptor_.listen();
   }
@@ -67,13 +67,13 @@
     sessions_.Add(std::move(socket), queued_since_);
   }
   if (!error) return ScheduleAccept();
-  // Without descriptors the accept queue stays readable: retrying at once would spin.
+  // If descriptors have run out, the accept queue stays readable: retrying at once would loop.
   if (!WouldBlock(error)) return RetryAcceptLater();
   queued_since_.reset();  // the queue is empty: later connections are accepted as they arrive
   WaitForConnection();
 }
 
-// Not from within a session's operation: accepting may close other sessions.
+// Accepting may close other sessions, so it is posted instead of run within a session's operation.
 void ClientListener::ScheduleAccept() {
   if (std::exchange(accept_scheduled_, true)) return;
   asio::post(io_, [this, alive = std::weak_ptr<int>(alive_)] {
@@ -121,7 +121,7 @@
   if (sessions_.shutting_down()) return;
   sessions_.StartShutdown();
   on_shutdown_done_ = std::move(done);
-  // Nothing that is queued is lost: the other process has the queue too.
+  // No queued connection is lost: the other process accepts from the same queue.
   if (sessions_.handed_over()) CloseListener(/*at_once=*/true);
   shutdown_timer_.expires_after(std::chrono::ceil<Steady::duration>(grace));
   shutdown_timer_.async_wait([this](const Error& cancelled) {
@@ -129,8 +129,8 @@
   });
 }
 
-// Closing a listening socket resets the connections in its queue: it is closed once the queue has been seen
-// empty, or at once when there is no more time.
+// Closing a listening socket resets the connections in its queue: it is closed once the queue is empty, or
+// unconditionally with `at_once`.
 void ClientListener::CloseListener(bool at_once) {
   if (!acceptor_.is_open()) return;
   Error error;
@@ -142,8 +142,8 @@
   if (sessions_.handed_over() || error || at_once) acceptor_.close(error);
 }
 
-// Repeats until every response is delivered, no request is partly read, and every client has seen the end of
-// its connection.
+// Repeats until every response is delivered, no request is partly read, and every client has closed its side
+// of the connection.
 void ClientListener::ContinueShutdown() {
   const auto now = Steady::now();
   if (!std::exchange(closing_, true)) read_grace_end_ = now + kShutdownReadGrace;
--- a/src/proxy/downstream/client_listener.h
+++ b/src/proxy/downstream/client_listener.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The listening socket of the clients: accepts connections, hands the socket over to another process and
-// takes it back, and ends accepting at the shutdown.
+// The listening socket for clients: accepts connections, hands the socket over to another process and takes
+// it back, and stops accepting at shutdown.
 #ifndef COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
 #define COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_LISTENER_H_
 
@@ -20,29 +20,29 @@
 
 namespace copperpoint::proxy {
 
-// Owns the listening socket and, by its SessionManager, the accepted connections.
+// Owns the listening socket and, through its SessionManager, the accepted connections.
 class ClientListener {
  public:
-  // Listens at once, on the socket `inherited_fd` if that is not negative, at the address of `config`
-  // otherwise. Throws boost::system::system_error if it cannot. `config` and `handler` must outlive it.
+  // Starts listening, on the socket `inherited_fd` if that is not negative, otherwise at the address in
+  // `config`. Throws boost::system::system_error on failure. `config` and `handler` must outlive this object.
   ClientListener(boost::asio::io_context& io, const Config& config, std::size_t max_connections,
                  RequestHandler& handler, int inherited_fd = -1);
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  // Graceful shutdown. From now on each connection closes after its response; new ones are still served.
-  // After `grace`, nothing is accepted any more, and `done` is called when no connection is left.
+  // Graceful shutdown. Each connection closes after its next response, and new ones are accepted until
+  // `grace` has passed. `done` is called when all responses are delivered and the listening socket is closed.
   void ShutDown(Duration grace, std::function<void()> done);
 
-  // While draining, idle connections are closed, and the others after their next response; new ones are
-  // served all the same.
+  // While draining, idle connections are closed, and the others close after their next response; new
+  // connections are still accepted.
   void SetDraining(bool draining) { sessions_.SetDraining(draining); }
 
-  // Stops accepting, as another process accepts from the same queue; each open connection closes after its
-  // next response. The result is the listening socket, which remains this object's; nothing if it is closed,
-  // shut down or released already.
+  // Stops accepting, because another process accepts from the same queue; each open connection closes after
+  // its next response. @return the listening socket, which this object still owns; nullopt if it is closed,
+  // shutting down or already released.
   std::optional<int> ReleaseListener();
-  // The other process has ended: accepts again.
+  // Accepts connections again, after the other process has ended.
   void ResumeAccepting();
 
   void SetConnectionLimit(std::size_t max_connections) { sessions_.SetLimit(max_connections); }
@@ -64,9 +64,9 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_retry_timer_, shutdown_timer_;
   bool waiting_for_connection_ = false, accept_scheduled_ = false;
-  // Since when connections may wait in the accept queue; until it has been seen empty.
+  // When connections may have begun to wait in the accept queue; reset once the queue is empty.
   std::optional<Steady::time_point> queued_since_;
-  bool closing_ = false;  // the grace of the shutdown is over
+  bool closing_ = false;  // the grace period of the shutdown is over
   Steady::time_point read_grace_end_{};
   std::function<void()> on_shutdown_done_;
   std::shared_ptr<int> alive_ = std::make_shared<int>();
--- a/src/proxy/downstream/client_session.cpp
+++ b/src/proxy/downstream/client_session.cpp
@@ -21,7 +21,7 @@
 constexpr const char* kTextPlain = "text/plain";
 constexpr std::size_t kImmediateCloseBufferBytes = 1024;
 constexpr int kMaxImmediateCloseReads = 64;
-// Bytes that a lingering close discards before it gives up.
+// Bytes that a lingering close discards before it closes the connection.
 constexpr std::size_t kMaxDiscardedBytes = 4 * kMaxBufferedBody;
 
 HttpResponse TextResponse(http::status status, std::string text) {
@@ -54,7 +54,7 @@
   return IsReadingRequest() && state_since_ <= at && !reader_.header_complete();
 }
 
-// Each state has one time limit, which does not start again with each byte.
+// The time limit of a state counts from entering it and is not restarted by each byte received.
 void ClientSession::EnterState(SessionState state, std::optional<Steady::duration> time_limit) {
   assert(IsValidTransition(state_, state));
   state_ = state;
@@ -91,7 +91,7 @@
 }
 
 void ClientSession::ReadRequest() {
-  // The time of a first request counts from the connection's start.
+  // The time limit of the first request counts from the start of the connection.
   EnterState(SessionState::kReadingRequest,
              has_sent_request_ ? Steady::duration(timeouts().request_head) : deadline_ - Steady::now());
   reader_.ReadRequest();
@@ -125,7 +125,7 @@
     reader_.SetStreamedFraming(request.message);
   }
   EnterState(SessionState::kAwaitingResponse, std::nullopt);
-  // No attempt starts for a client that has disconnected while its request waited to be read.
+  // No attempt is started for a client that disconnected while its request waited to be read.
   if (!reader_.body_streaming() && !reader_.ReadAhead(Steady::now())) return Close();
   request_ = manager_->handler().OnRequest(std::move(request), shared_from_this());
   if (IsAwaitingResponse() && !reader_.body_streaming()) WatchForDisconnect();
@@ -142,7 +142,7 @@
                      });
 }
 
-// Nothing further is read from a client in error: it may be the rest of what could not be parsed.
+// No further request is read from this client: its bytes may be the rest of the one that could not be parsed.
 void ClientSession::OnInvalidRequest(http::status status, std::string text) {
   close_after_response_ = true;
   WriteResponse(TextResponse(status, std::move(text) + '\n'));
@@ -214,7 +214,7 @@
 void ClientSession::WriteStream(HttpResponse&& response, std::shared_ptr<BodySource> body_stream,
                                 std::optional<std::uint64_t> body_length) {
   EnterState(SessionState::kWritingResponse, timeouts().response_write);
-  // Only the connection's end can delimit a body of unknown length for an HTTP/1.0 client.
+  // For an HTTP/1.0 client, only the close of the connection can delimit a body of unknown length.
   close_after_response_ = ClosesAfterResponse() || (!body_length && http_1_0_);
   writer_.WriteStream(std::move(response), std::move(body_stream),
                       {.keep_alive = !close_after_response_,
@@ -256,7 +256,7 @@
 }
 
 void ClientSession::CloseLingering() {
-  // The wait for the next request, or its reading, ends here.
+  // Cancels the wait for the next request, or the read in progress.
   if (!IsWritingResponse()) CancelReads();
   reader_.ReleaseMemory();
   EnterState(SessionState::kLingering, timeouts().lingering_close);
--- a/src/proxy/downstream/client_session.h
+++ b/src/proxy/downstream/client_session.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One client connection: its state machine and time limits.
+// One client connection: reads requests, passes them to the request handler and writes their responses,
+// within the time limits of session_state.h.
 #ifndef COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_SESSION_H_
 #define COPPERPOINT_PROXY_DOWNSTREAM_CLIENT_SESSION_H_
 
@@ -26,11 +27,11 @@
 
 class SessionManager;
 
-// Owns the socket, the reader of requests, the writer of responses and the state (session_state.h). Handles
-// one request at a time: the next is read once the response is written. Owned by the SessionManager's list
-// and, while an operation is in progress, by its completion handler; a handler that finds another state than
-// it was started in does nothing. The request handler has it as Responder and, for a streamed body, as
-// BodySource.
+// Owns the socket, the request reader, the response writer and the connection's state (session_state.h).
+// Handles one request at a time: the next one is read after the response is written. Owned by the
+// SessionManager's list and, while an operation is in progress, by its completion handler. A completion
+// handler has no effect if the state has changed since its operation was started. The request handler also
+// holds the session, as the request's Responder and, for a streamed body, as its BodySource.
 class ClientSession final : public std::enable_shared_from_this<ClientSession>,
                             public Responder,
                             public BodySource {
@@ -39,38 +40,38 @@
 
   ClientSession(SessionManager& manager, boost::asio::ip::tcp::socket socket);
 
-  // Position in the manager's list.
+  // Position in the SessionManager's list, maintained by the SessionManager.
   List::iterator position;
 
-  // `queued_since`: when it may have entered the accept queue, if that was not just now.
+  // @param queued_since when the connection may have entered the accept queue; nullopt: it did just now.
   void Start(std::optional<Steady::time_point> queued_since);
 
-  // What the manager asks to choose connections to close.
-  bool IsIdle() const;  // between requests, and no byte of the next one has arrived
+  // Queries by which SessionManager selects the connections to evict or close.
+  bool IsIdle() const;  // waits for a request, of which no byte has arrived
   bool IsReadingRequest() const { return state_ == SessionState::kReadingRequest; }
   bool IsAwaitingResponse() const { return state_ == SessionState::kAwaitingResponse; }
   bool IsWritingResponse() const { return state_ == SessionState::kWritingResponse; }
   bool IsLingering() const { return state_ == SessionState::kLingering; }
   bool ExpectsRequest() const { return state_ == SessionState::kIdle || IsReadingRequest(); }
-  // The response is due, or the client may not have received all of it yet.
+  // @return whether a response is awaited, being written, or possibly not completely received by the client.
   bool HasUndeliveredResponse() const { return IsAwaitingResponse() || IsWritingResponse() || IsLingering(); }
   bool HasPartialHeaderSince(Steady::time_point at) const;
   bool IsIdleSince(Steady::time_point at) const { return state_since_ <= at && IsIdle(); }
   bool IsKeptAliveSince(Steady::time_point at) const { return has_sent_request_ && IsIdleSince(at); }
   bool IsUnusedSince(Steady::time_point at) const { return !has_sent_request_ && IsIdleSince(at); }
 
-  // Applies the time limit of the current state.
+  // Enforces the time limit of the current state.
   void OnDeadlineCheck(Steady::time_point now);
 
   void Close();
-  // Lingering close: ends the sending side and discards what still arrives until the client closes. Closed
-  // with bytes unread, or with bytes on their way, a connection is reset, and the reset may destroy a
-  // response that the client has not read yet. A client whose request crosses this sees an end without a
-  // response and retries.
+  // Lingering close: shuts down the sending side and discards received bytes until the client closes. Closing
+  // a socket while received bytes are unread, or more are in transit, resets the connection, and the reset
+  // may destroy a response that the client has not read yet. A client that sends a request at the same time
+  // sees the connection end without a response and retries.
   void CloseLingering();
-  // Closes at once, to free the descriptor; what has arrived is read first, so that it causes no reset.
+  // Closes at once, to free the descriptor; received bytes are read first, so that they cause no reset.
   void CloseImmediately();
-  // The manager is being destroyed.
+  // Closes without further calls to the SessionManager, which is being destroyed.
   void Detach();
 
   // Responder
@@ -80,23 +81,23 @@
   void SendBadGateway() override;
   void SendClientError(boost::beast::http::status status) override;
 
-  // BodySource: the rest of the request's body.
+  // BodySource, for the rest of a streamed request body.
   void Read(OnBodyChunk on_chunk) override;
 
-  // Callbacks of the reader.
+  // Callbacks of RequestReader.
   void OnRequestRead(Steady::time_point at);
   void OnInvalidRequest(boost::beast::http::status status, std::string text);
-  // The streamed body ended early. With a status, the client is sent an error response.
+  // The streamed body ended early. With a status, an error response with `text` is sent; otherwise closes.
   void FailStreamedBody(std::optional<boost::beast::http::status> status, const char* text);
-  // A client that closes its connection while its request is open has disconnected, whatever it sent before.
+  // Detects that the client closes the connection while its request is open, whatever it has sent before.
   void WatchForDisconnect();
 
-  // Callbacks of the writer.
+  // Callbacks of ResponseWriter.
   void OnResponseWritten();
-  // Resets the connection: whatever the framing, the client sees that the response is incomplete.
+  // Resets the connection, so that the client detects the incomplete response with any framing.
   void AbortResponse();
 
-  // Means of the reader and writer.
+  // Used by RequestReader and ResponseWriter.
   void CancelReads();
   void SetDeadline(Steady::time_point at) { deadline_ = at; }
   void ExtendDeadline(Steady::time_point at) { deadline_ = std::max(deadline_, at); }
@@ -122,11 +123,11 @@
   ResponseWriter writer_;
   SessionState state_ = SessionState::kIdle;
   Steady::time_point state_since_{}, deadline_{};
-  RequestId request_ = 0;          // the last one forwarded
+  RequestId request_ = 0;          // the request forwarded last
   bool http_1_0_ = false;          // version of the current request
-  bool has_sent_request_ = false;  // at least one was read
+  bool has_sent_request_ = false;  // at least one request was read
   bool close_after_response_ = false;
-  // Of a lingering close. Not the reader's buffer, whose last read may not have completed yet.
+  // Used by a lingering close. The reader's buffer cannot be used: its last read may still be in progress.
   std::vector<char> discard_buffer_;
   std::size_t discarded_bytes_ = 0;
 };
--- a/src/proxy/downstream/request_reader.cpp
+++ b/src/proxy/downstream/request_reader.cpp
@@ -26,16 +26,16 @@
 constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 constexpr std::size_t kMaxReadAheadBytes = std::size_t{32} * 1024;
 constexpr std::size_t kDiscardBufferBytes = 4096;
-// Bound on the reads for one client before others have their turn.
+// Maximum reads for one client in one turn of the event loop, so that other clients are served in between.
 constexpr int kMaxReadsPerTurn = 32;
-// Of a body in memory while it is read.
+// Copies of a body that are in memory while it is read.
 constexpr std::size_t kBodyCopies = 2;
 
 bool WouldBlock(const Error& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-// An error in what the client sent, as against one of the connection.
+// @return true if the client sent invalid data, false if the connection failed.
 bool IsParseError(const Error& error) {
   return error.category() == http::make_error_code(http::error::bad_version).category() &&
          error != http::error::end_of_stream && error != http::error::partial_message;
@@ -158,8 +158,8 @@
   return now;
 }
 
-// Over all its chunks, a streamed body may take a grace period more than it does at the minimum rate. Time in
-// which the backend's side reads no chunk (backpressure) doesn't count against the client.
+// The chunks of a streamed body together may take the time at the minimum rate plus a grace period. Time in
+// which the backend side requests no chunk (backpressure) does not count against the client.
 void RequestReader::ReadStreamedBody(BodySource::OnBodyChunk on_chunk) {
   on_chunk_ = std::move(on_chunk);
   const auto started = Steady::now();
--- a/src/proxy/downstream/request_reader.h
+++ b/src/proxy/downstream/request_reader.h
@@ -23,35 +23,36 @@
 
 class ClientSession;
 
-// Part of a ClientSession, which owns it and the socket, and decides by its state whether a completed read
-// still counts. Results come as the session's callbacks OnRequestRead, OnInvalidRequest and Close.
+// Owned by a ClientSession, which also owns the socket, and whose state decides whether a completed read is
+// still relevant. Results are reported by the session's OnRequestRead, OnInvalidRequest and Close.
 class RequestReader {
  public:
   RequestReader(ClientSession& session, boost::asio::ip::tcp::socket& socket);
 
-  // Ends work on the last request. True if bytes of the next are buffered already; otherwise an idle
-  // connection's buffer memory is freed.
+  // Releases the state of the last request. @return true if bytes of the next one are already buffered;
+  // otherwise the buffer's memory is freed, since the connection is idle.
   bool PrepareForNextRequest();
 
-  // Reads a request up to the point where it can be forwarded; one of the session's callbacks follows.
+  // Reads a request until it can be forwarded, and then calls one of the session's callbacks.
   void ReadRequest();
 
-  // The request that has been read. A body that is not complete goes on with ReadStreamedBody; then
-  // Content-Length or chunked framing of the rest is set by SetStreamedFraming.
+  // @return the request that has been read. The rest of an incomplete body is read by ReadStreamedBody, and
+  // SetStreamedFraming then sets the Content-Length or chunked framing of the forwarded request.
   HttpRequest TakeRequest();
   void SetStreamedFraming(HttpRequest& message) const;
 
-  // When the last byte of the request that has been read arrived; `now` if it arrived just now.
+  // @return when the last byte of the request that has been read arrived; `now` if it did not arrive earlier.
   Steady::time_point ArrivalTime(Steady::time_point now);
 
-  // Reads the next piece of a streamed body. `on_chunk` is called once, unless CancelStreamedBody comes
-  // first.
+  // Reads the next chunk of a streamed body. `on_chunk` is called once, unless CancelStreamedBody is called
+  // first, which returns it.
   void ReadStreamedBody(BodySource::OnBodyChunk on_chunk);
   BodySource::OnBodyChunk CancelStreamedBody();
 
-  // Reads, without waiting, what the client has sent so far, as it arrived at `at`. A client that disconnects
-  // shows it only behind that. False if it has disconnected. With `may_discard`, bytes beyond the read-ahead
-  // limit are dropped, and the connection has to close after its response; without, reading ends there.
+  // Reads, without waiting, the bytes that the client has sent, and records `at` as their arrival time. A
+  // disconnect can be detected only after these bytes. @return false if the client has disconnected. With
+  // `may_discard`, bytes beyond the read-ahead limit are dropped, and the connection must close after its
+  // response; otherwise reading stops at the limit.
   bool ReadAhead(Steady::time_point at, bool may_discard = true);
 
   void ReleaseMemory();
@@ -76,19 +77,19 @@
   boost::asio::ip::tcp::socket& socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  ArrivalTimes arrivals_;               // of the bytes in buffer_ that were read ahead
-  std::size_t request_bytes_ = 0;       // header and declared body length of the request being read
-  bool arrived_before_read_ = false;    // all of these were buffered when reading began
-  bool read_ahead_overflowed_ = false;  // bytes behind an open request have been dropped
+  ArrivalTimes arrivals_;               // arrival times of the read-ahead bytes in buffer_
+  std::size_t request_bytes_ = 0;       // length of the header and Content-Length of the request being read
+  bool arrived_before_read_ = false;    // all request_bytes_ were buffered when reading began
+  bool read_ahead_overflowed_ = false;  // bytes received after an open request were dropped
   std::string body_;                    // the buffered part of the body
-  std::size_t body_limit_bytes_ = 0;    // up to which the body is buffered for now
-  std::size_t reserved_bytes_ = 0;      // of the session's memory budget
+  std::size_t body_limit_bytes_ = 0;    // current limit of the buffered part
+  std::size_t reserved_bytes_ = 0;      // reserved in the session's memory budget
   Steady::time_point body_started_{};   // when reading the body began
   std::vector<char> chunk_;             // target of the read in progress
   bool body_streaming_ = false;         // part of the body is still to come
-  BodySource::OnBodyChunk on_chunk_;    // of the streamed read in progress
+  BodySource::OnBodyChunk on_chunk_;    // callback of the streamed read in progress
   std::size_t streamed_bytes_ = 0;
-  Steady::duration streaming_time_{};  // spent in reads of the streamed body
+  Steady::duration streaming_time_{};  // total time spent reading the streamed body
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/downstream/response_writer.cpp
+++ b/src/proxy/downstream/response_writer.cpp
@@ -49,7 +49,7 @@
 void ResponseWriter::WriteChunk(std::string bytes, bool last) {
   session_.SetDeadline(Steady::now() + session_.timeouts().response_write);
   chunk_ = std::move(bytes);
-  if (last) CancelStream();  // the backend's connection is free for others
+  if (last) CancelStream();  // frees the backend connection for other requests
   asio::async_write(socket_, asio::buffer(chunk_),
                     [this, session = session_.shared_from_this(), last](const Error& error, std::size_t) {
                       if (!session->IsWritingResponse()) return;
--- a/src/proxy/downstream/response_writer.h
+++ b/src/proxy/downstream/response_writer.h
@@ -17,8 +17,8 @@
 
 class ClientSession;
 
-// Part of a ClientSession, which owns it and the socket, and decides by its state whether a completed write
-// still counts. Ends with one of the session's callbacks OnResponseWritten, AbortResponse and Close.
+// Owned by a ClientSession, which also owns the socket, and whose state decides whether a completed write is
+// still relevant. Each response ends in one of the session's OnResponseWritten, AbortResponse and Close.
 class ResponseWriter {
  public:
   ResponseWriter(ClientSession& session, boost::asio::ip::tcp::socket& socket)
@@ -26,11 +26,11 @@
 
   void Write(HttpResponse&& response, bool keep_alive);
 
-  // Writes `response` and then what `body_stream` yields, one chunk at a time: the next is read once the last
-  // is written (backpressure).
+  // Writes `response` and then the chunks of `body_stream`, one at a time: the next chunk is read when the
+  // last one is written (backpressure).
   struct StreamOptions {
     bool keep_alive = false;
-    std::optional<std::uint64_t> body_length;  // bytes of the whole body, if known
+    std::optional<std::uint64_t> body_length;  // length of the whole body in bytes, if known
     bool chunked = false;                      // chunked transfer coding
   };
   void WriteStream(HttpResponse response, std::shared_ptr<BodySource> body_stream,
@@ -45,9 +45,9 @@
 
   ClientSession& session_;
   boost::asio::ip::tcp::socket& socket_;
-  HttpResponse response_;                    // being written in one piece
-  std::string chunk_;                        // of a stream, being written
-  std::shared_ptr<BodySource> body_stream_;  // null but while streaming
+  HttpResponse response_;                    // response being written in one piece
+  std::string chunk_;                        // chunk of a stream being written
+  std::shared_ptr<BodySource> body_stream_;  // null except while streaming
   bool chunked_ = false;
 };
 
--- a/src/proxy/downstream/session_manager.cpp
+++ b/src/proxy/downstream/session_manager.cpp
@@ -12,18 +12,18 @@
 using Error = boost::system::error_code;
 
 constexpr std::chrono::milliseconds kSweepInterval{50};
-// For a new connection to send its first request, while draining or shutting down.
+// Time that a new connection gets to send its first request while draining or shutting down.
 constexpr std::chrono::milliseconds kFirstRequestGrace{500};
-// For the rest of a header, where another connection waits to be accepted.
+// Time that a client gets to send the rest of a header while another connection waits to be accepted.
 constexpr std::chrono::milliseconds kPartialHeaderGrace{500};
-// Fraction of the connection limit up to which idle connections are not closed ahead of need.
+// Fraction of the connection limit up to which idle connections are not closed in advance.
 constexpr double kIdleCloseThreshold = 0.4;
 
 std::size_t BodyMemoryBytes(const Config& config) {
   return static_cast<std::size_t>(config.memory_mb * config.shares.body_memory * 1024 * 1024);
 }
 
-// True of a connection that has just been accepted.
+// @return true if the connection has just been accepted and its first request may be on its way.
 bool MayBeAboutToSend(const ClientSession& session, Steady::time_point now) {
   return session.IsUnusedSince(now) && !session.IsUnusedSince(now - kFirstRequestGrace);
 }
@@ -66,9 +66,10 @@
   return true;
 }
 
-// Takes the first kind of which there is one, and of that kind the connection that has been so for longest:
-// one whose last response is written; one kept alive for long; one idle, used or not; one whose header does
-// not arrive. Those in their state for less time stay, as their request may be on its way.
+// Evicts a connection from the first of these groups that has one, and of that group the one longest in its
+// state: lingering connections; those kept alive for `idle_reclaim`; idle ones, whether used or not, for
+// `pressed_idle_reclaim`; those whose header is incomplete for kPartialHeaderGrace. Connections that have
+// been in their state for less time stay, as their request may be on its way.
 bool SessionManager::Evict() {
   const auto now = Steady::now();
   const auto kept_alive_since = now - config_.timeouts.idle_reclaim;
@@ -92,7 +93,7 @@
   });
 }
 
-// Applies time limits, and closes idle connections ahead of need.
+// Enforces time limits, and closes idle connections in advance while many are open.
 void SessionManager::Sweep() {
   const auto now = Steady::now();
   const auto threshold =
--- a/src/proxy/downstream/session_manager.h
+++ b/src/proxy/downstream/session_manager.h
@@ -21,35 +21,35 @@
 
 namespace copperpoint::proxy {
 
-// Owns every ClientSession until it closes, and what they share.
+// Owns every ClientSession until it closes, and the memory budget that the sessions share.
 class SessionManager {
  public:
-  // `on_capacity` is called when a connection has closed or become idle, or the limit has changed, while
-  // capacity is awaited. It must not accept connections from within the call.
+  // @param on_capacity called, while capacity is awaited, when a connection has closed or become idle or the
+  // limit has changed. It must not accept connections within the call.
   SessionManager(boost::asio::io_context& io, const Config& config, std::size_t max_connections,
                  RequestHandler& handler, std::function<void()> on_capacity);
   ~SessionManager();
   SessionManager(const SessionManager&) = delete;
   SessionManager& operator=(const SessionManager&) = delete;
 
-  // Serves an accepted connection. `queued_since`: when it may have entered the accept queue, if not just
-  // now.
+  // Serves an accepted connection. @param queued_since when it may have entered the accept queue; nullopt: it
+  // did just now.
   void Add(boost::asio::ip::tcp::socket socket, std::optional<Steady::time_point> queued_since);
 
-  // True if another connection may be accepted, after evicting one if need be.
+  // Evicts a connection if the limit is reached. @return true if another connection may be accepted.
   bool EnsureCapacity();
-  // Closes the connection that is least likely to be missed; false if there is none to close.
+  // Closes the connection whose loss affects its client least. @return false if none may be closed.
   bool Evict();
   void SetLimit(std::size_t max_connections);
   void set_capacity_awaited(bool awaited) { capacity_awaited_ = awaited; }
 
-  // While draining, idle connections are closed, and the others after their next response.
+  // While draining, idle connections are closed, and the others close after their next response.
   void SetDraining(bool draining);
-  // While another process accepts connections, those of this one close after their next response.
+  // While another process accepts connections, this process's connections close after their next response.
   void set_handed_over(bool handed_over) { handed_over_ = handed_over; }
   void StartShutdown() { shutting_down_ = true; }
-  // One step of the shutdown at `now`: closes what is idle, and with `read_grace_over` partly read requests
-  // too. True while a response is not delivered or a request is expected.
+  // Performs one step of the shutdown at `now`: closes idle connections and, with `read_grace_over`, those
+  // with partly read requests. @return true while a response is undelivered or a request is expected.
   bool CloseForShutdown(Steady::time_point now, bool read_grace_over);
 
   bool shutting_down() const { return shutting_down_; }
@@ -57,7 +57,7 @@
   bool closes_after_response() const { return shutting_down_ || draining_ || handed_over_; }
   std::size_t connection_count() const { return sessions_.size(); }
 
-  // For sessions.
+  // Called by ClientSession.
   void OnStateChanged(ClientSession& session);
   void Remove(ClientSession& session);
   void NotifyCapacity();
@@ -77,7 +77,7 @@
   std::function<void()> on_capacity_;
   MemoryBudget body_memory_;
   boost::asio::steady_timer sweep_timer_;
-  ClientSession::List sessions_;  // in the order of their last change of state
+  ClientSession::List sessions_;  // ordered by the time of the last state change, oldest first
   bool capacity_awaited_ = false;
   bool shutting_down_ = false, draining_ = false, handed_over_ = false;
 };
--- a/src/proxy/downstream/session_state.h
+++ b/src/proxy/downstream/session_state.h
@@ -23,8 +23,8 @@
   kClosed,
 };
 
-// The whole table of transitions. Any state but kClosed may also go to kClosed: on an I/O error, on
-// eviction, and when a time limit leaves no response to send.
+// The complete table of valid transitions. Every state except kClosed may also go to kClosed: on an I/O
+// error, on eviction, and on expiry of a time limit after which no response can be sent.
 constexpr bool IsValidTransition(SessionState from, SessionState to) {
   if (to == SessionState::kClosed) return from != SessionState::kClosed;
   switch (from) {
--- a/src/proxy/http/body_stream.h
+++ b/src/proxy/http/body_stream.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Bodies that are too large to be buffered completely, and are forwarded in chunks. The next chunk is read
-// once the last one is written: that is the backpressure, and the bound on memory.
+// Streaming of bodies that are too large to be buffered completely. The next chunk is read when the last one
+// is written, which provides backpressure and limits the memory used.
 #ifndef COPPERPOINT_PROXY_HTTP_BODY_STREAM_H_
 #define COPPERPOINT_PROXY_HTTP_BODY_STREAM_H_
 
@@ -18,22 +18,22 @@
 
 namespace copperpoint::proxy {
 
-// Bytes up to which a body is always buffered completely.
+// Size in bytes up to which a body is always buffered completely.
 inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
-// Bytes of any body, of requests and responses.
+// Maximum size in bytes of a body, of requests and responses.
 inline constexpr std::size_t kMaxBody = std::size_t{33} * 1024 * 1024;
-// Bytes of one read of a body.
+// Maximum size in bytes of one read of a body.
 inline constexpr std::size_t kBodyChunkSize = std::size_t{32} * 1024;
 
 // The rest of a body, read chunk by chunk.
 class BodySource {
  public:
-  // `complete` is false if the body ended early; `last` is true if nothing follows. `chunk` is valid during
-  // the call only.
+  // `complete` is false if the body ended early; `last` is true if no chunk follows. `chunk` is valid only
+  // during the call.
   using OnBodyChunk = std::function<void(bool complete, std::string_view chunk, bool last)>;
   virtual ~BodySource() = default;
-  // Reads the next chunk; not before the last one was delivered. `on_chunk` is called once, never from within
-  // this call; not at all if the source is released before.
+  // Reads the next chunk; must not be called before the last one was delivered. `on_chunk` is called once,
+  // never within this call, and not at all if the source is released first.
   virtual void Read(OnBodyChunk on_chunk) = 0;
 };
 
@@ -43,11 +43,11 @@
   bool consumed = false;  // a chunk has been read, so that the request can't be retried
 };
 
-// The chunk as it is written to a connection: with the chunked transfer coding, or as it is.
+// @return the bytes to write to a connection for `chunk`: in the chunked transfer coding, or unchanged.
 std::string EncodeBodyChunk(std::string_view chunk, bool last, bool chunked);
 
-// Reads the next part of the body that `parser` is at into `chunk`. Calls `done(error, bytes_read)`, where
-// `bytes_read` is a function and may be called only while the parser and the chunk still exist.
+// Reads the next part of the body that `parser` parses into `chunk`. Calls `done(error, bytes_read)`, where
+// `bytes_read` is a function that may be called only while `parser` and `chunk` exist.
 template <typename Socket, typename Buffer, typename Parser, typename Done>
 void ReadBodyChunk(Socket& socket, Buffer& buffer, Parser& parser, std::vector<char>& chunk, Done done) {
   namespace http = boost::beast::http;
--- a/src/proxy/http/client_request.cpp
+++ b/src/proxy/http/client_request.cpp
@@ -39,7 +39,7 @@
   return found == names.end() ? -1 : static_cast<int>(found - names.begin());
 }
 
-// From the cookie `obj`; 0 if there is none.
+// @return a hash of the value of the cookie `obj`; 0 if there is none.
 std::uint64_t AffinityKeyOf(boost::beast::string_view cookie) {
   std::string list("; ");
   list.append(cookie.data(), cookie.size());
@@ -54,7 +54,7 @@
   return target.substr(0, target.find_first_of("/?"));
 }
 
-// Fields of one connection, which must not be forwarded.
+// Removes hop-by-hop fields, which concern one connection and must not be forwarded.
 void EraseHopByHopFields(HttpRequest& message) {
   std::vector<std::string> named;
   for (const auto& token : http::token_list(message[http::field::connection])) named.emplace_back(token);
@@ -128,7 +128,7 @@
 
 std::optional<RequestError> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
                                                const Config& config, ClientRequest* request) {
-  EraseHopByHopFields(message);  // first: a field named as such is not to be trusted
+  EraseHopByHopFields(message);  // first: fields that Connection names must not be parsed
   if (auto error = CheckRepeatedFields(message)) return error;
   if (auto error = ParseRequestClass(message, config, request)) return error;
   const ClassSettings& settings = config.settings.classes[request->request_class];
--- a/src/proxy/http/client_request.h
+++ b/src/proxy/http/client_request.h
@@ -16,19 +16,19 @@
 namespace copperpoint::proxy {
 
 struct ClientRequest {
-  HttpRequest message;                      // what is forwarded; its body may go on in `body_stream`
+  HttpRequest message;                      // as it is forwarded; `body_stream` may yield more of its body
   std::shared_ptr<BodySource> body_stream;  // null if the body is complete
   Steady::time_point deadline{};
   int request_class = 0;           // index in Config::classes
   int tenant = 0;                  // index in Config::tenants
-  std::uint64_t affinity_key = 0;  // hash of what the request is about; 0: it has none
+  std::uint64_t affinity_key = 0;  // hash of the object that the request concerns; 0: none
   bool has_work_estimate = false;
-  bool client_retry = false;  // the client marks it as a retry
+  bool client_retry = false;  // marked as a retry by the client
   double estimated_work_ms = 0;
 };
 
-// Parses the header fields of `message`, whose last byte arrived at `read_at`, into `request`. The error, if
-// they are invalid; `request` is then incomplete.
+// Parses the header fields of `message`, whose last byte arrived at `read_at`, into `request`. @return the
+// error if they are invalid; `request` is then incomplete.
 std::optional<RequestError> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
                                                const Config& config, ClientRequest* request);
 
--- a/src/proxy/http/framing.h
+++ b/src/proxy/http/framing.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Checks that every reader of a message takes the same bytes for its body (protection from request
-// smuggling).
+// Checks that all HTTP implementations take the same bytes as the body of a message (protection against
+// request smuggling).
 #ifndef COPPERPOINT_PROXY_HTTP_FRAMING_H_
 #define COPPERPOINT_PROXY_HTTP_FRAMING_H_
 
@@ -13,12 +13,12 @@
 
 namespace copperpoint::proxy {
 
-// True for at most one Content-Length, which is a number, or one Transfer-Encoding, which is `chunked`, but
-// never both. `version` as Beast has it: 11 is HTTP/1.1. The parser itself accepts unknown codings beside a
-// length.
+// @return true if the fields contain no framing, one numeric Content-Length, or one Transfer-Encoding that is
+// `chunked`, but not both. @param version as in Beast: 11 is HTTP/1.1. This check is needed because Beast's
+// parser accepts unknown codings together with a length.
 bool IsFramingUnambiguous(const boost::beast::http::fields& fields, unsigned version);
 
-// The error in the header of a request whose body is still to be read; nothing if it may be read.
+// Validates a request's header before its body is read. @return the error; nullopt if the body may be read.
 std::optional<RequestError> ValidateRequestHeader(const boost::beast::http::request_header<>& header);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/http/messages.h
+++ b/src/proxy/http/messages.h
@@ -13,10 +13,10 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Why a request is rejected with a 4xx, or a 503, before any attempt.
+// The response that rejects a request with a 4xx, or a 503, before any attempt.
 struct RequestError {
   boost::beast::http::status status = boost::beast::http::status::bad_request;
-  std::string text;  // of the response, one line
+  std::string text;  // body of the response, one line
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/http/text.h
+++ b/src/proxy/http/text.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Helpers for the text of header fields.
+// Helper functions for the text of header fields.
 #ifndef COPPERPOINT_PROXY_HTTP_TEXT_H_
 #define COPPERPOINT_PROXY_HTTP_TEXT_H_
 
@@ -11,7 +11,7 @@
 
 inline std::string_view ToView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// Whether the text is a number without sign, fraction or exponent.
+// @return whether the text consists of decimal digits only: no sign, fraction or exponent.
 inline bool IsDigits(std::string_view text) {
   return !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
 }
--- a/src/proxy/upstream/attempt.h
+++ b/src/proxy/upstream/attempt.h
@@ -18,30 +18,30 @@
 
 struct AttemptResult {
   AttemptOutcome outcome = AttemptOutcome::kUnknown;
-  // Of kSuccess: complete but for `body_stream`. Of kUnknown: the 4xx with which the backend rejected the
-  // request.
+  // Set for kSuccess, complete except for `body_stream`, and for kUnknown, where it is the 4xx with which the
+  // backend rejected the request.
   HttpResponse response;
-  // The rest of a large body; null if there is none. Releasing it releases the connection.
+  // Yields the rest of a large body; null if `response` is complete. Releasing it releases the connection.
   std::shared_ptr<BodySource> body_stream;
   std::optional<std::uint64_t>
-      body_length;  // bytes of the whole body, if it is streamed and its length known
-  // When the last byte of a streamed request body was written.
+      body_length;  // of the whole body in bytes, if it is streamed and its length is known
+  // When the last byte of a streamed request body was written; nullopt if none was streamed.
   std::optional<Steady::time_point> request_written_at;
-  // Of kNotSent: this process lacked descriptors, ports or connection capacity.
+  // For kNotSent: this process lacked descriptors, ports or connection capacity.
   bool local_failure = false;
 };
 using AttemptCallback = std::function<void(AttemptResult)>;
 
-// An attempt in progress; owned by the connection that carries it.
+// An attempt in progress, owned by the connection that it uses.
 struct Attempt {
   std::shared_ptr<const HttpRequest> request;
   std::shared_ptr<RequestBodyStream>
       upload;                    // the rest of a large request body; null if `request` is complete
   AttemptCallback on_completed;  // null once completed
   Steady::duration timeout{};
-  Steady::time_point deadline{};    // `timeout` from its start or, with an upload, from its last byte
-  Steady::time_point written_at{};  // the last byte of an upload
-  bool completing = false;  // the completion is posted to the event loop; nothing else may come before
+  Steady::time_point deadline{};    // start plus `timeout` or, with an upload, its last byte plus `timeout`
+  Steady::time_point written_at{};  // when the last byte of an upload was written
+  bool completing = false;  // its completion is posted to the event loop; all other events are ignored
 
   bool in_progress() const { return on_completed != nullptr; }
 };
--- a/src/proxy/upstream/backend_connection.cpp
+++ b/src/proxy/upstream/backend_connection.cpp
@@ -20,7 +20,7 @@
 
 Steady::duration ToSteady(Duration duration) { return std::chrono::ceil<Steady::duration>(duration); }
 
-// Not the backend's fault: this process or this machine lacks the means.
+// @return true if this process or machine lacks a resource, and the backend is not at fault.
 bool IsLocalFailure(const Error& error) {
   return error == asio::error::no_descriptors || error == asio::error::no_buffer_space ||
          error == asio::error::no_memory || error == boost::system::errc::too_many_files_open_in_system ||
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-// The rest of a streamed response. Without a reader, an unfinished response makes its connection useless.
+// The rest of a streamed response. If it is destroyed before the response is read, the connection is closed.
 class BackendConnection::ResponseBodyStream : public BodySource {
  public:
   explicit ResponseBodyStream(std::shared_ptr<BackendConnection> connection)
@@ -73,7 +73,7 @@
     if (error && IsLocalFailure(error)) return self->Fail(AttemptOutcome::kNotSent, /*local_failure=*/true);
     if (error) return self->Fail(AttemptOutcome::kConnectFailure);
     self->SetTimer(self->attempt_.deadline);
-    // A peer that sends before it has a request will not respond to it.
+    // Bytes that the peer sends before it has the request cannot be the response.
     if (!self->IsQuiescent()) return self->Fail(AttemptOutcome::kConnectFailure);
     self->WriteRequest();
   });
@@ -81,7 +81,7 @@
 
 void BackendConnection::Reuse() {
   Error ignored;
-  socket_.cancel(ignored);  // the wait for the backend's end
+  socket_.cancel(ignored);  // the wait for the backend's close
   SetTimer(attempt_.deadline);
   WriteRequest();
 }
@@ -109,7 +109,7 @@
                      });
 }
 
-// A response that has begun is complete soon or never: its connection may stay open and silent.
+// Limits the time between reads of a response: a backend that stops halfway may keep its connection open.
 void BackendConnection::RestartResponseTimer() {
   SetTimer(std::min(attempt_.deadline, Steady::now() + timeouts().response_stall));
 }
@@ -121,8 +121,8 @@
   Complete(std::move(result), reusable);
 }
 
-// The attempt succeeds with the first bytes of a large response; what follows is between this connection and
-// the client.
+// The attempt succeeds with the first part of a large response; a later failure of the stream affects only
+// this connection and the client's.
 void BackendConnection::OnStreamedResponse(HttpResponse&& response,
                                            std::optional<std::uint64_t> body_length) {
   const auto self = shared_from_this();
@@ -153,7 +153,7 @@
   idle_since_ = Steady::now();
   SetTimer(idle_since_ + ToSteady(timeout));
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), id = attempt_id_](const Error&) {
-    if (id == self->attempt_id_) self->Close();  // the backend's end, or bytes that no request asked for
+    if (id == self->attempt_id_) self->Close();  // closed by the backend, or bytes without a request
   });
 }
 
@@ -167,7 +167,7 @@
 }
 
 void BackendConnection::OnTimer() {
-  // Idle for too long, or stalled in a streamed response.
+  // The idle timeout or the stall timeout of a streamed response has expired.
   if (!attempt_.in_progress()) return Close();
   const bool deadline_reached = timer_.expiry() >= attempt_.deadline;
   Fail(OutcomeOfTimeout(state_, deadline_reached));
@@ -198,15 +198,15 @@
   const auto self = shared_from_this();
   const AttemptCallback on_completed = std::exchange(attempt_.on_completed, nullptr);
   if (attempt_.upload && IsRequestWritten(state_)) result.request_written_at = attempt_.written_at;
-  // Closed before the end is reported: the next attempt must not find this one on an open connection. A read
-  // or write that has not completed yet may still access its buffers, which stay.
+  // Closes before the result is reported: the next attempt must not coexist with this one on an open
+  // connection. The buffers are kept, because a read or write in progress may still access them.
   if (reusable && pool_) {
     Clear();
     pool_->ReturnToIdle(self);
   } else {
     Close();
   }
-  // Where one response does not arrive, the backend's idle connections may be dead too.
+  // If a response does not arrive, the backend's idle connections may have failed as well.
   if (result.outcome == AttemptOutcome::kTimeout && pool_) pool_->CloseIdleConnections(backend_);
   on_completed(std::move(result));
 }
@@ -235,7 +235,7 @@
   Close();
 }
 
-// An idle connection holds no memory of its last attempt.
+// Frees the memory of the last attempt, so that an idle connection holds none.
 void BackendConnection::Clear() {
   attempt_.request = {};
   attempt_.upload.reset();
--- a/src/proxy/upstream/backend_connection.h
+++ b/src/proxy/upstream/backend_connection.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One connection to a backend, with the attempt on it, if any: its state machine and time limits.
+// One connection to a backend: establishes it, sends the request of an attempt and reads the response, within
+// the time limits of connection_state.h.
 #ifndef COPPERPOINT_PROXY_UPSTREAM_BACKEND_CONNECTION_H_
 #define COPPERPOINT_PROXY_UPSTREAM_BACKEND_CONNECTION_H_
 
@@ -22,60 +23,61 @@
 
 class BackendPool;
 
-// Owns the socket, the attempt, the writer of requests and the reader of responses, and the state
-// (connection_state.h). Owned by the pool while idle, by its completion handlers while an attempt is in
-// progress, and by the ResponseBodyStream of a streamed response. Once closed it is never used again, so that
-// a response which comes after its attempt's timeout reaches nobody.
+// Owns the socket, the attempt in progress, the request writer, the response reader and the connection's
+// state (connection_state.h). Owned by the pool while idle, by its completion handlers while an attempt is in
+// progress, and by the ResponseBodyStream of a streamed response. A closed connection is never reused, so
+// that a response that arrives after its attempt's timeout is discarded.
 class BackendConnection final : public std::enable_shared_from_this<BackendConnection> {
  public:
   BackendConnection(BackendPool& pool, BackendId backend, std::uint64_t generation);
 
   BackendId backend() const { return backend_; }
-  // The pool's count of endpoint changes of the backend when this was opened.
+  // @return the number of endpoint changes of the backend that preceded the opening of this connection.
   std::uint64_t generation() const { return generation_; }
   Steady::time_point idle_since() const { return idle_since_; }
 
-  // Gives it an attempt; Connect, Reuse or FailSoon has to follow.
+  // Assigns an attempt to the connection; Connect, Reuse or FailSoon must be called next.
   void Assign(Attempt&& attempt);
   void Connect(const boost::asio::ip::tcp::endpoint& address, Duration timeout);
   void Reuse();
-  // Waits for the next attempt, at most for `timeout`.
+  // Enters the idle state. The connection is closed if no attempt is assigned within `timeout`.
   void StartIdle(Duration timeout);
 
-  // Ends an attempt that can't have run, as the backend has not received its last byte. One whose body has
-  // partly been consumed goes on, as it can't be retried.
+  // Ends the attempt as kNotSent if the last byte of its request is not written, so that it cannot have run.
+  // An attempt whose request body is partly consumed continues, because it could not be retried.
   void CancelUnsent();
 
-  // Open, with nothing to read. A connection that the backend has closed in the meantime would be reset after
-  // the request may have run; bytes that came before the request are no response to it.
+  // @return whether the connection is open and has no bytes to read. A request written to a connection that
+  // the backend has closed would be reset and count as possibly run; earlier bytes are no response to it.
   bool IsQuiescent();
 
   void Close();
-  // The pool is being destroyed: nothing is reported any more.
+  // Closes without reporting a result, because the pool is being destroyed.
   void Detach();
 
-  // Identifies the attempt among those of this connection.
+  // @return the number of the attempt among those of this connection.
   std::uint64_t attempt_id() const { return attempt_id_; }
   const Attempt& attempt() const { return attempt_; }
-  // What every completion handler checks first: whether its attempt is still in progress.
+  // @return whether the attempt is still in progress. Every completion handler checks this first.
   bool IsCurrent(std::uint64_t attempt_id) const {
     return attempt_.in_progress() && attempt_id == attempt_id_ && !attempt_.completing;
   }
 
-  // Ends the attempt with this result.
+  // Ends the attempt with `result`. The connection returns to the pool if `reusable`, and is closed
+  // otherwise.
   void Complete(AttemptResult&& result, bool reusable);
-  // Ends it without a response.
+  // Ends the attempt without a response and closes the connection.
   void Fail(AttemptOutcome outcome, bool local_failure = false);
-  // The same from the event loop. No other completion comes before it.
+  // Posts Fail to the event loop. No other event completes the attempt before it.
   void FailSoon(AttemptOutcome outcome, bool local_failure = false);
 
-  // Callbacks of the writer and reader.
+  // Callbacks of RequestWriter and ResponseReader.
   void OnRequestWritten();
   void OnResponse(HttpResponse&& response, bool reusable);
   void OnStreamedResponse(HttpResponse&& response, std::optional<std::uint64_t> body_length);
   void FailResponse() { Fail(AttemptOutcome::kConnectionReset); }
 
-  // Means of the writer and reader.
+  // Used by RequestWriter and ResponseReader.
   void SetTimer(Steady::time_point at);
   void RestartResponseTimer();
   const Timeouts& timeouts() const;
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-// Fraction of the backends' idle timeout after which this side closes, so that it closes first.
+// Fraction of the backends' idle timeout after which the proxy closes a connection, so that it closes first.
 constexpr double kIdleTimeoutFraction = 0.8;
 
 }  // namespace
@@ -49,7 +49,7 @@
   backend.usable = false;
   CloseIdleConnections(id);
   if (backend.open_connections == 0) return;
-  // Attempts that are still connecting or writing would begin at a backend that wants no new requests.
+  // Attempts that are still connecting or writing would start on a backend that accepts no new requests.
   for (const auto& [key, weak] : connections_) {
     if (const auto connection = weak.lock(); connection && connection->backend() == id)
       connection->CancelUnsent();
@@ -98,7 +98,7 @@
   if (reused) {
     connection->Reuse();
   } else if (backend.address.port() == 0) {
-    connection->FailSoon(AttemptOutcome::kConnectFailure);  // it never had an address
+    connection->FailSoon(AttemptOutcome::kConnectFailure);  // no address was ever set
   } else if (open_connections_ > limits_.max_connections && !CloseOldestIdle()) {
     connection->FailSoon(AttemptOutcome::kNotSent, /*local_failure=*/true);
   } else {
@@ -117,8 +117,8 @@
   return connection;
 }
 
-// The most recently used of those that have been idle for a minimum time. A backend may close just after a
-// response, or send more than belongs to it: such a connection shows that by then.
+// Takes the most recently used connection that has been idle for `connection_rest`. A backend may close just
+// after a response, or send excess bytes: by that time either is detected.
 std::shared_ptr<BackendConnection> BackendPool::TakeIdle(Backend& backend) {
   const auto latest_idle_since = Steady::now() - limits_.timeouts.connection_rest;
   auto end = backend.idle.end();
--- a/src/proxy/upstream/backend_pool.h
+++ b/src/proxy/upstream/backend_pool.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The pool of connections to backends. It takes no decisions: each SendRequest is one attempt on one
-// connection and ends in exactly one result.
+// The pool of connections to backends. It does not select backends or retry: each SendRequest is one attempt
+// on one connection and yields exactly one result.
 #ifndef COPPERPOINT_PROXY_UPSTREAM_BACKEND_POOL_H_
 #define COPPERPOINT_PROXY_UPSTREAM_BACKEND_POOL_H_
 
@@ -22,13 +22,13 @@
 
 class BackendConnection;
 
-// Owns the idle connections, and knows the open ones of every backend.
+// Owns the idle connections and tracks all open connections of each backend.
 class BackendPool {
  public:
   struct Limits {
     Duration connect_timeout{250};
-    Duration backend_idle_timeout{15000};  // after which backends close an idle connection
-    std::size_t max_connections = 300;     // over all backends
+    Duration backend_idle_timeout{15000};  // after which a backend closes an idle connection
+    std::size_t max_connections = 300;     // to all backends together
     Timeouts timeouts{};
   };
 
@@ -37,38 +37,38 @@
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
-  // Where a backend listens, and since when it runs (Unix milliseconds). If either has changed, the backend
+  // Sets a backend's address and start time (Unix time in milliseconds). If either has changed, the backend
   // is drained first.
   void SetEndpoint(BackendId backend, const boost::asio::ip::tcp::endpoint& address, double up_since_unix_ms);
-  // No new connections: idle ones are closed, those in use after their response. Attempts whose request is
-  // not written completely end as kNotSent.
+  // Stops using the backend: closes its idle connections at once and those in use after their response.
+  // Attempts whose request is not written completely end as kNotSent.
   void DrainBackend(BackendId backend);
   void DrainAllExcept(const std::unordered_set<BackendId>& backends);
   void CloseIdleConnections(BackendId backend);
-  // Drops what is known of a drained backend; no effect while it has connections.
+  // Deletes the record of a drained backend; no effect while the backend has connections.
   void RemoveBackend(BackendId backend);
 
-  // Names an attempt for CancelUnsent.
+  // Identifies an attempt in CancelUnsent.
   struct AttemptHandle {
     std::weak_ptr<BackendConnection> connection;
     std::uint64_t attempt_id = 0;
   };
-  // Starts an attempt: sends the request as it was received, but for its deadline. `upload` is the rest of a
-  // large body, after whose last byte `timeout` begins. `on_completed` is called once, never from within this
-  // call, and not after the pool's destruction.
+  // Starts an attempt: sends the request as received, with an updated deadline field. `upload` is the rest of
+  // a large body; `timeout` then counts from its last byte. `on_completed` is called once, never within this
+  // call and not after the pool's destruction.
   AttemptHandle SendRequest(BackendId backend, std::shared_ptr<const HttpRequest> request, Duration timeout,
                             AttemptCallback on_completed,
                             std::shared_ptr<RequestBodyStream> upload = nullptr);
-  // Ends the attempt as kNotSent, from the event loop, unless its request is written completely.
+  // Ends the attempt as kNotSent, from the event loop, unless its request is completely written.
   void CancelUnsent(const AttemptHandle& handle);
 
   void SetConnectionLimit(std::size_t connections) { limits_.max_connections = connections; }
   void SetTimeouts(const Timeouts& timeouts) { limits_.timeouts = timeouts; }
   std::size_t connection_count() const { return open_connections_; }
-  std::size_t connections_opened() const { return connections_opened_; }  // since the start
+  std::size_t connections_opened() const { return connections_opened_; }  // in total
   std::size_t backend_count() const { return backends_.size(); }
 
-  // For connections.
+  // Called by BackendConnection.
   boost::asio::io_context& io() { return io_; }
   const Timeouts& timeouts() const { return limits_.timeouts; }
   // Keeps the connection for reuse, or closes it if its backend is drained.
@@ -79,9 +79,9 @@
   struct Backend {
     boost::asio::ip::tcp::endpoint address;
     double up_since_unix_ms = 0;
-    std::uint64_t generation = 0;                          // connections of an earlier one are not reused
-    bool usable = false;                                   // not drained
-    std::vector<std::shared_ptr<BackendConnection>> idle;  // the most recently used last
+    std::uint64_t generation = 0;  // connections of an earlier generation are not reused
+    bool usable = false;           // not drained
+    std::vector<std::shared_ptr<BackendConnection>> idle;  // in order of use, the most recent last
     std::size_t open_connections = 0;                      // in use and idle
   };
 
--- a/src/proxy/upstream/connection_state.h
+++ b/src/proxy/upstream/connection_state.h
@@ -27,7 +27,7 @@
   kClosed,
 };
 
-// The whole table of transitions. Any state but kClosed may also go to kClosed.
+// The complete table of valid transitions. Every state except kClosed may also go to kClosed.
 constexpr bool IsValidTransition(ConnectionState from, ConnectionState to) {
   if (to == ConnectionState::kClosed) return from != ConnectionState::kClosed;
   switch (from) {
@@ -49,17 +49,17 @@
   return false;
 }
 
-// Whether the backend may have received the whole request of the attempt in progress, so that it may run.
+// @return whether the backend may have received the complete request of the attempt, so that it may run.
 constexpr bool IsRequestWritten(ConnectionState state) {
   return state == ConnectionState::kAwaitingResponse || state == ConnectionState::kReadingResponse;
 }
 
-// The outcome of an attempt whose connection times out in `state`. `deadline_reached`: the limit that expired
-// is the attempt's own.
+// @return the outcome of an attempt whose connection times out in `state`. @param deadline_reached whether
+// the attempt's own timeout has expired, not another limit of the state.
 constexpr AttemptOutcome OutcomeOfTimeout(ConnectionState state, bool deadline_reached) {
   if (!IsRequestWritten(state)) return AttemptOutcome::kConnectFailure;  // nothing has run
   if (state == ConnectionState::kReadingResponse && !deadline_reached)
-    return AttemptOutcome::kConnectionReset;  // the response has stopped halfway
+    return AttemptOutcome::kConnectionReset;  // the response stopped halfway
   return AttemptOutcome::kTimeout;
 }
 
--- a/src/proxy/upstream/outcome.cpp
+++ b/src/proxy/upstream/outcome.cpp
@@ -6,7 +6,7 @@
 
 namespace http = boost::beast::http;
 
-// By number: Beast has no name for every status that a backend may send.
+// Compares numbers, because Beast has no name for every status that a backend may send.
 bool Is(unsigned status, http::status named) { return status == static_cast<unsigned>(named); }
 
 }  // namespace
@@ -14,7 +14,7 @@
 AttemptOutcome ClassifyResponse(const HttpRequest& /*request*/, const HttpResponse& response) {
   const unsigned status = response.result_int();
   if (Is(status, http::status::ok)) return AttemptOutcome::kSuccess;
-  // Any hop may send a 503 or 504: only the backend's own field proves that the request never ran.
+  // Any hop may send a 503 or 504: only the backend's Srv-Declined field proves that the request never ran.
   const bool is_unavailable =
       Is(status, http::status::service_unavailable) || Is(status, http::status::gateway_timeout);
   if (is_unavailable && response["Srv-Declined"] == "1") return AttemptOutcome::kBackendRejected;
--- a/src/proxy/upstream/outcome.h
+++ b/src/proxy/upstream/outcome.h
@@ -9,8 +9,8 @@
 
 namespace copperpoint::proxy {
 
-// kSuccess: 200. kBackendRejected: the backend declares that the request never ran. kUnknown: the request
-// itself is rejected, and another backend would do the same. kServerError: anything else.
+// @return kSuccess for 200; kBackendRejected if the backend declares that the request never ran; kUnknown if
+// the request itself is invalid, so that every backend would reject it; kServerError otherwise.
 AttemptOutcome ClassifyResponse(const HttpRequest& request, const HttpResponse& response);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/upstream/request_writer.cpp
+++ b/src/proxy/upstream/request_writer.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-// The request's header as it was received, but for the deadline: that is what is left of it by now, as
-// connecting may have taken its part.
+// The request's header as received, except for the deadline field: it gives the time left now, since
+// connecting may have used part of it.
 std::string RequestWriter::Header(Steady::duration time_left) const {
   const HttpRequest& request = *connection_.attempt().request;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(time_left).count();
@@ -57,8 +57,8 @@
   Flush(/*last=*/true);
 }
 
-// The attempt's timeout begins with the last byte. Until then the client's time is limited by its session,
-// and the backend's by the stall timeout of each chunk.
+// The attempt's timeout counts from the last byte. Until then, ClientSession limits the time of the client,
+// and the stall timeout of each chunk that of the backend.
 void RequestWriter::WriteChunk(std::string bytes, bool last) {
   buffer_ = std::move(bytes);
   position_ = 0;
@@ -66,9 +66,9 @@
   Flush(last);
 }
 
-// Writes without a completion handler in between, so that the last byte counts as written as soon as the
-// kernel has it. A turn of the event loop later, a timer or a reset might come first, and an attempt that the
-// backend has received completely would be taken for one that never ran.
+// Writes synchronously, so that the last byte counts as written as soon as the kernel has it. With a
+// completion handler, a timer or a reset could be handled first, and an attempt that the backend has received
+// completely would be classified as one that never ran.
 void RequestWriter::Flush(bool last) {
   const Attempt& attempt = connection_.attempt();
   const auto body = attempt.upload ? asio::const_buffer() : asio::buffer(attempt.request->body());
@@ -100,7 +100,7 @@
   upload.source->Read([this, connection = connection_.shared_from_this(), id = connection_.attempt_id()](
                           bool complete, std::string_view chunk, bool last) {
     if (!connection->IsCurrent(id)) return;
-    // The client has failed, and nothing has run.
+    // The client did not send its complete body, so that the request cannot have run.
     if (!complete) return connection->Fail(AttemptOutcome::kNotSent);
     WriteChunk(EncodeBodyChunk(chunk, last, connection->attempt().request->chunked()), last);
   });
--- a/src/proxy/upstream/request_writer.h
+++ b/src/proxy/upstream/request_writer.h
@@ -14,8 +14,8 @@
 
 class BackendConnection;
 
-// Part of a BackendConnection, which owns it, the socket and the attempt. Ends with the connection's
-// OnRequestWritten, Complete or FailSoon.
+// Owned by a BackendConnection, which also owns the socket and the attempt. Each write ends in one of the
+// connection's OnRequestWritten, Fail and FailSoon.
 class RequestWriter {
  public:
   RequestWriter(BackendConnection& connection, boost::asio::ip::tcp::socket& socket)
@@ -36,7 +36,7 @@
   BackendConnection& connection_;
   boost::asio::ip::tcp::socket& socket_;
   std::string buffer_;        // header, or header and chunk, being written
-  std::size_t position_ = 0;  // bytes that the kernel has taken of that, and of the body behind it
+  std::size_t position_ = 0;  // bytes of buffer_ and the body after it that the kernel has taken
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -47,7 +47,7 @@
 void ResponseReader::OnHeader() {
   const auto& header = parser_->get();
   if (header.result_int() < kFirstFinalStatus) {
-    // The final response is still to come; but no request asks to switch protocols.
+    // The final response is still to come. 101 is invalid, as no request asks to switch protocols.
     const bool invalid = header.result() == http::status::switching_protocols ||
                          ++informational_responses_ > kMaxInformationalResponses;
     return invalid ? connection_.FailResponse() : Read();
@@ -56,8 +56,8 @@
   ReadBody();
 }
 
-// A response that only the connection's end delimits can't be told from one cut short, unless the backend has
-// announced that it will close: then a plain end is the response's, and a reset is not.
+// A response delimited by the close of the connection cannot be distinguished from a truncated one, unless
+// the backend has announced the close: then an orderly close ends the response, and a reset truncates it.
 bool ResponseReader::IsFramingAcceptable() const {
   const auto& header = parser_->get();
   const bool announces_close =
@@ -104,7 +104,7 @@
                 [this, connection = connection_.shared_from_this()](const Error& error, auto bytes_read) {
                   if (!connection->streaming() || !on_chunk_) return;
                   if (error) return connection->Close();
-                  // The client's time to take the chunk does not count against the backend.
+                  // The time in which the client receives the chunk does not count against the backend.
                   connection->SetTimer(Steady::time_point::max());
                   CancelStreamedBody()(true, {chunk_.data(), bytes_read()}, parser_->is_done());
                 });
--- a/src/proxy/upstream/response_reader.h
+++ b/src/proxy/upstream/response_reader.h
@@ -19,23 +19,23 @@
 
 class BackendConnection;
 
-// Part of a BackendConnection, which owns it and the socket. Ends with the connection's OnResponse,
-// OnStreamedResponse or Complete.
+// Owned by a BackendConnection, which also owns the socket. Each read ends in one of the connection's
+// OnResponse, OnStreamedResponse and FailResponse.
 class ResponseReader {
  public:
   ResponseReader(BackendConnection& connection, boost::asio::ip::tcp::socket& socket);
 
-  // Before the request is written.
+  // Prepares for a new response; must be called before the request is written.
   void Reset();
-  // Reads a response whose first bytes have arrived.
+  // Reads a response; called when its first bytes have arrived.
   void Read();
 
-  // Reads the next piece of a streamed body. `on_chunk` is called once, unless CancelStreamedBody comes
-  // first.
+  // Reads the next chunk of a streamed body. `on_chunk` is called once, unless CancelStreamedBody is called
+  // first, which returns it.
   void ReadStreamedBody(BodySource::OnBodyChunk on_chunk);
   BodySource::OnBodyChunk CancelStreamedBody();
 
-  // Whether the response has been read to its end and leaves the connection usable for another request.
+  // @return whether the response is completely read and leaves the connection usable for another request.
   bool allows_reuse() const;
 
   // Frees all buffers.
@@ -53,8 +53,8 @@
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
   std::string body_;                  // the buffered part of the body
   std::vector<char> chunk_;           // target of the read in progress
-  BodySource::OnBodyChunk on_chunk_;  // of the streamed read in progress
-  int informational_responses_ = 0;   // 1xx received ahead of the final one
+  BodySource::OnBodyChunk on_chunk_;  // callback of the streamed read in progress
+  int informational_responses_ = 0;   // 1xx responses received before the final one
 };
 
 }  // namespace copperpoint::proxy
