--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Clients that wait to be accepted, as the proxy has as many as it may.
+// Connections that wait in the kernel's accept queue because the proxy has reached its client limit.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -15,10 +15,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kFewSockets = 64;  // of these (64 - 24) * 0.6 are for clients
-constexpr std::size_t kFewClients = 24;
+constexpr int kMaxSockets = 64;  // (64 - 24 reserved) * 0.6 of these are for clients
+constexpr std::size_t kMaxClients = 24;
 
-// A proxy at its client limit, with requests that wait at a backend.
+// A proxy that Fill brings to its client limit, with requests that wait at the backend until Release.
 struct FullProxySetup {
   FullProxySetup()
       : backend([this](Tcp::socket& s, const HttpRequest& r) {
@@ -27,10 +27,10 @@
           return true;
         }),
         setup(Members(MemberJson("s-1", backend.address()))) {
-    setup.config["limits"]["sockets"] = kFewSockets;
+    setup.config["limits"]["sockets"] = kMaxSockets;
     setup.Start();
   }
-  bool Fill(std::size_t n = kFewClients) {
+  bool Fill(std::size_t n = kMaxClients) {
     for (std::size_t i = 0; i < n; ++i) {
       holders.push_back(std::make_unique<Client>(setup.proxy->address));
       holders.back()->Send(WithRequestId(BookRequest(), Numbered("h", i)));
@@ -40,12 +40,12 @@
   void Release() {
     release.Update([](bool& r) { r = true; });
   }
-  std::vector<HttpRequest> Looks() {
-    std::vector<HttpRequest> looks;
+  std::vector<HttpRequest> ReceivedLookRequests() {
+    std::vector<HttpRequest> requests;
     for (const HttpRequest& r : backend.activity.Get().requests) {
-      if (r["Req-Kind"] == "look") looks.push_back(r);
+      if (r["Req-Kind"] == "look") requests.push_back(r);
     }
-    return looks;
+    return requests;
   }
 
   WaitableValue<bool> release;
@@ -54,43 +54,46 @@
   std::vector<std::unique_ptr<Client>> holders;
 };
 
+// A client that disconnects while its connection is in the accept queue must not cause an attempt.
 TEST(AcceptQueue, DoesNotForwardRequestOfClientThatDisconnectedThere) {
   FullProxySetup full;
   ASSERT_TRUE(full.Fill());
   {
-    Client gone(full.setup.proxy->address);
-    gone.Send(WithRequestId(LookRequest(), "gone"));
+    Client disconnected(full.setup.proxy->address);
+    disconnected.Send(WithRequestId(LookRequest(), "disconnected"));
   }
-  Client after(full.setup.proxy->address);  // behind it in the queue
+  Client after(full.setup.proxy->address);  // queued after the disconnected client
   after.Send(WithRequestId(LookRequest(), "after"));
   full.Release();
   EXPECT_EQ(after.Read().body(), "served");
-  const auto looks = full.Looks();
-  ASSERT_EQ(looks.size(), 1u);
-  EXPECT_EQ(looks[0]["Req-Id"], "after");
+  const auto requests = full.ReceivedLookRequests();
+  ASSERT_EQ(requests.size(), 1u);
+  EXPECT_EQ(requests[0]["Req-Id"], "after");
 }
 
+// The deadline counts from when the connection may have entered the queue, not from when it is accepted.
 TEST(AcceptQueue, TimeSpentThereReducesTheDeadline) {
   FullProxySetup full;
   ASSERT_TRUE(full.Fill());
-  Client late(full.setup.proxy->address);
-  late.Send(LookRequest("Req-Deadline-Ms: 30000\r\n"));
+  Client queued(full.setup.proxy->address);
+  queued.Send(LookRequest("Req-Deadline-Ms: 30000\r\n"));
   SleepWithoutPolling(milliseconds(400));
   full.Release();
-  EXPECT_EQ(late.Read().body(), "served");
-  const auto looks = full.Looks();
-  ASSERT_EQ(looks.size(), 1u);
-  EXPECT_LE(std::stoi(std::string(looks[0]["Req-Deadline-Ms"])), 29600);
+  EXPECT_EQ(queued.Read().body(), "served");
+  const auto requests = full.ReceivedLookRequests();
+  ASSERT_EQ(requests.size(), 1u);
+  EXPECT_LE(std::stoi(std::string(requests[0]["Req-Deadline-Ms"])), 29600);
 }
 
+// The body exceeds the read-ahead limit: a read of what waited in the queue must not drop a part of it.
 TEST(AcceptQueue, LargeBodyThatWaitedThereIsComplete) {
   FullProxySetup full;
   ASSERT_TRUE(full.Fill());
   const std::string body(60 * 1024, 'z');
-  Client late(full.setup.proxy->address);
-  late.Send(PostRequest("change", "Idempotency-Key: 7e\r\n", body));
+  Client queued(full.setup.proxy->address);
+  queued.Send(PostRequest("change", "Idempotency-Key: 7e\r\n", body));
   full.Release();
-  EXPECT_EQ(late.Read().body(), "served");
+  EXPECT_EQ(queued.Read().body(), "served");
   for (const HttpRequest& r : full.backend.activity.Get().requests) {
     if (r["Req-Kind"] == "change") {
       EXPECT_EQ(r.body(), body);
@@ -98,22 +101,22 @@
   }
 }
 
-// Idle clients, silent ones, or ones that never complete a request use up the limit.
+// Clients that are idle, that have sent nothing, or that never complete a request must not use up the limit.
 TEST(AcceptQueue, WaitingClientReplacesIdleOne) {
   for (const std::string& first :
        {LookRequest(), std::string(), std::string("GET /look HTTP/1.1\r\nReq-Id: ")}) {
     Backend backend;
     ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-    setup.config["limits"]["sockets"] = kFewSockets;
+    setup.config["limits"]["sockets"] = kMaxSockets;
     setup.timeouts.idle_reclaim = std::chrono::minutes(10);
     setup.timeouts.pressed_idle_reclaim = milliseconds(1);
     setup.Start();
-    std::vector<std::unique_ptr<Client>> resting;
-    for (std::size_t i = 0; i < 3 * kFewClients; ++i) {
-      resting.push_back(std::make_unique<Client>(setup.proxy->address));
-      if (!first.empty()) resting.back()->Send(first);
+    std::vector<std::unique_ptr<Client>> clients;
+    for (std::size_t i = 0; i < 3 * kMaxClients; ++i) {
+      clients.push_back(std::make_unique<Client>(setup.proxy->address));
+      if (!first.empty()) clients.back()->Send(first);
       if (first == LookRequest()) {
-        EXPECT_EQ(resting.back()->Read().body(), "served") << i;
+        EXPECT_EQ(clients.back()->Read().body(), "served") << i;
       }
     }
     Client last(setup.proxy->address);
--- a/tests/proxy/action_executor_test.cpp
+++ b/tests/proxy/action_executor_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What becomes of the Balancer's actions: each attempt that is to be started is followed by one
-// AttemptCompleted, and the request gets the answer that follows from its result.
+// ActionExecutor: every StartAttempt is followed by one AttemptCompleted, and a result that rules out a retry
+// completes the request with the matching response.
 #include "proxy/core/action_executor.h"
 
 #include <gtest/gtest.h>
@@ -45,9 +45,9 @@
     start.backend = kBackend;
     return start;
   }
-  // Runs the event loop until so many attempts are completed.
+  // Runs the event loop until `attempts` attempts are completed.
   void RunUntilCompleted(std::size_t attempts) {
-    io_.restart();  // it has stopped if nothing was left to do
+    io_.restart();  // the loop has stopped if no work was left
     while (sink_.completed.size() < attempts) ASSERT_GT(io_.run_one_for(std::chrono::seconds(20)), 0u);
   }
   const AttemptCompleted& last() const { return sink_.completed.back(); }
@@ -68,7 +68,7 @@
   const RequestId id = Add();
   executor_.Execute(Start(id));
   EXPECT_TRUE(requests_.Find(id)->attempt_in_flight);
-  EXPECT_TRUE(sink_.completed.empty()) << "never from within";
+  EXPECT_TRUE(sink_.completed.empty()) << "completed within Execute";
   RunUntilCompleted(1);
   EXPECT_EQ(last().request, id);
   EXPECT_EQ(last().attempt, 0);
@@ -121,7 +121,7 @@
     EXPECT_EQ(last().request_completed, completed) << why;
   };
   expect_not_sent(77, 0, true, "no such request");
-  expect_not_sent(Add(milliseconds(-1)), 0, false, "its deadline has passed");
+  expect_not_sent(Add(milliseconds(-1)), 0, false, "the deadline has passed");
 
   const RequestId in_flight = Add();
   executor_.Execute(Start(in_flight));
@@ -129,11 +129,11 @@
 
   const RequestId answered = Add();
   requests_.Abandon(answered);
-  expect_not_sent(answered, 0, true, "it is answered");
+  expect_not_sent(answered, 0, true, "the request is answered");
 
   const RequestId exhausted = Add();
   requests_.Find(exhausted)->attempts = kMaxAttempts;
-  expect_not_sent(exhausted, kMaxAttempts, false, "no attempt is left to it");
+  expect_not_sent(exhausted, kMaxAttempts, false, "max_attempts is reached");
 }
 
 TEST_F(ActionExecutorTest, LimitOfThisProcessRejectsAFirstAttemptAndFailsALaterOne) {
@@ -158,7 +158,7 @@
   const RequestId id = Add();
   requests_.Find(id)->upload = std::make_shared<proxy::RequestBodyStream>();
   requests_.Find(id)->upload->consumed = true;
-  executor_.Execute(Start(id));  // to a backend without an address: it did not run
+  executor_.Execute(Start(id));  // to a backend without an address, so that it cannot run
   RunUntilCompleted(1);
   EXPECT_TRUE(last().request_completed);
   EXPECT_EQ(responder_->calls, std::vector<std::string>{"unavailable 7"});
--- a/tests/proxy/action_failure_test.cpp
+++ b/tests/proxy/action_failure_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// An exception while one action is carried out.
+// An exception that is thrown while one action is executed.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -17,52 +17,55 @@
 
 using std::chrono::milliseconds;
 
-// Responders that throw, and responders that count rejections.
-class Throws : public proxy::Responder {
+// Throws from every call.
+class ThrowingResponder : public proxy::Responder {
  public:
   void SendResponse(HttpResponse, std::shared_ptr<proxy::BodySource>, std::optional<std::uint64_t>) override {
-    Fall();
+    Throw();
   }
-  void SendUnavailable(Duration) override { Fall(); }
-  void SendBadGateway() override { Fall(); }
-  void SendClientError(http::status) override { Fall(); }
+  void SendUnavailable(Duration) override { Throw(); }
+  void SendBadGateway() override { Throw(); }
+  void SendClientError(http::status) override { Throw(); }
 
  private:
-  static void Fall() { throw std::runtime_error("no memory"); }
+  static void Throw() { throw std::runtime_error("no memory"); }
 };
-class Notes : public Throws {
+// Counts rejections, and throws from every other call.
+class CountingResponder : public ThrowingResponder {
  public:
-  explicit Notes(WaitableValue<int>& refused) : refused_(refused) {}
+  explicit CountingResponder(WaitableValue<int>& rejections) : rejections_(rejections) {}
   void SendUnavailable(Duration) override {
-    refused_.Update([](int& n) { ++n; });
+    rejections_.Update([](int& n) { ++n; });
   }
 
  private:
-  WaitableValue<int>& refused_;
+  WaitableValue<int>& rejections_;
 };
 
+// An exception from one request's responder must not leave the requests that are rejected in the same turn
+// without a response.
 TEST(Actions, ExceptionInOneDoesNotAffectTheOthers) {
   Backend backend;
-  ProxySetup setup({});  // without a list: all are held, and refused in one turn
+  ProxySetup setup({});  // without endpoints, all requests are queued and rejected in one turn
   setup.Start();
-  WaitableValue<int> refused;
+  WaitableValue<int> rejections;
   setup.proxy->RunOnEventLoop([&](proxy::Proxy& p) {
-    const auto due = proxy::Steady::now() + milliseconds(100);
+    const auto deadline = proxy::Steady::now() + milliseconds(100);
     for (int i = 0; i < 6; ++i) {
       proxy::ClientRequest request;
       request.message.method(http::verb::get);
       request.message.target("/look");
       request.message.set("Req-Id", Numbered("t", i));
-      request.deadline = due;
+      request.deadline = deadline;
       if (i % 2 == 0) {
-        p.OnRequest(std::move(request), std::make_shared<Throws>());
+        p.OnRequest(std::move(request), std::make_shared<ThrowingResponder>());
       } else {
-        p.OnRequest(std::move(request), std::make_shared<Notes>(refused));
+        p.OnRequest(std::move(request), std::make_shared<CountingResponder>(rejections));
       }
     }
     return 0;
   });
-  EXPECT_TRUE(refused.WaitFor([](int n) { return n == 3; }));
+  EXPECT_TRUE(rejections.WaitFor([](int n) { return n == 3; }));
   EXPECT_TRUE(setup.proxy->WaitUntilNoOpenRequests());
 }
 
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One attempt at a time, its event loop stepped by hand: what is ready in one turn, and what comes between.
+// Single attempts on an event loop that the test runs one handler at a time: events that become ready in the
+// same turn, and events between two turns.
 #include <gtest/gtest.h>
 
 #include <boost/asio/local/connect_pair.hpp>
@@ -23,7 +24,7 @@
     limits_.timeouts.response_stall = limits_.timeouts.body_stall = std::chrono::minutes(1);
     limits_.timeouts.connection_rest = milliseconds(0);
     backends_ = std::make_unique<proxy::BackendPool>(io_, limits_);
-    backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 0);
+    backends_->SetEndpoint(kBackend, acceptor_.local_endpoint(), 0);
   }
 
   static std::shared_ptr<const HttpRequest> Request(const std::string& body = "text") {
@@ -37,18 +38,19 @@
 
   void Send(milliseconds timeout, std::shared_ptr<const HttpRequest> request = Request()) {
     result_.reset();
-    ticket_ = backends_->SendRequest(kServer, std::move(request), Duration(timeout),
-                                     [this](proxy::AttemptResult result) { result_ = std::move(result); });
+    attempt_handle_ =
+        backends_->SendRequest(kBackend, std::move(request), Duration(timeout),
+                               [this](proxy::AttemptResult result) { result_ = std::move(result); });
   }
-  Tcp::socket Accepted() {
+  Tcp::socket Accept() {
     Tcp::socket socket(peer_io_);
     acceptor_.accept(socket);
     return socket;
   }
-  bool Ended() {
+  bool RunUntilCompleted() {
     return StepUntil(io_, [this] { return result_.has_value(); });
   }
-  static bool Whole(const std::string& bytes, const HttpRequest& request) {
+  static bool IsComplete(const std::string& bytes, const HttpRequest& request) {
     const std::size_t head = bytes.find("\r\n\r\n");
     return head != std::string::npos && bytes.size() - head - 4 >= request.body().size();
   }
@@ -58,99 +60,102 @@
            result_->outcome == AttemptOutcome::kBackendRejected;
   }
 
-  static constexpr BackendId kServer = 7;
+  static constexpr BackendId kBackend = 7;
   asio::io_context io_{1}, peer_io_;
   Tcp::acceptor acceptor_;
   proxy::BackendPool::Limits limits_;
   std::unique_ptr<proxy::BackendPool> backends_;
-  proxy::BackendPool::AttemptHandle ticket_;
+  proxy::BackendPool::AttemptHandle attempt_handle_;
   std::optional<proxy::AttemptResult> result_;
 };
 
 TEST_F(Attempts, SendsTheTimeLeftWhenTheRequestIsWritten) {
   Send(milliseconds(60000));
-  SleepWithoutPolling(milliseconds(300));  // a slow connect
-  Tcp::socket peer = Accepted();
+  SleepWithoutPolling(milliseconds(300));  // simulates a slow connect
+  Tcp::socket peer = Accept();
   std::string bytes;
   ASSERT_TRUE(StepUntil(io_, [&] {
     bytes += ReadAvailable(peer).bytes;
-    return Whole(bytes, *Request());
+    return IsComplete(bytes, *Request());
   }));
   const std::size_t at = bytes.find("Req-Deadline-Ms: ");
   ASSERT_NE(at, std::string::npos);
   EXPECT_LE(std::stoi(bytes.substr(at + 17)), 59700);
-  EXPECT_EQ(bytes.find("Req-Deadline-Ms: ", at + 1), std::string::npos) << "told once";
+  EXPECT_EQ(bytes.find("Req-Deadline-Ms: ", at + 1), std::string::npos) << "the field is sent twice";
 }
 
 TEST_F(Attempts, NotExecutedMeansNotWrittenCompletely) {
-  // The connection is ready and the timeout expires in one turn of the loop.
+  // The connection is established and the timeout expires in the same turn of the event loop.
   Send(milliseconds(30));
   SleepWithoutPolling(milliseconds(60));
-  Tcp::socket peer = Accepted();
-  ASSERT_TRUE(Ended());
-  const ReceivedData heard = ReadToEnd(peer);
-  EXPECT_EQ(NeverRan(), !Whole(heard.bytes, *Request())) << heard.bytes;
+  Tcp::socket peer = Accept();
+  ASSERT_TRUE(RunUntilCompleted());
+  const ReceivedData received = ReadToEnd(peer);
+  EXPECT_EQ(NeverRan(), !IsComplete(received.bytes, *Request())) << received.bytes;
 }
 
-// The last bytes go out in the turn in which the timer fires. How much the system takes of a request that
-// nobody reads is measured first, so that a little is left.
+// The last bytes are written in the turn in which the timer fires; a complete write must not be reported as
+// an attempt that never ran. The test first measures how much of a request the kernel buffers while the peer
+// does not read, and then sends requests that are slightly larger.
 TEST_F(Attempts, ReportsWriteThatCompletesAsTheTimerFires) {
-  const auto unread = [this](const std::shared_ptr<const HttpRequest>& request, milliseconds timeout) {
+  const auto send_until_blocked = [this](const std::shared_ptr<const HttpRequest>& request,
+                                         milliseconds timeout) {
     Send(timeout, request);
-    Tcp::socket peer = Accepted();
-    for (int quiet = 0; quiet < 20; ++quiet) {  // until the loop has nothing to do
+    Tcp::socket peer = Accept();
+    for (int idle_polls = 0; idle_polls < 20; ++idle_polls) {  // until the event loop has nothing to do
       io_.restart();
-      while (io_.poll() > 0) quiet = 0;
+      while (io_.poll() > 0) idle_polls = 0;
       SleepWithoutPolling(milliseconds(1));
     }
     return peer;
   };
-  std::size_t taken = 0;
+  std::size_t buffered_bytes = 0;
   {
-    Tcp::socket peer = unread(Request(std::string(64 * 1024 * 1024, 'y')), milliseconds(60000));
-    taken = ReadAvailable(peer).bytes.size();
-    backends_->CancelUnsent(ticket_);
-    ASSERT_TRUE(Ended());
+    Tcp::socket peer = send_until_blocked(Request(std::string(64 * 1024 * 1024, 'y')), milliseconds(60000));
+    buffered_bytes = ReadAvailable(peer).bytes.size();
+    backends_->CancelUnsent(attempt_handle_);
+    ASSERT_TRUE(RunUntilCompleted());
   }
-  int whole = 0;
+  int complete_writes = 0;
   for (const std::size_t left : {1000, 50000, 100000, 200000, 400000}) {
-    const auto request = Request(std::string(taken + left, 'y'));
-    Tcp::socket peer = unread(request, milliseconds(150));
+    const auto request = Request(std::string(buffered_bytes + left, 'y'));
+    Tcp::socket peer = send_until_blocked(request, milliseconds(150));
     SleepWithoutPolling(milliseconds(200));
-    std::string bytes = ReadAvailable(peer).bytes;  // there is room for the rest now, and the time is up
-    ASSERT_TRUE(Ended());
+    std::string bytes = ReadAvailable(peer).bytes;  // makes room for the rest after the timeout has expired
+    ASSERT_TRUE(RunUntilCompleted());
     bytes += ReadToEnd(peer).bytes;
-    EXPECT_EQ(NeverRan(), !Whole(bytes, *request)) << bytes.size() << " of " << request->body().size();
-    whole += Whole(bytes, *request);
+    EXPECT_EQ(NeverRan(), !IsComplete(bytes, *request)) << bytes.size() << " of " << request->body().size();
+    complete_writes += IsComplete(bytes, *request);
   }
-  EXPECT_GT(whole, 0) << "the crossing was met";
+  EXPECT_GT(complete_writes, 0) << "no write completed in the turn of the timer";
 }
 
 TEST_F(Attempts, WritesNothingWhenCancelledAsItsConnectionIsReady) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();  // it is ready, and the event loop has not seen it yet
-  backends_->CancelUnsent(ticket_);
-  EXPECT_FALSE(result_) << "not from within the call";
-  ASSERT_TRUE(Ended());
+  Tcp::socket peer = Accept();  // established, but not handled by the event loop yet
+  backends_->CancelUnsent(attempt_handle_);
+  EXPECT_FALSE(result_) << "completed within CancelUnsent";
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   EXPECT_FALSE(result_->local_failure);
   EXPECT_EQ(ReadToEnd(peer).bytes, "");
   EXPECT_EQ(backends_->connection_count(), 0u);
 }
 
-// Both are ready in one turn of the loop: first the end of the attempt, then its connection.
+// The attempt is cancelled in the turn of the event loop in which its connection is established, just before
+// the handler of the connection.
 TEST_F(Attempts, WritesNothingWhenEndedInTheTurnOfItsConnection) {
-  const std::function<void()> ends[] = {[this] { backends_->CancelUnsent(ticket_); },
-                                        [this] { backends_->DrainBackend(kServer); }};
-  for (const auto& end : ends) {
-    backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 0);
-    asio::local::stream_protocol::socket trigger(io_), pulls(io_);
-    asio::local::connect_pair(trigger, pulls);
-    trigger.async_wait(asio::socket_base::wait_read, [&](const error_code&) { end(); });
-    asio::write(pulls, asio::buffer("!", 1));
+  const std::function<void()> cancellations[] = {[this] { backends_->CancelUnsent(attempt_handle_); },
+                                                 [this] { backends_->DrainBackend(kBackend); }};
+  for (const auto& cancel : cancellations) {
+    backends_->SetEndpoint(kBackend, acceptor_.local_endpoint(), 0);
+    asio::local::stream_protocol::socket trigger(io_), trigger_peer(io_);
+    asio::local::connect_pair(trigger, trigger_peer);
+    trigger.async_wait(asio::socket_base::wait_read, [&](const error_code&) { cancel(); });
+    asio::write(trigger_peer, asio::buffer("!", 1));
     Send(milliseconds(60000));
-    Tcp::socket peer = Accepted();
-    ASSERT_TRUE(Ended());
+    Tcp::socket peer = Accept();
+    ASSERT_TRUE(RunUntilCompleted());
     EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
     EXPECT_EQ(ReadToEnd(peer).bytes, "");
   }
@@ -158,9 +163,9 @@
 
 TEST_F(Attempts, BackendThatDrainsWhileConnectingGetsNothing) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
-  backends_->DrainBackend(kServer);
-  ASSERT_TRUE(Ended());
+  Tcp::socket peer = Accept();
+  backends_->DrainBackend(kBackend);
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   EXPECT_FALSE(result_->local_failure);
   EXPECT_EQ(ReadToEnd(peer).bytes, "");
@@ -168,97 +173,97 @@
 
 TEST_F(Attempts, BackendRemovedByASnapshotWhileConnectingGetsNothing) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
+  Tcp::socket peer = Accept();
   backends_->DrainAllExcept({});
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(ReadToEnd(peer).bytes, "");
 }
 
 TEST_F(Attempts, BackendRestartedWhileConnectingGetsNothingOfTheOneBefore) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
-  backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 1234);
-  ASSERT_TRUE(Ended());
+  Tcp::socket peer = Accept();
+  backends_->SetEndpoint(kBackend, acceptor_.local_endpoint(), 1234);
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(ReadToEnd(peer).bytes, "");
-  Send(milliseconds(60000));  // and is dialled anew for the next
-  Tcp::socket next = Accepted();
+  Send(milliseconds(60000));  // the next attempt opens a new connection
+  Tcp::socket next = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(next).bytes.empty(); }));
 }
 
 TEST_F(Attempts, PartlyWrittenRequestEndsWhenItsBackendDrains) {
   const auto request = Request(std::string(64 * 1024 * 1024, 'y'));
   Send(milliseconds(60000), request);
-  Tcp::socket peer = Accepted();
+  Tcp::socket peer = Accept();
   std::string bytes;
   ASSERT_TRUE(StepUntil(io_, [&] {
     bytes += ReadAvailable(peer).bytes;
     return !bytes.empty();
   }));
-  backends_->DrainBackend(kServer);
-  ASSERT_TRUE(Ended());
+  backends_->DrainBackend(kBackend);
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kNotSent);
   bytes += ReadToEnd(peer).bytes;
-  EXPECT_FALSE(Whole(bytes, *request));
+  EXPECT_FALSE(IsComplete(bytes, *request));
 }
 
 TEST_F(Attempts, CompletelyWrittenRequestIsNotCancelled) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
+  Tcp::socket peer = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
-  backends_->CancelUnsent(ticket_);
-  backends_->DrainBackend(kServer);
+  backends_->CancelUnsent(attempt_handle_);
+  backends_->DrainBackend(kBackend);
   SendRaw(peer, OkResponse("it ran"));
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kSuccess);
   EXPECT_EQ(result_->response.body(), "it ran");
 }
 
-TEST_F(Attempts, TicketOfAnEarlierUseCancelsNothing) {
+TEST_F(Attempts, HandleOfAnEarlierAttemptCancelsNothing) {
   Send(milliseconds(60000));
-  const proxy::BackendPool::AttemptHandle first = ticket_;
-  Tcp::socket peer = Accepted();
+  const proxy::BackendPool::AttemptHandle first = attempt_handle_;
+  Tcp::socket peer = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
   SendRaw(peer, OkResponse("one"));
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   Send(milliseconds(60000));  // on the same connection
   backends_->CancelUnsent(first);
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
   SendRaw(peer, OkResponse("two"));
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->response.body(), "two");
 }
 
 TEST_F(Attempts, WritesNothingToConnectionThatEndedWhileIdle) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
+  Tcp::socket peer = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
   SendRaw(peer, OkResponse("one"));
-  ASSERT_TRUE(Ended());
-  peer.shutdown(Tcp::socket::shutdown_send);  // the event loop has not seen it yet
+  ASSERT_TRUE(RunUntilCompleted());
+  peer.shutdown(Tcp::socket::shutdown_send);  // not handled by the event loop yet
   Send(milliseconds(60000));
-  Tcp::socket next = Accepted();
+  Tcp::socket next = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(next).bytes.empty(); }));
   EXPECT_EQ(ReadAvailable(peer).bytes, "");
 }
 
 TEST_F(Attempts, OnlyResetAfterTheLastByteMayHaveExecuted) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
+  Tcp::socket peer = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
   CloseWithReset(peer);
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectionReset);
 
   const auto large = Request(std::string(64 * 1024 * 1024, 'y'));
   Send(milliseconds(60000), large);
-  Tcp::socket half = Accepted();
+  Tcp::socket half = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(half).bytes.empty(); }));
   CloseWithReset(half);
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectFailure);
 }
 
-// Only what is complete by its own framing is returned.
+// Only a response that is complete by its own framing is a success.
 TEST_F(Attempts, ResponseTruncatedAtAnyByteIsAFailure) {
   const std::string forms[] = {
       OkResponse("body"),
@@ -268,17 +273,17 @@
   };
   for (const std::string& form : forms) {
     for (const bool by_reset : {true, false}) {
-      const bool to_the_end = form.find("Connection: close") != std::string::npos;
+      const bool delimited_by_close = form.find("Connection: close") != std::string::npos;
       const std::size_t head = form.find("\r\n\r\nbody");
       for (std::size_t cut = 0; cut < form.size(); ++cut) {
-        // With a plain end, an answer that is delimited by that is whole wherever its body ends.
-        if (to_the_end && !by_reset && cut >= head + 4) continue;
+        // A response delimited by an orderly close is complete wherever its body ends.
+        if (delimited_by_close && !by_reset && cut >= head + 4) continue;
         Send(milliseconds(60000));
-        Tcp::socket peer = Accepted();
+        Tcp::socket peer = Accept();
         ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
         SendRaw(peer, form.substr(0, cut));
         by_reset ? CloseWithReset(peer) : peer.close();
-        ASSERT_TRUE(Ended());
+        ASSERT_TRUE(RunUntilCompleted());
         EXPECT_EQ(result_->outcome, AttemptOutcome::kConnectionReset) << "after " << form.substr(0, cut);
       }
     }
@@ -293,14 +298,14 @@
             "1\r\n\r\n"),
         std::string("HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length:4\r\n\r\nbody")}) {
     Send(milliseconds(60000));
-    Tcp::socket peer = Accepted();
+    Tcp::socket peer = Accept();
     ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
     for (const char byte : form) {
       SendRaw(peer, std::string(1, byte));
       io_.restart();
       io_.poll();
     }
-    ASSERT_TRUE(Ended());
+    ASSERT_TRUE(RunUntilCompleted());
     EXPECT_EQ(result_->outcome, AttemptOutcome::kSuccess);
     EXPECT_EQ(result_->response.body(), "body");
     peer.close();
@@ -310,16 +315,16 @@
 
 TEST_F(Attempts, SecondResponseOnIdleConnectionClosesIt) {
   Send(milliseconds(60000));
-  Tcp::socket peer = Accepted();
+  Tcp::socket peer = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(peer).bytes.empty(); }));
   SendRaw(peer, OkResponse("one"));
-  ASSERT_TRUE(Ended());
-  SendRaw(peer, OkResponse("again"));  // the event loop has not seen it yet
+  ASSERT_TRUE(RunUntilCompleted());
+  SendRaw(peer, OkResponse("again"));  // not handled by the event loop yet
   Send(milliseconds(60000));
-  Tcp::socket next = Accepted();
+  Tcp::socket next = Accept();
   ASSERT_TRUE(StepUntil(io_, [&] { return !ReadAvailable(next).bytes.empty(); }));
   SendRaw(next, OkResponse("two"));
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(RunUntilCompleted());
   EXPECT_EQ(result_->response.body(), "two");
 }
 
--- a/tests/proxy/client_connection_test.cpp
+++ b/tests/proxy/client_connection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Connections of clients: several requests on one, slow and silent ones, and their limit.
+// Client connections: pipelined requests, slow and silent clients, and eviction at the connection limit.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -34,7 +34,7 @@
   setup.Start();
   Client silent(setup.proxy->address);
   EXPECT_TRUE(silent.WaitForClose());
-  // Bytes go on coming, each soon after the last, until the proxy has had enough.
+  // Sends a byte every millisecond until the proxy responds: single bytes must not extend the deadline.
   Client slow(setup.proxy->address);
   slow.Send("GET /look HTTP/1.1\r\nX: ");
   error_code failed;
@@ -42,12 +42,12 @@
   char byte;
   do {
     asio::write(slow.socket, asio::buffer("x", 1), failed);
-    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // or it would be a header too large
+    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // so that the header limit is not reached
     if (!failed) slow.socket.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, failed);
   } while (failed == asio::error::would_block);
   slow.socket.non_blocking(false);
   EXPECT_EQ(slow.Read().result_int(), 408u);
-  // A next request has its own deadline, from its first byte.
+  // The deadline of a later request counts from its first byte.
   Client kept(setup.proxy->address);
   EXPECT_EQ(kept.SendAndRead(LookRequest()).result_int(), 200u);
   kept.Send("GET /look HTTP/1.1\r\n");
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Clients that disconnect: no attempt starts for them, whatever they had sent and wherever their request was.
+// Clients that disconnect: no attempt may start for them, whatever they have sent and in whichever state
+// their request is.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -12,58 +13,58 @@
 namespace copperpoint::testing {
 namespace {
 
-// A backend that never accepts connections, and a connect timeout longer than any test.
+// A proxy whose backend never accepts connections, with a connect timeout longer than any test.
 struct UnreachableBackendSetup : ProxySetup {
-  explicit UnreachableBackendSetup(const FullBacklogListener& dial)
-      : ProxySetup(Members(MemberJson("s-1", dial.address()))) {
+  explicit UnreachableBackendSetup(const FullBacklogListener& listener)
+      : ProxySetup(Members(MemberJson("s-1", listener.address()))) {
     config["settings"]["permissions"]["connectTimeoutMs"] = 600000.0;
     Start();
   }
-  bool Dialling() {
+  bool WaitUntilConnecting() {
     return proxy->WaitUntil([](proxy::Proxy& p) { return p.backend_connections() == 1; });
   }
-  // The disconnect has been seen, and the attempt has been cancelled.
-  bool AllForgotten() {
+  // Waits until the disconnect is detected and the attempt is cancelled.
+  bool WaitUntilAllReleased() {
     return proxy->WaitUntil([](proxy::Proxy& p) {
       return p.client_connections() == 0 && p.open_requests() == 0 && p.backend_connections() == 0;
     });
   }
 };
 
-// A client that sends a request, sends more once its attempt is connecting, and disconnects.
-void ExpectForgotten(const std::string& asks, const std::string& more = "") {
-  FullBacklogListener dial;
-  UnreachableBackendSetup setup(dial);
+// Sends `request`, sends `more` once its attempt is connecting, disconnects, and expects everything released.
+void ExpectAllReleased(const std::string& request, const std::string& more = "") {
+  FullBacklogListener listener;
+  UnreachableBackendSetup setup(listener);
   {
     Client client(setup.proxy->address);
-    client.Send(asks);
-    ASSERT_TRUE(setup.Dialling());
+    client.Send(request);
+    ASSERT_TRUE(setup.WaitUntilConnecting());
     client.Send(more);
   }
-  EXPECT_TRUE(setup.AllForgotten());
+  EXPECT_TRUE(setup.WaitUntilAllReleased());
 }
 
-TEST(ClientDisconnected, CancelsAttemptThatIsConnecting) { ExpectForgotten(BookRequest()); }
+TEST(ClientDisconnected, CancelsAttemptThatIsConnecting) { ExpectAllReleased(BookRequest()); }
 TEST(ClientDisconnected, IsDetectedBehindAPipelinedRequest) {
-  ExpectForgotten(BookRequest() + WithRequestId(BookRequest(), "next"));
+  ExpectAllReleased(BookRequest() + WithRequestId(BookRequest(), "next"));
 }
 TEST(ClientDisconnected, IsDetectedBehindAFlood) {
-  ExpectForgotten(BookRequest(), std::string(2 * 1024 * 1024, 'x'));
+  ExpectAllReleased(BookRequest(), std::string(2 * 1024 * 1024, 'x'));
 }
 
 TEST(ClientDisconnected, IsDetectedByAReset) {
-  FullBacklogListener dial;
-  UnreachableBackendSetup setup(dial);
+  FullBacklogListener listener;
+  UnreachableBackendSetup setup(listener);
   Client client(setup.proxy->address);
   client.Send(BookRequest() + WithRequestId(BookRequest(), "next"));
-  ASSERT_TRUE(setup.Dialling());
+  ASSERT_TRUE(setup.WaitUntilConnecting());
   CloseWithReset(client.socket);
-  EXPECT_TRUE(setup.AllForgotten());
+  EXPECT_TRUE(setup.WaitUntilAllReleased());
 }
 
 TEST(ClientDisconnected, ManyAtOnceAreAllReleased) {
-  FullBacklogListener dial;
-  UnreachableBackendSetup setup(dial);
+  FullBacklogListener listener;
+  UnreachableBackendSetup setup(listener);
   {
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 100; ++i) {
@@ -72,7 +73,7 @@
     }
     ASSERT_TRUE(setup.proxy->WaitUntil([](proxy::Proxy& p) { return p.open_requests() == 100; }));
   }
-  EXPECT_TRUE(setup.AllForgotten());
+  EXPECT_TRUE(setup.WaitUntilAllReleased());
 }
 
 TEST(ClientDisconnected, FloodBehindARequestGetsItsResponseAndTheEnd) {
@@ -89,9 +90,9 @@
   ASSERT_TRUE(backend.WaitForRequests(1));
   client.Send(std::string(1024 * 1024, 'x'));
   release.Update([](bool& r) { r = true; });
-  const HttpResponse answer = client.Read();
-  EXPECT_EQ(answer.body(), "served");
-  EXPECT_FALSE(answer.keep_alive());
+  const HttpResponse response = client.Read();
+  EXPECT_EQ(response.body(), "served");
+  EXPECT_FALSE(response.keep_alive());
   EXPECT_EQ(ReadToEnd(client.socket).error, asio::error::eof);
 }
 
@@ -99,7 +100,7 @@
   WaitableValue<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
-    SendRaw(s, OkResponse("for nobody"));
+    SendRaw(s, OkResponse("not received"));
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
@@ -112,9 +113,9 @@
   }
   release.Update([](bool& r) { r = true; });
   EXPECT_TRUE(setup.proxy->WaitUntilNoOpenRequests());
-  // The response was complete, so that the connection can be reused.
+  // The attempt read its response completely, so that the connection is reused.
   Client next(setup.proxy->address);
-  EXPECT_EQ(next.SendAndRead(BookRequest()).body(), "for nobody");
+  EXPECT_EQ(next.SendAndRead(BookRequest()).body(), "not received");
   EXPECT_EQ(backend.activity.Get().opened, 1);
 }
 
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Connections to backends: when one is used again, and when it is closed.
+// Connections to backends: when they are reused, and when they are closed.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -26,7 +26,7 @@
 TEST(ConnectionPool, DoesNotReuseConnectionClosedByBackend) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, OkResponse("once"));
-    return false;  // closes, without saying so
+    return false;  // closes without announcing it
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
   setup.Start();
@@ -65,8 +65,8 @@
 
 TEST(ConnectionPool, DoesNotReuseConnectionWithExcessBytes) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
-    const std::string answer = OkResponse(std::string(r["Req-Id"]));
-    SendRaw(s, answer + answer);
+    const std::string response = OkResponse(std::string(r["Req-Id"]));
+    SendRaw(s, response + response);
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
@@ -103,14 +103,14 @@
   backends.SetEndpoint(1, backend.address(), 0);
   const auto message = std::make_shared<const HttpRequest>(http::verb::get, "/look", 11);
   std::vector<proxy::AttemptResult> results;
-  const auto keep = [&](proxy::AttemptResult r) {
+  const auto on_completed = [&](proxy::AttemptResult r) {
     results.push_back(std::move(r));
     release.Update([](bool& go) { go = true; });
   };
-  backends.SendRequest(1, message, Duration(60000), keep);
-  backends.SendRequest(1, message, Duration(60000), keep);
+  backends.SendRequest(1, message, Duration(60000), on_completed);
+  backends.SendRequest(1, message, Duration(60000), on_completed);
   while (results.size() < 2) io.run_one();
-  EXPECT_EQ(results[0].outcome, AttemptOutcome::kNotSent);  // never ran, and says nothing of the backend
+  EXPECT_EQ(results[0].outcome, AttemptOutcome::kNotSent);  // it never ran, and the backend is not at fault
   EXPECT_TRUE(results[0].local_failure);
   EXPECT_EQ(results[1].outcome, AttemptOutcome::kSuccess);
 }
@@ -144,7 +144,7 @@
                          MemberJson("s-" + std::to_string(i), backend.address()))));
   }
   Client client(setup.proxy->address);
-  // The last of them serves once the list has come; the one at its address before has left nothing behind.
+  // After the last list, only its backend is known: the removed ones at the same address are dropped.
   while (setup.proxy->RunOnEventLoop([](proxy::Proxy& p) { return p.last_revision(); }) < 61)
     std::this_thread::yield();
   EXPECT_EQ(client.SendAndRead(LookRequest()).result_int(), 200u);
--- a/tests/proxy/downstream_test.cpp
+++ b/tests/proxy/downstream_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Parts of the downstream side that need no socket: arrival times, memory budget and session states.
+// Components of the downstream side that need no socket: arrival times, memory budget and session states.
 #include <gtest/gtest.h>
 
 #include <array>
--- a/tests/proxy/event_dispatcher_test.cpp
+++ b/tests/proxy/event_dispatcher_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// EventDispatcher: the order of events, exceptions from actions and decisions, and timers.
 #include "proxy/core/event_dispatcher.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +18,7 @@
 using proxy::ActionHandler;
 using proxy::EventDispatcher;
 
-// Notes what it is called with; `on_execute` may dispatch events or throw.
+// Records the actions that it is called with; `on_execute` may dispatch events or throw.
 class FakeHandler : public ActionHandler {
  public:
   void Execute(const Action& action) override {
@@ -33,9 +35,9 @@
  protected:
   EventDispatcherTest() { dispatcher_.set_handler(&handler_); }
 
-  // The order in which the events are handled, by name.
+  // Records the name of the event and returns next_actions_.
   void Decide(const Event& event, std::vector<Action>* actions) {
-    EXPECT_FALSE(deciding_) << "entered while it decides";
+    EXPECT_FALSE(deciding_) << "re-entered";
     deciding_ = true;
     if (const auto* request = std::get_if<RequestReceived>(&event)) {
       handled_.push_back("request " + std::to_string(request->request));
@@ -60,7 +62,7 @@
   FakeHandler handler_;
   bool deciding_ = false;
   std::vector<std::string> handled_;
-  std::vector<Action> next_actions_;  // of the next event
+  std::vector<Action> next_actions_;  // returned for the next event
   EventDispatcher dispatcher_{
       io_, clock_,
       [this](TimePoint, const Event& event, std::vector<Action>* actions) { Decide(event, actions); }};
--- a/tests/proxy/forwarding_test.cpp
+++ b/tests/proxy/forwarding_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A request is forwarded, and its response returned, unchanged; what cannot be trusted of a response.
+// Requests and responses are forwarded unchanged; truncated, ambiguous and stalled responses fail.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,10 +15,10 @@
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
   setup.Start();
   Client client(setup.proxy->address);
-  const HttpResponse answer =
+  const HttpResponse response =
       client.SendAndRead(PostRequest("change", "Idempotency-Key: 7e\r\nReq-Deadline-Ms: 30000\r\n"));
-  EXPECT_EQ(answer.result_int(), 200u);
-  EXPECT_EQ(answer.body(), "a body");
+  EXPECT_EQ(response.result_int(), 200u);
+  EXPECT_EQ(response.body(), "a body");
   const auto requests = backend.activity.Get().requests;
   ASSERT_EQ(requests.size(), 1u);
   EXPECT_EQ(requests[0].method(), http::verb::post);
@@ -60,16 +60,16 @@
 
 TEST(Forwarding, ResponseDelimitedByAnnouncedCloseIsReturned) {
   for (const std::size_t size : {std::size_t{10}, std::size_t{300 * 1000}}) {
-    const std::string answer(size, 'z');
+    const std::string response(size, 'z');
     Backend backend([&](Tcp::socket& s, const HttpRequest&) {
-      SendRaw(s, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + answer);
+      SendRaw(s, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + response);
       return false;
     });
     ProxySetup setup(Members(MemberJson("s-1", backend.address())));
     setup.Start();
     Client client(setup.proxy->address);
-    EXPECT_EQ(client.SendAndRead(BookRequest()).body(), answer);
-    EXPECT_EQ(client.SendAndRead(BookRequest()).body(), answer);
+    EXPECT_EQ(client.SendAndRead(BookRequest()).body(), response);
+    EXPECT_EQ(client.SendAndRead(BookRequest()).body(), response);
   }
 }
 
@@ -85,11 +85,11 @@
 }
 
 TEST(Forwarding, GarbageFromBackendFailsThatRequestOnly) {
-  WaitableValue<int> asked;
+  WaitableValue<int> received_requests;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
-    asked.Update([](int& n) { ++n; });
-    SendRaw(s, asked.Get() == 1 ? "\x01\x02 no HTTP at all\r\n\r\n" : OkResponse("well"));
-    return asked.Get() > 1;
+    received_requests.Update([](int& n) { ++n; });
+    SendRaw(s, received_requests.Get() == 1 ? "\x01\x02 no HTTP at all\r\n\r\n" : OkResponse("well"));
+    return received_requests.Get() > 1;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
   setup.Start();
@@ -150,7 +150,7 @@
   setup.timeouts.response_stall = std::chrono::milliseconds(20);
   setup.Start();
   Client client(setup.proxy->address);
-  // Its deadline is a minute away: longer than the test waits.
+  // The deadline is one minute, longer than the test waits: only the stall timeout can end the request.
   EXPECT_EQ(client.SendAndRead(BookRequest()).result_int(), 502u);
   EXPECT_TRUE(backend.WaitForClosed(1));
   EXPECT_EQ(client.SendAndRead(LookRequest()).body(), "well");
--- a/tests/proxy/large_body_test.cpp
+++ b/tests/proxy/large_body_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Bodies larger than a buffer: framing, memory, and what breaks off.
+// Bodies larger than a buffer: framing, memory limits, truncation and stalls.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -41,14 +41,14 @@
 }
 
 void ExpectLargeBodiesToPass(std::size_t size) {
-  const std::string body = Patterned(size), answer = Patterned(5 * 1000 * 1000);
-  WaitableValue<int> asked;
+  const std::string body = Patterned(size), response = Patterned(5 * 1000 * 1000);
+  WaitableValue<int> received_requests;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     EXPECT_EQ(r.body(), body);
     int n = 0;
-    asked.Update([&](int& a) { n = ++a; });
-    SendRaw(s, n % 2 ? OkResponse(answer)
-                     : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + InChunks(answer, 70001));
+    received_requests.Update([&](int& a) { n = ++a; });
+    SendRaw(s, n % 2 ? OkResponse(response)
+                     : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + InChunks(response, 70001));
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
@@ -58,21 +58,21 @@
   const std::string chunked =
       "POST /book HTTP/1.1\r\nReq-Id: 0c\r\nReq-Kind: book\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int i = 0; i < 2; ++i) {
-    EXPECT_EQ(client.SendAndRead(PostRequest("book", "", body)).body(), answer);
-    EXPECT_EQ(client.SendAndRead(chunked + InChunks(body, 1001)).body(), answer);
+    EXPECT_EQ(client.SendAndRead(PostRequest("book", "", body)).body(), response);
+    EXPECT_EQ(client.SendAndRead(chunked + InChunks(body, 1001)).body(), response);
   }
-  EXPECT_EQ(backend.activity.Get().opened, 1);  // the connection is of use after a large answer
+  EXPECT_EQ(backend.activity.Get().opened, 1);  // the connection is reused after a large response
 }
 
 TEST(LargeBodies, ForwardsBodiesOfAnyFraming) {
   ExpectLargeBodiesToPass(300 * 1000);       // buffered
-  ExpectLargeBodiesToPass(3 * 1000 * 1000);  // forwarded piece by piece
+  ExpectLargeBodiesToPass(3 * 1000 * 1000);  // streamed
 }
 
 TEST(LargeBodies, ForwardsManyAtOnce) {
-  const std::string answer = Patterned(4 * 1000 * 1000);
+  const std::string response = Patterned(4 * 1000 * 1000);
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
-    SendRaw(s, OkResponse(answer));
+    SendRaw(s, OkResponse(response));
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
@@ -83,19 +83,19 @@
     clients.back()->Send(WithRequestId(LookRequest(), std::to_string(i)));
   }
   ASSERT_TRUE(backend.WaitForRequests(20));
-  // No client has read a byte yet.
-  for (const auto& client : clients) EXPECT_EQ(client->Read().body(), answer);
+  // All requests have reached the backend, and no client has read a byte yet.
+  for (const auto& client : clients) EXPECT_EQ(client->Read().body(), response);
 }
 
 TEST(LargeBodies, TruncatedResponseEndsTheConnectionWithoutRetry) {
   for (const bool chunked : {false, true}) {
-    const auto cut = [&](Tcp::socket& s, const HttpRequest&) {
+    const auto truncated = [&](Tcp::socket& s, const HttpRequest&) {
       const std::string part = Patterned(300 * 1000);
       SendRaw(s, chunked ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n" + part
                          : "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + part);
       return false;
     };
-    Backend one(cut), two(cut);
+    Backend one(truncated), two(truncated);
     ProxySetup setup(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
     setup.Start();
     Client client(setup.proxy->address);
@@ -105,20 +105,20 @@
 }
 
 TEST(LargeBodies, PartlySentBodyIsNotRetried) {
-  // Closes once it has read the head, as a backend does that rejects the body.
-  WaitableValue<int> begun;
-  const auto cut = [&](Tcp::socket& s) {
+  // Closes after reading a part of the request, like a backend that rejects the body.
+  WaitableValue<int> partial_requests;
+  const auto truncated = [&](Tcp::socket& s) {
     std::string some(200 * 1000, ' ');
     error_code failed;
     asio::read(s, asio::buffer(some), failed);
-    begun.Update([](int& n) { ++n; });
+    partial_requests.Update([](int& n) { ++n; });
   };
-  Listener one(cut), two(cut);
+  Listener one(truncated), two(truncated);
   ProxySetup setup(Members(MemberJson("s-1", one.address), MemberJson("s-2", two.address)));
   setup.Start();
   Client client(setup.proxy->address);
   EXPECT_EQ(client.SendAndRead(PostRequest("book", "", Patterned(20 * 1000 * 1000))).result_int(), 503u);
-  EXPECT_EQ(begun.Get(), 1);
+  EXPECT_EQ(partial_requests.Get(), 1);
 }
 
 TEST(LargeBodies, StalledBodyIsRejectedWithoutExecution) {
@@ -154,19 +154,19 @@
   Backend backend;
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
   setup.config["limits"]["memory_mb"] =
-      8;  // a quarter for bodies, each counted twice: sixteen of the largest
+      8;  // a quarter is for bodies, each counted twice: 16 bodies of 64 KiB
   setup.Start();
   const std::string head =
       "POST /book HTTP/1.1\r\nReq-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 65536\r\n\r\n";
   std::vector<std::unique_ptr<Client>> uploads;
-  unsigned turned_away = 0;
+  unsigned rejected = 0;
   for (int i = 0; i < 17; ++i) {
     uploads.push_back(std::make_unique<Client>(setup.proxy->address));
-    // Only a client whose body is admitted gets 100 Continue.
+    // Only a client for whose body memory is reserved gets 100 Continue.
     uploads.back()->Send(WithRequestId(head, std::to_string(i) + "u"));
-    turned_away += uploads.back()->Read().result_int() == 503;
+    rejected += uploads.back()->Read().result_int() == 503;
   }
-  EXPECT_EQ(turned_away, 1u);
+  EXPECT_EQ(rejected, 1u);
   uploads.clear();
   unsigned status = 0;
   while ((status = Client(setup.proxy->address)
--- a/tests/proxy/module_clock_test.cpp
+++ b/tests/proxy/module_clock_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Wall-clock times in the time of the decision module.
+// BalancerClock: conversion of wall-clock times to the time of the decision module.
 #include <gtest/gtest.h>
 
 #include <chrono>
--- a/tests/proxy/pipelining_test.cpp
+++ b/tests/proxy/pipelining_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests that come behind one another on a connection.
+// Requests that are sent on one connection before the earlier ones have their responses.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-// Many requests at once are answered in order, however they are cut.
+// Responses must come in the order of the requests, however the requests are split into segments.
 TEST(Pipelined, RequestsInAnySegmentsAreServedInOrder) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, OkResponse(std::string(r["Req-Id"])));
@@ -29,15 +29,15 @@
   }
 }
 
-// Each has its time from when it came, not from when the first of them did, nor from when the one before was
-// answered.
+// The deadline of each request counts from its own arrival, not from the arrival of the first request nor
+// from the response to the previous one.
 TEST(Pipelined, DeadlineStartsWhenEachRequestArrives) {
-  WaitableValue<int> answered;
-  WaitableValue<int> may_answer;
+  WaitableValue<int> received_requests;
+  WaitableValue<int> allowed_responses;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     int n = 0;
-    answered.Update([&](int& a) { n = ++a; });
-    may_answer.WaitFor([&](int m) { return m >= n; });
+    received_requests.Update([&](int& a) { n = ++a; });
+    allowed_responses.WaitFor([&](int m) { return m >= n; });
     SendRaw(s, OkResponse("served"));
     return true;
   });
@@ -50,17 +50,18 @@
   SleepWithoutPolling(milliseconds(2000));
   client.Send(WithRequestId(LookRequest("Req-Deadline-Ms: 30000\r\n"), "c"));
   SleepWithoutPolling(milliseconds(100));
-  may_answer.Update([](int& m) { m = 3; });
+  allowed_responses.Update([](int& m) { m = 3; });
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Read().body(), "served");
-  const auto seen = backend.activity.Get().requests;
-  ASSERT_EQ(seen.size(), 3u);
-  const int b = std::stoi(std::string(seen[1]["Req-Deadline-Ms"]));
-  const int c = std::stoi(std::string(seen[2]["Req-Deadline-Ms"]));
+  const auto requests = backend.activity.Get().requests;
+  ASSERT_EQ(requests.size(), 3u);
+  const int b = std::stoi(std::string(requests[1]["Req-Deadline-Ms"]));
+  const int c = std::stoi(std::string(requests[2]["Req-Deadline-Ms"]));
   EXPECT_LE(b, 28000);
-  EXPECT_GE(c - b, 500) << "the third came 2 s after the second, and went out right behind it";
+  EXPECT_GE(c - b, 500)
+      << "the third request arrived 2 s after the second and was forwarded directly after it";
 }
 
-// What comes behind a request that is the connection's last is not looked at, nor does it cost the answer.
+// Bytes after the last request of a connection must neither be handled nor destroy its response by a reset.
 TEST(Pipelined, IgnoresBytesBehindTheLastRequest) {
   Backend backend(std::string(60 * 1024, 'a'));
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
--- a/tests/proxy/request_table_test.cpp
+++ b/tests/proxy/request_table_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Every request gets one final answer, and is forgotten once it has it and no attempt is in flight.
+// RequestTable: every request gets one final response, and is removed when it has it and no attempt is in
+// flight.
 #include "proxy/core/request_table.h"
 
 #include <gtest/gtest.h>
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests that are malformed, ambiguous or inconsistent.
+// Rejection of requests that are malformed, ambiguous or inconsistent.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -80,7 +80,7 @@
   release.Update([](bool& go) { go = true; });
   EXPECT_EQ(first.Read().result_int(), 200u);
   EXPECT_EQ(backend.activity.Get().requests.size(), 1u);
-  EXPECT_EQ(first.SendAndRead(BookRequest()).result_int(), 200u);  // it is over
+  EXPECT_EQ(first.SendAndRead(BookRequest()).result_int(), 200u);  // the id is free again
 }
 
 TEST(RequestValidation, RejectsMalformedRequestsWith4xx) {
@@ -153,7 +153,7 @@
   message.erase("Cookie");
   EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &other));
   EXPECT_EQ(other.affinity_key, 0u);
-  message.set("Req-Owner", "nobody");
+  message.set("Req-Owner", "unknown");
   EXPECT_TRUE(proxy::ParseClientRequest(message, at, config, &other));
 }
 
--- a/tests/proxy/retry_safety_test.cpp
+++ b/tests/proxy/retry_safety_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A request that may have run is sent to no other backend, unless it is idempotent.
+// A request that may have run must not be sent to another backend unless it is idempotent.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -42,22 +42,22 @@
 }
 
 TEST(RetrySafety, RefusedConnectionIsRetriedElsewhere) {
-  Tcp::endpoint nobody;
+  Tcp::endpoint refusing_address;
   {
-    Backend gone;
-    nobody = gone.address();
+    Backend stopped;
+    refusing_address = stopped.address();
   }
   Backend backend;
-  ProxySetup setup(Members(MemberJson("s-1", nobody), MemberJson("s-2", backend.address())));
+  ProxySetup setup(Members(MemberJson("s-1", refusing_address), MemberJson("s-2", backend.address())));
   setup.Start();
   Client client(setup.proxy->address);
   for (int i = 0; i < 6; ++i) EXPECT_EQ(client.SendAndRead(BookRequest()).result_int(), 200u) << i;
 }
 
 TEST(RetrySafety, ResetAfterTheRequestIsRetriedOnlyIfIdempotent) {
-  WaitableValue<int> asked;
+  WaitableValue<int> received_requests;
   const auto drop = [&](Tcp::socket&, const HttpRequest&) {
-    asked.Update([](int& n) { ++n; });
+    received_requests.Update([](int& n) { ++n; });
     return false;
   };
   Backend one(drop), two(drop);
@@ -65,11 +65,11 @@
   setup.Start();
   Client client(setup.proxy->address);
   EXPECT_EQ(client.SendAndRead(BookRequest()).result_int(), 502u);
-  EXPECT_EQ(asked.Get(), 1);
-  // An idempotent one is retried, up to maxAttempts.
+  EXPECT_EQ(received_requests.Get(), 1);
+  // An idempotent request is retried, up to maxAttempts.
   client.SendAndRead(LookRequest());
-  EXPECT_GT(asked.Get(), 2);
-  EXPECT_LE(asked.Get(), 5);
+  EXPECT_GT(received_requests.Get(), 2);
+  EXPECT_LE(received_requests.Get(), 5);
 }
 
 TEST(RetrySafety, TimeoutClosesTheConnectionAndDropsALateResponse) {
@@ -87,7 +87,7 @@
   const std::string timed = PostRequest("book", "Req-Deadline-Ms: 1000\r\n");
   EXPECT_EQ(client.SendAndRead(WithRequestId(timed, "late")).result_int(), 502u);
   EXPECT_EQ(setup.proxy->RunOnEventLoop([](proxy::Proxy& p) { return p.backend_connections(); }), 0u);
-  // The backend may read its request only now: the proxy answers at the deadline, whatever others do.
+  // The backend may read the request only now, since the proxy responds at the deadline in any case.
   ASSERT_TRUE(backend.WaitForRequests(1));
   release.Update([](bool& now) { now = true; });
   ASSERT_TRUE(released.WaitFor([](bool done) { return done; }));
@@ -95,34 +95,34 @@
 }
 
 TEST(RetrySafety, BadRequestIsNotRetriedAndNotCountedAgainstItsBackend) {
-  WaitableValue<int> asked;
-  const auto judge = [&](Tcp::socket& s, const HttpRequest& r) {
+  WaitableValue<int> received_requests;
+  const auto respond = [&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Id"] == "odd") {
-      asked.Update([](int& n) { ++n; });
+      received_requests.Update([](int& n) { ++n; });
       SendRaw(s, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
     } else {
       SendRaw(s, OkResponse("well"));
     }
     return true;
   };
-  Backend one(judge), two(judge);
+  Backend one(respond), two(respond);
   ProxySetup setup(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
   setup.Start();
   for (int i = 1; i <= 5; ++i) {
     Client bad(setup.proxy->address);
     EXPECT_EQ(bad.SendAndRead(WithRequestId(LookRequest(), "odd")).result_int(), 400u);
     EXPECT_TRUE(bad.WaitForClose());
-    EXPECT_EQ(asked.Get(), i);
+    EXPECT_EQ(received_requests.Get(), i);
   }
 }
 
 TEST(RetrySafety, SilentAttemptsDoNotBlockOthers) {
-  WaitableValue<bool> over;
+  WaitableValue<bool> close_silent;
   WaitableValue<int> silent;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Id"].ends_with("silent")) {
       silent.Update([](int& n) { ++n; });
-      over.WaitFor([](bool o) { return o; });
+      close_silent.WaitFor([](bool o) { return o; });
       return false;
     }
     SendRaw(s, OkResponse("served"));
@@ -132,7 +132,7 @@
   setup.Start();
   Client client(setup.proxy->address);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(client.SendAndRead(BookRequest()).result_int(), 200u);
-  // All of them are sent, and others still are: far more than the limit for one backend.
+  // All of these are sent although they exceed the limit for one backend by far, and later requests are too.
   constexpr int kSilent = 40;
   std::vector<std::unique_ptr<Client>> waiting;
   for (int i = 0; i < kSilent; ++i) {
@@ -141,7 +141,7 @@
   }
   EXPECT_TRUE(silent.WaitFor([](int n) { return n == kSilent; }));
   EXPECT_EQ(client.SendAndRead(LookRequest()).result_int(), 200u);
-  over.Update([](bool& o) { o = true; });
+  close_silent.Update([](bool& o) { o = true; });
 }
 
 }  // namespace
--- a/tests/proxy/upstream_test.cpp
+++ b/tests/proxy/upstream_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Framing checks, chunk encoding, classification of responses and states of backend connections.
+// Framing checks, chunk encoding, classification of responses, and the states of backend connections.
 #include <gtest/gtest.h>
 
 #include <array>
