--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -148,7 +148,7 @@
   const Finished finished =
       RunFile(File("replace") + " --other " + NEXT_PATH + " --logs " + (folder / "logs") + " --seed 2");
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
-  EXPECT_EQ(testing_support::ReadWhole(folder / "logs/p12.log").find("fleet_too_new"), std::string::npos);
+  EXPECT_EQ(testing_support::ReadFile(folder / "logs/p12.log").find("fleet_too_new"), std::string::npos);
 }
 
 // The program with a clock that jumps where the rig says so.
--- a/tests/simulation/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 using testing_support::Finished;
-using testing_support::ReadWhole;
+using testing_support::ReadFile;
 using testing_support::RunProgram;
 using testing_support::TemporaryFolder;
 
@@ -63,10 +63,10 @@
   SweepReport report = Sweep(plan, out, 2, {});
   EXPECT_EQ(report.points, 3u * 2 * 2 * 2);
   EXPECT_EQ(report.reused, 0u);
-  const std::string whole = ReadWhole(out + "/point-0000005.json");
+  const std::string whole = ReadFile(out + "/point-0000005.json");
   std::filesystem::remove(out + "/point-0000003.json");
   std::ofstream(out + "/point-0000005.json") << whole.substr(0, whole.size() / 2);
-  std::string altered = ReadWhole(out + "/point-0000007.json");
+  std::string altered = ReadFile(out + "/point-0000007.json");
   altered[altered.find("goodput\":") + 11] ^= 1;
   std::ofstream(out + "/point-0000007.json") << altered;
   EXPECT_THROW(ReadSweep(out), std::runtime_error);
@@ -75,7 +75,7 @@
   EXPECT_EQ(ran, 3u);
   EXPECT_EQ(report.reused, 21u);
   EXPECT_EQ(report.corrupted, 2u);
-  EXPECT_EQ(ReadWhole(out + "/point-0000005.json"), whole) << "the same bytes as the first time";
+  EXPECT_EQ(ReadFile(out + "/point-0000005.json"), whole) << "the same bytes as the first time";
   EXPECT_EQ(ReadSweep(out).size(), 24u);
 }
 
@@ -151,11 +151,11 @@
     EXPECT_NE(compared.out.find(policy), std::string::npos);
   const Finished again = RunProgram(
       PROGRAM_PATH, "simulate compare " + scenario + " --threads 1 --json " + (folder / "again.json"));
-  EXPECT_EQ(ReadWhole(folder / "out.json"), ReadWhole(folder / "again.json"));
+  EXPECT_EQ(ReadFile(folder / "out.json"), ReadFile(folder / "again.json"));
   const Finished plotted =
       RunProgram(PROGRAM_PATH, "simulate plot " + (folder / "out.json") + " --out " + (folder / "plots"));
   ASSERT_EQ(plotted.code, 0) << plotted.err;
-  const std::string page = ReadWhole(folder / "plots" + "/report.html");
+  const std::string page = ReadFile(folder / "plots" + "/report.html");
   EXPECT_NE(page.find("<svg"), std::string::npos);
   EXPECT_EQ(page.find("<img"), std::string::npos) << "the page needs nothing else";
 }
@@ -188,7 +188,7 @@
 }
 
 TEST(LabCommand, ThePageHasEveryKey) {
-  const std::string page = ReadWhole(std::string(SOURCE_DIR) + "/docs/scenarios.md");
+  const std::string page = ReadFile(std::string(SOURCE_DIR) + "/docs/scenarios.md");
   EXPECT_NE(page.find(ScenarioReference()), std::string::npos)
       << "write it anew: copperpoint simulate reference > docs/scenarios.md";
 }
--- a/tests/support/run_program.h
+++ b/tests/support/run_program.h
@@ -33,7 +33,8 @@
   std::string path_;
 };
 
-inline std::string ReadWhole(const std::string& path) {
+// @return the contents of the file; empty if it cannot be opened.
+inline std::string ReadFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
@@ -50,7 +51,7 @@
   const std::string command = "'" + program + "' " + arguments + " >'" + (folder / "out") + "' 2>'" +
                               (folder / "err") + "' </dev/null";
   const int status = std::system(command.c_str());
-  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, ReadWhole(folder / "out"), ReadWhole(folder / "err")};
+  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, ReadFile(folder / "out"), ReadFile(folder / "err")};
 }
 
 }  // namespace copperpoint::testing_support
