--- a/tests/proxy/pipelining_test.cpp
+++ b/tests/proxy/pipelining_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests that come behind one another on a connection.
+// Requests that are sent on one connection before the earlier ones have their responses.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,65 +12,68 @@
 
 using std::chrono::milliseconds;
 
-// Many requests at once are answered in order, however they are cut.
+// Responses must come in the order of the requests, however the requests are split into segments.
 TEST(Pipelined, RequestsInAnySegmentsAreServedInOrder) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
-    SendRaw(s, OkAnswer(std::string(r["Req-Id"])));
+    SendRaw(s, OkResponse(std::string(r["Req-Id"])));
     return true;
   });
-  Site site(Members(MemberJson("s-1", backend.address())));
-  site.Start();
+  ProxySetup setup(Members(MemberJson("s-1", backend.address())));
+  setup.Start();
   std::string all;
-  for (int i = 0; i < 40; ++i) all += WithId(i % 2 ? Look() : Book(), Numbered("p", i));
+  for (int i = 0; i < 40; ++i) all += WithRequestId(i % 2 ? LookRequest() : BookRequest(), Numbered("p", i));
   for (const std::size_t piece : {all.size(), std::size_t{7}, std::size_t{1000}}) {
-    Client client(site.proxy->address);
+    Client client(setup.proxy->address);
     for (std::size_t at = 0; at < all.size(); at += piece) client.Send(all.substr(at, piece));
     for (int i = 0; i < 40; ++i) EXPECT_EQ(client.Read().body(), Numbered("p", i));
   }
 }
 
-// Each has its time from when it came, not from when the first of them did, nor from when the one before was
-// answered.
+// The deadline of each request counts from its own arrival, not from the arrival of the first request nor
+// from the response to the previous one.
 TEST(Pipelined, DeadlineStartsWhenEachRequestArrives) {
-  Watched<int> answered;
-  Watched<int> may_answer;
+  WaitableValue<int> received_requests;
+  WaitableValue<int> allowed_responses;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     int n = 0;
-    answered.Do([&](int& a) { n = ++a; });
-    may_answer.WaitFor([&](int m) { return m >= n; });
-    SendRaw(s, OkAnswer("served"));
+    received_requests.Update([&](int& a) { n = ++a; });
+    allowed_responses.WaitFor([&](int m) { return m >= n; });
+    SendRaw(s, OkResponse("served"));
     return true;
   });
-  Site site(Members(MemberJson("s-1", backend.address())));
-  site.Start();
-  Client client(site.proxy->address);
-  client.Send(WithId(Look(), "a") + WithId(Look("Req-Deadline-Ms: 30000\r\n"), "b"));
+  ProxySetup setup(Members(MemberJson("s-1", backend.address())));
+  setup.Start();
+  Client client(setup.proxy->address);
+  client.Send(WithRequestId(LookRequest(), "a") +
+              WithRequestId(LookRequest("Req-Deadline-Ms: 30000\r\n"), "b"));
   ASSERT_TRUE(backend.WaitForRequests(1));
-  StandStill(milliseconds(2000));
-  client.Send(WithId(Look("Req-Deadline-Ms: 30000\r\n"), "c"));
-  StandStill(milliseconds(100));
-  may_answer.Do([](int& m) { m = 3; });
+  SleepWithoutPolling(milliseconds(2000));
+  client.Send(WithRequestId(LookRequest("Req-Deadline-Ms: 30000\r\n"), "c"));
+  SleepWithoutPolling(milliseconds(100));
+  allowed_responses.Update([](int& m) { m = 3; });
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Read().body(), "served");
-  const auto seen = backend.seen.Get().requests;
-  ASSERT_EQ(seen.size(), 3u);
-  const int b = std::stoi(std::string(seen[1]["Req-Deadline-Ms"]));
-  const int c = std::stoi(std::string(seen[2]["Req-Deadline-Ms"]));
+  const auto requests = backend.activity.Get().requests;
+  ASSERT_EQ(requests.size(), 3u);
+  const int b = std::stoi(std::string(requests[1]["Req-Deadline-Ms"]));
+  const int c = std::stoi(std::string(requests[2]["Req-Deadline-Ms"]));
   EXPECT_LE(b, 28000);
-  EXPECT_GE(c - b, 500) << "the third came 2 s after the second, and went out right behind it";
+  EXPECT_GE(c - b, 500)
+      << "the third request arrived 2 s after the second and was forwarded directly after it";
 }
 
-// What comes behind a request that is the connection's last is not looked at, nor does it cost the answer.
+// Bytes after the last request of a connection must neither be handled nor destroy its response by a reset.
 TEST(Pipelined, IgnoresBytesBehindTheLastRequest) {
   Backend backend(std::string(60 * 1024, 'a'));
-  Site site(Members(MemberJson("s-1", backend.address())));
-  site.Start();
-  Client client(site.proxy->address);
-  client.Send(Look("Connection: close\r\n") + WithId(Book(), "behind") + std::string(200 * 1024, 'x'));
+  ProxySetup setup(Members(MemberJson("s-1", backend.address())));
+  setup.Start();
+  Client client(setup.proxy->address);
+  client.Send(LookRequest("Connection: close\r\n") + WithRequestId(BookRequest(), "behind") +
+              std::string(200 * 1024, 'x'));
   EXPECT_EQ(client.Read().body().size(), 60u * 1024);
-  client.Send(WithId(Book(), "later"));
+  client.Send(WithRequestId(BookRequest(), "later"));
   client.socket.shutdown(Tcp::socket::shutdown_send);
-  EXPECT_EQ(HearToTheEnd(client.socket).how, asio::error::eof);
-  EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
+  EXPECT_EQ(ReadToEnd(client.socket).error, asio::error::eof);
+  EXPECT_EQ(backend.activity.Get().requests.size(), 1u);
 }
 
 }  // namespace
