--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -22,7 +22,7 @@
   TimePoint Now() const { return At(Steady::now()); }
 
   Steady::time_point ToSteady(TimePoint at) const {
-    const Duration capped = std::min(at - kStart, kFarthest);
+    const Duration capped = std::min(at - kStart, kMaxOffset);
     return steady_origin_ + std::chrono::ceil<Steady::duration>(capped);
   }
   // 0, for long ago, stays 0; what would come out before the clock's origin is as long ago.
@@ -33,7 +33,7 @@
 
  private:
   static constexpr TimePoint kStart{Duration(1e9)};
-  static constexpr Duration kFarthest{1e11};
+  static constexpr Duration kMaxOffset{1e11};
   Steady::time_point steady_origin_ = Steady::now();
   Duration unix_origin_ = std::chrono::system_clock::now().time_since_epoch();
 };
--- a/src/proxy/config/json_object.cpp
+++ b/src/proxy/config/json_object.cpp
@@ -11,9 +11,9 @@
 
 using nlohmann::json;
 
-[[noreturn]] void ThrowWrongType(const std::string& key, const char* wanted, const json& value) {
+[[noreturn]] void ThrowWrongType(const std::string& key, const char* expected_type, const json& value) {
   throw ConfigError(ConfigError::Kind::kWrongType, {.key = key},
-                    key + ": type must be " + wanted + ", but is " + value.type_name());
+                    key + ": type must be " + expected_type + ", but is " + value.type_name());
 }
 
 }  // namespace
@@ -32,13 +32,13 @@
 }
 
 template <typename Value>
-Value JsonObject::Read(const char* name, const Value& fallback, const char* wanted) const {
+Value JsonObject::Read(const char* name, const Value& fallback, const char* expected_type) const {
   const json* field = Find(name);
   if (!field) return fallback;
   try {
     return field->get<Value>();
   } catch (const json::type_error&) {
-    ThrowWrongType(KeyOf(name), wanted, *field);
+    ThrowWrongType(KeyOf(name), expected_type, *field);
   }
 }
 
--- a/src/proxy/config/json_object.h
+++ b/src/proxy/config/json_object.h
@@ -27,7 +27,7 @@
 
  private:
   template <typename Value>
-  Value Read(const char* name, const Value& fallback, const char* wanted) const;
+  Value Read(const char* name, const Value& fallback, const char* expected_type) const;
 
   const nlohmann::json& value_;
   const std::string path_;
--- a/src/proxy/config/operator_settings.cpp
+++ b/src/proxy/config/operator_settings.cpp
@@ -26,7 +26,7 @@
       "spare_ms", idle_reclaim,
       {.text = "after which a connection with no request open may be closed to free capacity ahead of need",
        .max = kHour});
-  v.Milliseconds("silent_ms", pressed_idle_reclaim,
+  v.Milliseconds("silent_ms", idle_reclaim_under_pressure,
                  {.text = "after which any idle connection may be closed where another waits to be accepted",
                   .max = kHour});
   v.Milliseconds("answer_taken_ms", response_write,
@@ -41,7 +41,7 @@
   v.Milliseconds("stalled_ms", body_stall,
                  {.text = "without a byte of a large body from or to a backend", .min = 10, .max = kHour});
   v.Milliseconds(
-      "rest_ms", connection_rest,
+      "rest_ms", reuse_delay,
       {.text = "before a connection to a backend is used again, so that unexpected bytes on it are seen",
        .max = kHour});
   v.Milliseconds("forgotten_ms", removed_backend_retention,
--- a/src/proxy/config/operator_settings.h
+++ b/src/proxy/config/operator_settings.h
@@ -25,14 +25,14 @@
   Ms body_grace{1200};    // for a body, beyond the time that it takes at min_body_rate_bytes_per_s
   Ms keep_alive{90000};   // for a client's next request
   Ms idle_reclaim{2000};  // after which a connection with no request open may be closed ahead of need
-  Ms pressed_idle_reclaim{250};  // the same of any idle connection, where another waits to be accepted
-  Ms response_write{10000};      // for a client to read its response
-  Ms lingering_close{1000};      // for a client to close after its connection was ended here
+  Ms idle_reclaim_under_pressure{250};  // the same of any idle connection, where another waits to be accepted
+  Ms response_write{10000};             // for a client to read its response
+  Ms lingering_close{1000};             // for a client to close after its connection was ended here
 
   // ---- backends ----
   Ms response_stall{100};                // without a byte of a response that is being buffered
   Ms body_stall{5000};                   // without a byte of a large body from or to a backend
-  Ms connection_rest{2};                 // before a connection to a backend is used again
+  Ms reuse_delay{2};                     // before a connection to a backend is used again
   Ms removed_backend_retention{900000};  // after which the state of a removed backend is dropped
 
   void Describe(config::FieldVisitor& v);
--- a/src/proxy/discovery/endpoints.cpp
+++ b/src/proxy/discovery/endpoints.cpp
@@ -87,20 +87,20 @@
 
 std::optional<EndpointList> ParseEndpointList(const json& json, EndpointListError* error) {
   EndpointList list;
-  std::optional<std::size_t> reading;  // the entry
+  std::optional<std::size_t> entry_index;  // the entry
   try {
     list.revision = json.at("revision").get<std::uint64_t>();
     list.complete = json.value("complete", false);
     for (const auto& entry : json.at("members")) {
-      reading = list.endpoints.size();
+      entry_index = list.endpoints.size();
       std::optional<ErrorKind> fault;
       list.endpoints.push_back(ReadEndpoint(entry, &fault));
       if (!fault) continue;
-      *error = {*fault, reading, ""};
+      *error = {*fault, entry_index, ""};
       return std::nullopt;
     }
   } catch (const json::exception& malformed) {
-    *error = {ErrorKind::kMalformedField, reading, malformed.what()};
+    *error = {ErrorKind::kMalformedField, entry_index, malformed.what()};
     return std::nullopt;
   }
   return list;
@@ -123,9 +123,9 @@
   std::uint16_t number = 0;
   const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
   if (error != std::errc() || end != port.data() + port.size()) return std::nullopt;
-  boost::system::error_code bad;
-  const auto address = boost::asio::ip::make_address(std::string(host), bad);
-  if (bad) return std::nullopt;
+  boost::system::error_code parse_error;
+  const auto address = boost::asio::ip::make_address(std::string(host), parse_error);
+  if (parse_error) return std::nullopt;
   return Tcp::endpoint(address, number);
 }
 
@@ -141,29 +141,29 @@
 }
 
 void BackendIds::Assign(const std::vector<DiscoveredEndpoint>& endpoints) {
-  std::vector<std::string> fresh;
+  std::vector<std::string> new_ids;
   for (const DiscoveredEndpoint& endpoint : endpoints) {
-    if (!numbers_.contains(endpoint.id)) fresh.push_back(endpoint.id);
+    if (!numbers_by_id_.contains(endpoint.id)) new_ids.push_back(endpoint.id);
   }
   // Guards against two proxies that see one list in another order numbering a collision differently.
-  std::sort(fresh.begin(), fresh.end());
-  for (const std::string& id : fresh) {
-    if (numbers_.contains(id)) continue;
+  std::sort(new_ids.begin(), new_ids.end());
+  for (const std::string& id : new_ids) {
+    if (numbers_by_id_.contains(id)) continue;
     BackendId number = hash_(id);
-    for (int salt = 1; taken_.contains(number); ++salt) {
+    for (int salt = 1; ids_by_number_.contains(number); ++salt) {
       std::string salted(id);
       number = HashOf(salted.append(1, '#').append(std::to_string(salt)));
     }
-    taken_.emplace(number, id);
-    numbers_.emplace(id, number);
+    ids_by_number_.emplace(number, id);
+    numbers_by_id_.emplace(id, number);
   }
 }
 
 void BackendIds::Release(const std::string& id) {
-  const auto found = numbers_.find(id);
-  if (found == numbers_.end()) return;
-  taken_.erase(found->second);
-  numbers_.erase(found);
+  const auto found = numbers_by_id_.find(id);
+  if (found == numbers_by_id_.end()) return;
+  ids_by_number_.erase(found->second);
+  numbers_by_id_.erase(found);
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/discovery/endpoints.h
+++ b/src/proxy/discovery/endpoints.h
@@ -75,14 +75,14 @@
 
   // Assigns a BackendId to each id of the list; IdOf looks it up.
   void Assign(const std::vector<DiscoveredEndpoint>& endpoints);
-  BackendId IdOf(const std::string& id) const { return numbers_.at(id); }
+  BackendId IdOf(const std::string& id) const { return numbers_by_id_.at(id); }
   void Release(const std::string& id);
-  const std::unordered_map<std::string, BackendId>& all() const { return numbers_; }
+  const std::unordered_map<std::string, BackendId>& all() const { return numbers_by_id_; }
 
  private:
   Hash hash_;
-  std::unordered_map<std::string, BackendId> numbers_;
-  std::unordered_map<BackendId, std::string> taken_;
+  std::unordered_map<std::string, BackendId> numbers_by_id_;
+  std::unordered_map<BackendId, std::string> ids_by_number_;
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/discovery/message_framer.cpp
+++ b/src/proxy/discovery/message_framer.cpp
@@ -4,8 +4,8 @@
 namespace copperpoint::proxy {
 
 MessageFramer::Result MessageFramer::Take(std::string* message) {
-  for (; at_ < text_.size(); ++at_) {
-    const char c = text_[at_];
+  for (; scan_position_ < text_.size(); ++scan_position_) {
+    const char c = text_[scan_position_];
     if (in_string_) {
       if (!ScanInString(c)) return Result::kMalformed;
     } else if (c == '\n') {
@@ -32,21 +32,21 @@
 }
 
 MessageFramer::Result MessageFramer::OnLineEnd(std::string* message) {
-  if (begun_ && depth_ == 0) return Cut(Result::kMessage, message);
-  if (!begun_) return Cut(Result::kEmptyLine, message);
+  if (message_begun_ && depth_ == 0) return Consume(Result::kMessage, message);
+  if (!message_begun_) return Consume(Result::kEmptyLine, message);
   // A heartbeat within a message: the rest of that message will not come.
-  if (line_empty_) return Result::kMalformed;
-  line_empty_ = true;
+  if (line_blank_) return Result::kMalformed;
+  line_blank_ = true;
   return Result::kMore;
 }
 
 bool MessageFramer::ScanStructure(char c) {
   if (c == ' ' || c == '\t' || c == '\r') return true;
-  line_empty_ = false;
-  if (depth_ == 0 && (begun_ || c != '{')) return false;
+  line_blank_ = false;
+  if (depth_ == 0 && (message_begun_ || c != '{')) return false;
   if (c == '"') in_string_ = true;
   if (c == '{' || c == '[') {
-    begun_ = true;
+    message_begun_ = true;
     ++depth_;
   }
   if (c == '}' || c == ']') --depth_;
@@ -54,18 +54,18 @@
 }
 
 bool MessageFramer::TakeLast(std::string* message) {
-  if (!begun_ || depth_ > 0 || in_string_ || at_ < text_.size()) return false;
-  Cut(Result::kMessage, message);
+  if (!message_begun_ || depth_ > 0 || in_string_ || scan_position_ < text_.size()) return false;
+  Consume(Result::kMessage, message);
   return true;
 }
 
-MessageFramer::Result MessageFramer::Cut(Result what, std::string* message) {
-  if (what == Result::kMessage) *message = text_.substr(0, at_);
-  text_.erase(0, at_ + 1);
-  at_ = 0;
-  begun_ = false;
-  line_empty_ = true;
-  return what;
+MessageFramer::Result MessageFramer::Consume(Result result, std::string* message) {
+  if (result == Result::kMessage) *message = text_.substr(0, scan_position_);
+  text_.erase(0, scan_position_ + 1);
+  scan_position_ = 0;
+  message_begun_ = false;
+  line_blank_ = true;
+  return result;
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/discovery/message_framer.h
+++ b/src/proxy/discovery/message_framer.h
@@ -26,7 +26,7 @@
   std::size_t size() const { return text_.size(); }  // of what is not taken yet
 
  private:
-  Result Cut(Result what, std::string* message);
+  Result Consume(Result result, std::string* message);
   // One character inside or outside of a JSON string. False if the message is malformed.
   bool ScanInString(char c);
   bool ScanStructure(char c);
@@ -34,10 +34,10 @@
   Result OnLineEnd(std::string* message);
 
   std::string text_;
-  std::size_t at_ = 0;  // looked at as far as here
+  std::size_t scan_position_ = 0;  // looked at as far as here
   std::size_t depth_ = 0;
-  bool begun_ = false, in_string_ = false, escaped_ = false;
-  bool line_empty_ = true;  // so far
+  bool message_begun_ = false, in_string_ = false, escaped_ = false;
+  bool line_blank_ = true;  // so far
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/downstream/session_manager.cpp
+++ b/src/proxy/downstream/session_manager.cpp
@@ -72,7 +72,7 @@
 bool SessionManager::Evict() {
   const auto now = Steady::now();
   const auto kept_alive_since = now - config_.timeouts.idle_reclaim;
-  const auto idle_since = now - config_.timeouts.pressed_idle_reclaim;
+  const auto idle_since = now - config_.timeouts.idle_reclaim_under_pressure;
   const auto header_since = now - kPartialHeaderGrace;
   return EvictFirst([](const ClientSession& s) { return s.IsLingering(); }) ||
          EvictFirst([&](const ClientSession& s) { return s.IsKeptAliveSince(kept_alive_since); }) ||
--- a/src/proxy/handover/handover_coordinator.cpp
+++ b/src/proxy/handover/handover_coordinator.cpp
@@ -74,7 +74,7 @@
 void HandoverCoordinator::RestoreState(const std::string& encoded_state) {
   const DecodedHandoverState state = DecodeHandoverState(
       encoded_state, [this](const std::string& id) { return context_.endpoints.Find(id).has_value(); });
-  if (state.descriptors) LimitBeside(*state.descriptors);
+  if (state.descriptors) LimitConnections(*state.descriptors);
   if (!state.error.empty())
     log::Global().Warn(log::events::kUpgradeStateUnreadable, {{"reason", state.error}});
   StateRestored restored;
@@ -86,15 +86,15 @@
 }
 
 void HandoverCoordinator::OnDescriptorReport(const DescriptorReport& report) {
-  LimitBeside(report.descriptors);
+  LimitConnections(report.descriptors);
 }
 
 void HandoverCoordinator::OnPredecessorExited() {
   log::Global().Info(log::events::kUpgradePredecessorExited);
-  LimitBeside(0);
+  LimitConnections(0);
 }
 
-void HandoverCoordinator::LimitBeside(int other_descriptors) {
+void HandoverCoordinator::LimitConnections(int other_descriptors) {
   const DescriptorBudget::Limits limits = context_.budget.BesideProcess(other_descriptors);
   context_.listener.SetClientLimit(limits.clients);
   context_.backends.SetConnectionLimit(limits.backends);
--- a/src/proxy/handover/handover_coordinator.h
+++ b/src/proxy/handover/handover_coordinator.h
@@ -101,7 +101,7 @@
   void RequestListener();
   void StartAccepting(int listener);
   void RestoreState(const std::string& encoded_state);
-  void LimitBeside(int other_descriptors);
+  void LimitConnections(int other_descriptors);
   int DescriptorsInUse() const;
   std::vector<BackendHandoverState> ExportBackends() const;
 
--- a/src/proxy/membership/supervisor_link.cpp
+++ b/src/proxy/membership/supervisor_link.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr int kFirstInheritedDescriptor = 3;  // after the standard streams
-constexpr int kMarkBase = 16;
+constexpr int kProgressBase = 16;
 
-std::string Variable(const char* name) {
+std::string EnvironmentVariable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
@@ -26,14 +26,15 @@
 
 std::unique_ptr<SupervisorLink> SupervisorLink::FromEnvironment(boost::asio::io_context& io,
                                                                 OnVersionFailed on_version_failed) {
-  const int descriptor = std::atoi(Variable("COPPERPOINT_KEEPER").c_str());
+  const int descriptor = std::atoi(EnvironmentVariable("COPPERPOINT_KEEPER").c_str());
   if (descriptor < kFirstInheritedDescriptor || ::fcntl(descriptor, F_GETFD) < 0) return nullptr;
   History history;
-  history.version = Variable("COPPERPOINT_VERSION");
-  history.failed_version = Variable("COPPERPOINT_FAILED");
-  history.failure = Variable("COPPERPOINT_FAILURE");
-  history.progress = std::strtoull(Variable("COPPERPOINT_MARK").c_str(), nullptr, kMarkBase);
-  history.unexpected_exits = static_cast<std::uint32_t>(std::atoi(Variable("COPPERPOINT_ENDS").c_str()));
+  history.version = EnvironmentVariable("COPPERPOINT_VERSION");
+  history.failed_version = EnvironmentVariable("COPPERPOINT_FAILED");
+  history.failure = EnvironmentVariable("COPPERPOINT_FAILURE");
+  history.progress = std::strtoull(EnvironmentVariable("COPPERPOINT_MARK").c_str(), nullptr, kProgressBase);
+  history.unexpected_exits =
+      static_cast<std::uint32_t>(std::atoi(EnvironmentVariable("COPPERPOINT_ENDS").c_str()));
   return std::unique_ptr<SupervisorLink>(
       new SupervisorLink(io, descriptor, std::move(history), std::move(on_version_failed)));
 }
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Runs the event loop until it is stopped. An exception ends the handler that threw it, not the process.
-void Run(boost::asio::io_context& io) {
+void RunEventLoop(boost::asio::io_context& io) {
   for (;;) {
     try {
       io.run();
@@ -87,7 +87,7 @@
     if (!failed) proxy.Stop([&] { io.stop(); });
   });
   ReloadAtSignal(reload_signals, options, env, proxy);
-  Run(io);
+  RunEventLoop(io);
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -120,7 +120,7 @@
 // The most recently used of those that have been idle for a minimum time. A backend may close just after a
 // response, or send more than belongs to it: such a connection shows that by then.
 std::shared_ptr<BackendConnection> BackendPool::TakeIdle(Backend& backend) {
-  const auto latest_idle_since = Steady::now() - limits_.timeouts.connection_rest;
+  const auto latest_idle_since = Steady::now() - limits_.timeouts.reuse_delay;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > latest_idle_since) --end;
   while (end != backend.idle.begin()) {
--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -105,7 +105,7 @@
     Site site(Members(MemberJson("s-1", backend.address())));
     site.config["limits"]["sockets"] = kFewSockets;
     site.timeouts.idle_reclaim = std::chrono::minutes(10);
-    site.timeouts.pressed_idle_reclaim = milliseconds(1);
+    site.timeouts.idle_reclaim_under_pressure = milliseconds(1);
     site.Start();
     std::vector<std::unique_ptr<Client>> resting;
     for (std::size_t i = 0; i < 3 * kFewClients; ++i) {
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -21,7 +21,7 @@
   Attempts() : acceptor_(peer_io_, kAnyPort) {
     limits_.connect_timeout = Duration(60000);
     limits_.timeouts.response_stall = limits_.timeouts.body_stall = std::chrono::minutes(1);
-    limits_.timeouts.connection_rest = milliseconds(0);
+    limits_.timeouts.reuse_delay = milliseconds(0);
     backends_ = std::make_unique<proxy::BackendPool>(io_, limits_);
     backends_->SetEndpoint(kServer, acceptor_.local_endpoint(), 0);
   }
--- a/tests/proxy/client_connection_test.cpp
+++ b/tests/proxy/client_connection_test.cpp
@@ -58,7 +58,7 @@
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
   site.timeouts.request_head = std::chrono::hours(1);
-  site.timeouts.pressed_idle_reclaim = std::chrono::milliseconds(10);
+  site.timeouts.idle_reclaim_under_pressure = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 80; ++i) silent.push_back(std::make_unique<Client>(site.proxy->address));
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -102,7 +102,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.connection_rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   {
     Client client(site.proxy->address);
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -16,7 +16,7 @@
 TEST(ConnectionPool, SequentialRequestsShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.connection_rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -69,7 +69,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.connection_rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   Client client(site.proxy->address);
   for (const char* id : {"a1", "a2", "a3"}) EXPECT_EQ(client.Ask(WithId(Book(), id)).body(), id);
@@ -79,7 +79,7 @@
 TEST(ConnectionPool, DoesNotReuseConnectionBeforeItsRestTime) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.connection_rest = std::chrono::hours(1);
+  site.timeouts.reuse_delay = std::chrono::hours(1);
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -121,7 +121,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.connection_rest = std::chrono::hours(1);  // so that each request opens a connection
+  site.timeouts.reuse_delay = std::chrono::hours(1);  // so that each request opens a connection
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
--- a/tests/proxy/large_body_test.cpp
+++ b/tests/proxy/large_body_test.cpp
@@ -52,7 +52,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.connection_rest = std::chrono::milliseconds(0);
+  site.timeouts.reuse_delay = std::chrono::milliseconds(0);
   site.Start();
   Client client(site.proxy->address);
   const std::string chunked =
