--- a/src/proxy/admin/admin_connection.cpp
+++ b/src/proxy/admin/admin_connection.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint32_t kMaxHeaderBytes = 4 * 1024;
 constexpr std::size_t kMaxBufferBytes = 2 * std::size_t{kMaxHeaderBytes};
 constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024;
-constexpr std::size_t kMaxDiscardedBytes = std::size_t{64} * 1024;  // that follow a call
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{64} * 1024;  // read after a call, before the close
 constexpr unsigned kHttp11 = 11;
 
 }  // namespace
@@ -119,8 +119,8 @@
   });
 }
 
-// Ends only this side: with bytes of the call unread, closing would send a reset that may overtake the
-// response.
+// Shuts down only the sending side: closing the socket with bytes of the call unread would send a reset,
+// which may overtake the response.
 void AdminConnection::OnResponseWritten(const Error& failed) {
   if (failed) return Close();
   Error ignored;
--- a/src/proxy/admin/admin_connection.h
+++ b/src/proxy/admin/admin_connection.h
@@ -35,7 +35,7 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    // The connection is closed and calls its owner no more.
+    // Called when the connection has closed; it makes no further calls.
     virtual void OnClosed(const AdminConnection& connection) = 0;
   };
 
@@ -45,10 +45,10 @@
 
   void Start();
   void Close();
-  // Closes without a word to the owner, which is about to be destroyed, as the handler may be.
+  // Closes without notifying the owner, which is about to be destroyed, as the handler may be.
   void Detach();
 
-  // The call has its response, or at least a part of it.
+  // Returns whether the response to the call has been sent, or at least begun.
   bool responded() const { return state_ != State::kReading; }
 
  private:
@@ -72,7 +72,7 @@
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
   boost::beast::http::request_parser<boost::beast::http::empty_body> header_parser_;
-  // Of a call with a body.
+  // Set only for a call that may have a body.
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> body_parser_;
   boost::beast::http::response<boost::beast::http::string_body> response_;
   std::array<char, 512> discarded_{};
--- a/src/proxy/admin/admin_handler.h
+++ b/src/proxy/admin/admin_handler.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the admin interface asks of the proxy. The interface knows no other part of it.
+// The operations of the proxy that the admin interface calls; it depends on no other part of the proxy.
 #ifndef COPPERPOINT_PROXY_ADMIN_ADMIN_HANDLER_H_
 #define COPPERPOINT_PROXY_ADMIN_ADMIN_HANDLER_H_
 
@@ -10,7 +10,7 @@
 
 namespace copperpoint::proxy {
 
-// Carries out the calls of operators. None of them may throw or block.
+// Carries out the calls of operators. No member function may throw or block.
 class AdminHandler {
  public:
   enum class AdminResult {
@@ -32,7 +32,7 @@
   virtual AdminResult Disable(const std::string& backend) = 0;
   virtual AdminResult Enable(const std::string& backend) = 0;
 
-  // ---- the fleet: the proxies that this one is a member with ----
+  // ---- the fleet: the proxies that are members of one cluster with this one ----
   struct FleetCallRequest {
     enum class Method { kGet, kPost };
     Method method = Method::kGet;
@@ -43,11 +43,11 @@
     bool succeeded = true;
     std::string text;
   };
-  // The membership as JSON; nothing if this proxy is no member of a fleet.
+  // Returns the membership as JSON; nothing if this proxy is not a member of a fleet.
   virtual std::optional<std::string> FleetStatus() const { return std::nullopt; }
-  // Whether a target belongs to the calls that FleetCall handles. Only those may have a body.
+  // Returns whether a target belongs to the calls that FleetCall handles. Only those may have a body.
   virtual bool IsFleetCall(std::string_view /*target*/) const { return false; }
-  // Only for targets of which IsFleetCall is true. Nothing: there is no such call.
+  // To be called only for targets of which IsFleetCall is true. Returns nothing if there is no such call.
   virtual std::optional<FleetCallResult> FleetCall(const FleetCallRequest& /*request*/) {
     return std::nullopt;
   }
--- a/src/proxy/admin/admin_query.cpp
+++ b/src/proxy/admin/admin_query.cpp
@@ -17,7 +17,7 @@
   return kNoHexDigit;
 }
 
-// Nothing if the text is malformed.
+// Returns nothing if the text is malformed.
 std::optional<std::string> DecodePercent(std::string_view text) {
   std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
--- a/src/proxy/admin/admin_query.h
+++ b/src/proxy/admin/admin_query.h
@@ -13,10 +13,10 @@
 enum class QueryError {
   kMissing,    // the parameter is absent or empty
   kDuplicate,  // it is given more than once
-  kMalformed,  // a percent sign without two hexadecimal digits behind it
+  kMalformed,  // a percent sign is not followed by two hexadecimal digits
 };
 
-// The decoded value of the one parameter `name` in `query`, which is without its question mark.
+// Returns the decoded value of the parameter `name`. `query` has no question mark at its start.
 std::variant<std::string, QueryError> QueryParameter(std::string_view query, std::string_view name);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/admin/admin_router.h
+++ b/src/proxy/admin/admin_router.h
@@ -11,8 +11,8 @@
 
 namespace copperpoint::proxy {
 
-// Handles a call without a body. 404 for an unknown path, 405 for a method that the path does not have.
-// Calls with a body are fleet calls (fleet_calls.h).
+// Handles a call without a body. Responds 404 to an unknown path, 405 to a method that the path does not
+// have. Calls with a body are fleet calls (fleet_calls.h).
 AdminResponse RouteAdminCall(const boost::beast::http::request_header<>& header, AdminHandler& handler);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/admin/admin_server.cpp
+++ b/src/proxy/admin/admin_server.cpp
@@ -35,7 +35,7 @@
 void AdminServer::Accept() {
   acceptor_.async_accept([this](const Error& failed, Tcp::socket socket) {
     if (failed == asio::error::operation_aborted) return;
-    // Without descriptors the accept queue stays readable: retrying at once would spin.
+    // While descriptors are exhausted the accept queue stays readable: retrying at once would spin.
     if (failed) return RetryAcceptLater();
     Add(std::move(socket));
     Accept();
@@ -58,8 +58,8 @@
   connections_.back()->Start();
 }
 
-// Preferably a connection that has its response; otherwise the oldest, so that clients that send nothing do
-// not block the interface.
+// Closes a connection that has its response; if there is none, the oldest, so that clients that send nothing
+// do not block the interface.
 void AdminServer::EvictOne() {
   auto found = std::find_if(connections_.begin(), connections_.end(),
                             [](const auto& connection) { return connection->responded(); });
--- a/src/proxy/admin/admin_server.h
+++ b/src/proxy/admin/admin_server.h
@@ -21,7 +21,7 @@
  public:
   static constexpr std::size_t kMaxConnections = 16;
 
-  // Listens at once; throws boost::system::system_error if it cannot. `handler` must outlive it.
+  // Starts to listen; throws boost::system::system_error if it cannot. `handler` must outlive the server.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
               AdminHandler& handler, const AdminConnection::Timeouts& timeouts = {});
   ~AdminServer() override;
--- a/src/proxy/admin/fleet_calls.h
+++ b/src/proxy/admin/fleet_calls.h
@@ -13,7 +13,7 @@
 namespace copperpoint::proxy {
 
 AdminResponse ReportFleet(const AdminHandler& handler);
-// `request`: one whose target is a fleet call of `handler`.
+// The target of `request` must be one of which `handler.IsFleetCall` is true.
 AdminResponse HandleFleetCall(const boost::beast::http::request<boost::beast::http::string_body>& request,
                               AdminHandler& handler);
 
--- a/src/proxy/admin/result_response.h
+++ b/src/proxy/admin/result_response.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The response to a call that changes something, by its result.
+// Maps the result of a call that changes the proxy's state to the response.
 #ifndef COPPERPOINT_PROXY_ADMIN_RESULT_RESPONSE_H_
 #define COPPERPOINT_PROXY_ADMIN_RESULT_RESPONSE_H_
 
@@ -11,7 +11,7 @@
 
 namespace copperpoint::proxy {
 
-// `done`: the text for AdminResult::kDone.
+// `done` is the text for AdminResult::kDone.
 AdminResponse ResponseTo(AdminHandler::AdminResult result, const std::string& done);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Maps the Balancer's TimePoint to this machine's steady clock.
+// Converts between the Balancer's TimePoint, this machine's steady clock and Unix time.
 #ifndef COPPERPOINT_PROXY_CLOCK_H_
 #define COPPERPOINT_PROXY_CLOCK_H_
 
@@ -14,8 +14,8 @@
 
 using Steady = std::chrono::steady_clock;
 
-// Both origins are taken once, at the start: a step of the wall clock later on must not make a backend look
-// restarted.
+// Both origins are read once, at construction, so that a later step of the wall clock does not make a backend
+// look restarted.
 class BalancerClock {
  public:
   TimePoint At(Steady::time_point at) const { return kStart + Duration(at - steady_origin_); }
@@ -25,7 +25,7 @@
     const Duration capped = std::min(at - kStart, kMaxOffset);
     return steady_origin_ + std::chrono::ceil<Steady::duration>(capped);
   }
-  // 0, for long ago, stays 0; what would come out before the clock's origin is as long ago.
+  // Converts milliseconds since the Unix epoch. 0, for long ago, yields 0; so does a time before the origin.
   TimePoint FromUnix(double unix_ms) const {
     if (!(unix_ms > 0)) return TimePoint{};
     return std::max(TimePoint{}, kStart + Duration(unix_ms) - unix_origin_);
--- a/src/proxy/config/config.h
+++ b/src/proxy/config/config.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What one proxy is configured with: the platform's JSON and environment, and the operator's file.
+// The configuration of one proxy, from the platform's JSON and environment and from the operator's file.
 #ifndef COPPERPOINT_PROXY_CONFIG_CONFIG_H_
 #define COPPERPOINT_PROXY_CONFIG_CONFIG_H_
 
@@ -17,26 +17,26 @@
 namespace copperpoint::proxy {
 
 struct Config {
-  // ---- the platform's: config_reader.h ----
+  // ---- from the platform: config_reader.h ----
   std::string name;
   boost::asio::ip::tcp::endpoint listen, discovery;
   std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // nothing: no admin interface
   std::string state_directory;  // private to this proxy's processes; empty: nothing is stored
   std::uint64_t seed = 0;
   int sockets = 1024;       // descriptors that the process may hold
-  double memory_mb = 2048;  // memory that it may use
+  double memory_mb = 2048;  // memory that the process may use
   Settings settings;
-  std::vector<std::string> classes, tenants, zones, kinds;  // their names, by index
+  std::vector<std::string> classes, tenants, zones, kinds;  // names by index
   Duration connect_timeout{250};
   Duration backend_idle_timeout{15000};  // backends close a connection that is idle for this long
-  EndpointList initial_endpoints;        // listed by the platform before discovery has answered
+  EndpointList initial_endpoints;        // listed by the platform, for use until discovery has responded
 
-  // ---- the operator's ----
+  // ---- from the operator's file: operator_settings.h ----
   Timeouts timeouts;
   ResourceShares shares;
   UpgradeTimeouts upgrade;
   FleetSettings fleet;
-  std::string operator_settings_version;  // of the operator's file, for the other members; empty: none
+  std::string operator_settings_version;  // hash of the operator's file, for the other members; empty: none
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/config/config_error.cpp
+++ b/src/proxy/config/config_error.cpp
@@ -6,7 +6,7 @@
 namespace copperpoint::proxy {
 namespace {
 
-// "FILE: ", "FILE:LINE: " or "FILE: LINE:COLUMN: ", without what is unknown.
+// Returns "FILE: ", "FILE:LINE: " or "FILE: LINE:COLUMN: ", without the parts that are unknown.
 std::string Prefix(const ConfigLocation& location) {
   std::string prefix = location.file;
   if (location.line > 0) {
--- a/src/proxy/config/config_error.h
+++ b/src/proxy/config/config_error.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Why a configuration cannot be used, and where the fault is.
+// The error for a configuration that cannot be used, with the location of the fault.
 #ifndef COPPERPOINT_PROXY_CONFIG_CONFIG_ERROR_H_
 #define COPPERPOINT_PROXY_CONFIG_CONFIG_ERROR_H_
 
@@ -9,7 +9,7 @@
 
 namespace copperpoint::proxy {
 
-// The place of a fault, as far as it is known.
+// The location of a fault, as far as it is known.
 struct ConfigLocation {
   std::string file = {};     // empty: unknown, or no file at all
   int line = 0, column = 0;  // from 1; 0: unknown
@@ -24,13 +24,13 @@
     kMissing,    // a required key is absent
     kWrongType,  // a value has another type than its key
     kOutOfRange,
-    kInvalid,  // a value of the right type cannot be used, such as an address that is none
+    kInvalid,  // a value of the right type cannot be used, such as a malformed address
   };
 
-  // `message`: one line that names the key, without file and line. what() has those before it.
+  // `message` is one line that names the key, without file and line; what() has those before it.
   ConfigError(Kind kind, ConfigLocation location, const std::string& message);
 
-  // The same error with its file.
+  // Returns a copy of this error with its file set.
   ConfigError InFile(const std::string& file) const;
 
   Kind kind() const { return kind_; }
--- a/src/proxy/config/config_reader.cpp
+++ b/src/proxy/config/config_reader.cpp
@@ -25,7 +25,7 @@
 
 bool IsSet(const char* variable) { return variable && *variable; }
 
-// `variable` goes before the field.
+// Reads an address from `variable`, the value of an environment variable, or else from the field.
 Tcp::endpoint ReadAddress(const char* variable, const JsonObject& root, const char* name) {
   const std::string text = IsSet(variable) ? variable : root.Text(name, "");
   const auto endpoint = ParseHostPort(text);
--- a/src/proxy/config/operator_settings.h
+++ b/src/proxy/config/operator_settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The operator's file, as types: time limits, shares of the process's resources, logging and membership of
-// one proxy. config::LoadFile (src/config/read.h) reads it; docs/configuration.md is its reference. The keys
-// of the file have names of their own, which Describe maps to the fields.
+// The settings in the operator's file: time limits, shares of the process's resources, logging and membership
+// of one proxy. config::LoadFile (src/config/read.h) reads the file; docs/configuration.md is its reference.
+// Describe maps the keys of the file to the fields, whose names differ from the keys.
 #ifndef COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
 #define COPPERPOINT_PROXY_CONFIG_OPERATOR_SETTINGS_H_
 
@@ -20,19 +20,19 @@
   using Ms = std::chrono::milliseconds;
 
   // ---- clients ----
-  Ms request_head{2500};  // from the connection's start, or the next request's first byte, to the last of
-                          // its header
-  Ms body_grace{1200};    // for a body, beyond the time that it takes at min_body_rate_bytes_per_s
-  Ms keep_alive{90000};   // for a client's next request
+  Ms request_head{2500};  // for a request's header, from the connection's start or, for later requests, the
+                          // header's first byte
+  Ms body_grace{1200};    // for a request's body, beyond the time it takes at min_body_rate_bytes_per_s
+  Ms keep_alive{90000};   // for a client to begin its next request
   Ms idle_reclaim{2000};  // after which a connection with no request open may be closed ahead of need
-  Ms idle_reclaim_under_pressure{250};  // the same of any idle connection, where another waits to be accepted
+  Ms idle_reclaim_under_pressure{250};  // the same for any idle connection while another waits to be accepted
   Ms response_write{10000};             // for a client to read its response
-  Ms lingering_close{1000};             // for a client to close after its connection was ended here
+  Ms lingering_close{1000};             // for a client to close after the proxy has ended its side
 
   // ---- backends ----
   Ms response_stall{100};                // without a byte of a response that is being buffered
   Ms body_stall{5000};                   // without a byte of a large body from or to a backend
-  Ms reuse_delay{2};                     // before a connection to a backend is used again
+  Ms reuse_delay{2};                     // before a backend connection is used again
   Ms removed_backend_retention{900000};  // after which the state of a removed backend is dropped
 
   void Describe(config::FieldVisitor& v);
@@ -45,15 +45,15 @@
   // A larger body is streamed; so is a smaller one where memory is short.
   std::int64_t max_buffered_body_bytes = std::int64_t{1024} * 1024;
   std::int64_t min_body_rate_bytes_per_s = 48000;  // a client that sends its body more slowly is cut off
-  // Retry-After of a response that a limit of this process causes.
+  // Retry-After of a rejection because of a limit of this process.
   std::chrono::milliseconds process_limit_retry_after{1000};
 
   void Describe(config::FieldVisitor& v);
 };
 
-// While another process of the same proxy serves; `[upgrade]` in the file.
+// Timeouts while another process of the same proxy serves; `[upgrade]` in the file.
 struct UpgradeTimeouts {
-  std::chrono::milliseconds endpoint_list{1500};  // for discovery's first list
+  std::chrono::milliseconds endpoint_list{1500};  // for discovery's first list, before the takeover
   std::chrono::milliseconds listener{1000};       // for the other process's listening socket
 
   void Describe(config::FieldVisitor& v);
--- a/src/proxy/config/settings_reader.cpp
+++ b/src/proxy/config/settings_reader.cpp
@@ -21,7 +21,7 @@
 constexpr char kPath[] = "settings";
 constexpr char kPermissionsPath[] = "settings.permissions";
 
-// A value as the simulator's wire has it, without blanks, line ends and commas.
+// Returns a value as the simulator's wire has it, with underscores for white space and commas.
 std::string WireValue(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
@@ -73,7 +73,7 @@
   }
 }
 
-// The names of a list whose items are objects with a name, or the names themselves.
+// Returns the names in a list whose items are objects with a name, or the names themselves.
 std::vector<std::string> ReadNames(const json& settings, const std::string& name) {
   std::vector<std::string> names;
   const auto list = settings.find(name);
@@ -90,8 +90,8 @@
   config->connect_timeout = Duration(permissions.Number("connectTimeoutMs", config->connect_timeout.count()));
   config->backend_idle_timeout =
       Duration(permissions.Number("connIdleMs", config->backend_idle_timeout.count()));
-  // Regardless of `retryAfter`, which is about the simulator's clients: an HTTP response always has a place
-  // for Retry-After, and a client without it retries at once.
+  // `retryAfter`, which is about the simulator's clients, is ignored: any HTTP response can carry
+  // Retry-After, and a client that receives none retries at once.
   config->settings.max_retry_after =
       std::max(Duration(0), Duration(permissions.Number("maxRetryAfterMs", 0.0)));
 }
--- a/src/proxy/control/disabled_backends.cpp
+++ b/src/proxy/control/disabled_backends.cpp
@@ -70,7 +70,7 @@
   if (file_.configured()) {
     const DisabledFile::Lock lock(file_);
     if (!lock.acquired()) return ChangeResult::kNotStored;
-    ids = file_.Load().value_or(ids);  // another process may have changed it
+    ids = file_.Load().value_or(ids);  // another process may have changed the file
     InsertOrErase(ids, id, disable);
     if (!file_.Store(ids)) return ChangeResult::kNotStored;
     file_version_ = file_.Version();
--- a/src/proxy/control/disabled_backends.h
+++ b/src/proxy/control/disabled_backends.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The backends that operators have disabled by hand. Endpoint lists pass through here and come out with these
-// backends draining, whatever discovery says of them.
+// The backends that operators have disabled by hand. They are marked as draining in every endpoint list,
+// whatever state discovery reports for them.
 #ifndef COPPERPOINT_PROXY_CONTROL_DISABLED_BACKENDS_H_
 #define COPPERPOINT_PROXY_CONTROL_DISABLED_BACKENDS_H_
 
@@ -16,8 +16,8 @@
 
 namespace copperpoint::proxy {
 
-// Owns the set of ids; a DisabledFile, which a second process of the same proxy reads and writes too, makes
-// it outlive this process.
+// Owns the set of ids. It outlives this process in a DisabledFile, which a second process of the same proxy
+// reads and writes too.
 class DisabledBackends {
  public:
   enum class ChangeResult {
@@ -29,7 +29,7 @@
   // With an empty `file` the set lasts as long as this process.
   DisabledBackends(std::string file, log::Logger& log);
 
-  // The list with disabled backends draining. `snapshot`: it names every backend there is.
+  // Returns the list with disabled backends marked as draining. `snapshot`: the list names every backend.
   EndpointList Apply(EndpointList list, bool snapshot);
 
   // `changes` receives an incremental update for the rest of the proxy. Both are idempotent. Unless kDone is
@@ -37,14 +37,14 @@
   ChangeResult Disable(const std::string& id, EndpointList* changes);
   ChangeResult Enable(const std::string& id, EndpointList* changes);
 
-  // An incremental update with what another process has changed in the file since it was last read.
+  // Returns an incremental update with what another process has changed since the file was last read.
   EndpointList ReloadIfChanged();
 
   const std::set<std::string>& ids() const { return ids_; }
 
  private:
   ChangeResult Change(const std::string& id, bool disable, EndpointList* changes);
-  // Makes `ids` the set, logs the differences and returns them as an incremental update.
+  // Replaces the set by `ids`, logs the differences and returns them as an incremental update.
   EndpointList Replace(std::set<std::string> ids, bool from_file);
 
   const DisabledFile file_;
@@ -52,7 +52,7 @@
   std::set<std::string> ids_;
   std::map<std::string, DiscoveredEndpoint> listed_;  // as discovery lists them
   std::uint64_t revision_ = 0;                        // of discovery's last list
-  std::string file_version_;                          // last read or written
+  std::string file_version_;                          // of the file as last read or written
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/control/disabled_file.cpp
+++ b/src/proxy/control/disabled_file.cpp
@@ -20,7 +20,7 @@
 constexpr int kLockAttempts = 50;
 constexpr useconds_t kLockRetryMicroseconds = 2000;
 
-// Nothing on an error, and for a file that is longer than kMaxFileBytes.
+// Returns nothing on an error, and for a file that is longer than kMaxFileBytes.
 std::optional<std::string> ReadLimited(const std::string& path) {
   const int descriptor = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK);
   if (descriptor < 0) return std::nullopt;
@@ -79,7 +79,7 @@
   if (descriptor_ >= 0) ::close(descriptor_);
 }
 
-// Every replacement has an inode or a modification time of its own.
+// Every replacement of the file has an inode or a modification time of its own.
 std::string DisabledFile::Version() const {
   struct stat status {};
   if (::stat(path_.c_str(), &status) != 0) return kAbsent;
--- a/src/proxy/control/disabled_file.h
+++ b/src/proxy/control/disabled_file.h
@@ -16,21 +16,21 @@
 
 inline constexpr std::size_t kMaxDisabledBackends = 1024;
 
-// The file's content: `{"disabled":[...]}` and a line end. Bytes that are not UTF-8 are replaced.
+// Returns the file's content: `{"disabled":[...]}` and a line end. Bytes that are not UTF-8 are replaced.
 std::string EncodeDisabledIds(const std::set<std::string>& ids);
-// Nothing unless `text` is an object with a list of at most kMaxDisabledBackends strings.
+// Returns nothing unless `text` is an object with a list of at most kMaxDisabledBackends strings.
 std::optional<std::set<std::string>> DecodeDisabledIds(std::string_view text);
 
 class DisabledFile {
  public:
-  // An exclusive lock beside the file, released with this object or its process.
+  // Holds an exclusive lock on a file beside this one; the end of the object or of its process releases it.
   class Lock {
    public:
     explicit Lock(const DisabledFile& file);
     ~Lock();
     Lock(const Lock&) = delete;
     Lock& operator=(const Lock&) = delete;
-    // False if another process did not release it within 100 ms, or the lock file cannot be opened.
+    // Returns false if another process held the lock for 100 ms, or the lock file cannot be opened.
     bool acquired() const { return acquired_; }
 
    private:
@@ -44,13 +44,13 @@
   bool configured() const { return !path_.empty(); }
   const std::string& path() const { return path_; }
 
-  // Differs after every replacement; kAbsent if there is no file.
+  // Returns a text that differs after every replacement of the file; kAbsent if there is no file.
   std::string Version() const;
   static constexpr char kAbsent[] = "none";
 
-  // Nothing if the file cannot be read or decoded.
+  // Returns nothing if the file cannot be read or decoded.
   std::optional<std::set<std::string>> Load() const;
-  // Replaces the file; false if that failed, and the file is as before.
+  // Replaces the file. Returns false if that failed; the file is then unchanged.
   bool Store(const std::set<std::string>& ids) const;
 
  private:
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -77,7 +77,7 @@
   replacement_->Start();
 }
 
-// The replacement has delivered its snapshot and goes on as the watch.
+// Makes the replacement the watch, once it has delivered its snapshot.
 void DiscoveryClient::AdoptReplacement() {
   if (watch_) watch_->Detach();
   watch_ = std::move(replacement_);
@@ -94,7 +94,7 @@
   return std::make_shared<EndpointStream>(io_, observer, address, timeouts, request);
 }
 
-// Half of the backoff is jitter, so that proxies do not reconnect in step.
+// Half of the backoff is jitter, so that proxies do not reconnect at the same time.
 void DiscoveryClient::ArmBackoff() {
   backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
   jitter_state_ = NextJitterState(jitter_state_);
@@ -129,7 +129,7 @@
 void DiscoveryClient::OnStreamEnded(EndpointStream& stream, const StreamFailure& failure) {
   const std::string reason = failure.Describe();
   log::Global().Debug(log::events::kDiscoveryFailed, {{"reason", reason}});
-  // While migrating nothing is lost with the old watch: only the replacement is retried.
+  // While migrating, the old watch is not needed: only the replacement is retried.
   if (migrating() && &stream == watch_.get()) return watch_.reset();
   if (!std::exchange(outage_logged_, true))
     log::Global().Warn(log::events::kDiscoveryUnavailable, {{"reason", reason}});
--- a/src/proxy/discovery/discovery_client.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -25,20 +25,20 @@
   using OnUpdate = std::function<void(const EndpointList&)>;
   using OnFailure = std::function<void()>;
   enum class Reconnect {
-    kAutomatic,  // after a backoff of its own
-    kOnRequest,  // on the next Watch; the failure is reported
+    kAutomatic,  // the client reconnects by itself after a backoff
+    kOnRequest,  // the client reconnects on the next call of Watch; OnFailure reports the failure
   };
 
   struct Options {
     boost::asio::ip::tcp::endpoint address;
-    std::uint64_t revision = 0;  // of the endpoint list that is known already
+    std::uint64_t revision = 0;  // of the endpoint list that is already known
     Reconnect reconnect = Reconnect::kAutomatic;
-    // An idle watch and the connect after it, or two connects that time out, must together take less than the
-    // 6 s within which a change has to be known; after a migration there are 4 s.
-    std::chrono::milliseconds idle_timeout{3000};           // one and a half heartbeats
-    std::chrono::milliseconds first_message_timeout{4000};  // longer: discovery serves calls one by one
+    // A change has to be known within 6 s, and within 4 s after a migration. An idle timeout followed by a
+    // connect timeout, and two connect timeouts in a row, must together take less than that.
+    std::chrono::milliseconds idle_timeout{3000};           // one and a half heartbeat intervals
+    std::chrono::milliseconds first_message_timeout{4000};  // longer, as discovery serves calls one by one
     std::chrono::milliseconds connect_timeout{1000};
-    std::uint64_t seed = 0;  // of the jitter
+    std::uint64_t seed = 0;  // of the backoff's jitter
   };
 
   DiscoveryClient(boost::asio::io_context& io, Options options, OnUpdate on_update, OnFailure on_failure);
@@ -46,14 +46,14 @@
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Opens a watch from the last revision applied, in place of one that is open.
+  // Opens a watch from the last revision applied; it replaces a watch that is open.
   void Watch();
 
-  // The revision of the last update applied.
+  // Returns the revision of the last update applied.
   std::uint64_t revision() const override { return options_.revision; }
 
   // Migrates to another address. Revisions there need not continue the known ones, so a snapshot is fetched
-  // first; the open watch stays until it has arrived.
+  // first; the open watch stays until the snapshot has arrived.
   void MoveTo(const boost::asio::ip::tcp::endpoint& address);
 
  private:
--- a/src/proxy/discovery/endpoint_stream.h
+++ b/src/proxy/discovery/endpoint_stream.h
@@ -27,20 +27,20 @@
 
 namespace copperpoint::proxy {
 
-// Reads one call and reports to its observer. Owned by shared_ptr; pending socket operations keep it alive
-// until they complete, also after Detach.
+// Reads the responses on one connection and reports them to its observer. Owned by shared_ptr: pending socket
+// operations keep the stream alive until they complete, also after Detach.
 class EndpointStream : public std::enable_shared_from_this<EndpointStream> {
  public:
   class Observer {
    public:
-    // A complete message, a snapshot or an update, as JSON text. False if it cannot be used: the stream ends.
-    // May detach the stream.
+    // Receives a complete message, a snapshot or an update, as JSON text. Returns false if the message cannot
+    // be used, which ends the stream. May detach the stream.
     virtual bool OnMessage(EndpointStream& stream, std::string_view message) = 0;
-    // The bytes of the watch are not a sequence of messages. OnStreamEnded follows.
+    // Called when the bytes of the watch are not a sequence of messages. OnStreamEnded follows.
     virtual void OnFramingError() = 0;
     // Called at most once; the stream makes no further calls.
     virtual void OnStreamEnded(EndpointStream& stream, const StreamFailure& failure) = 0;
-    // The revision from which a watch goes on.
+    // Returns the revision from which a watch continues.
     virtual std::uint64_t revision() const = 0;
 
    protected:
@@ -49,11 +49,11 @@
 
   struct Timeouts {
     std::chrono::milliseconds connect;
-    std::chrono::milliseconds first_message;  // of a call
+    std::chrono::milliseconds first_message;  // from the request to the first complete message
     std::chrono::milliseconds idle;           // between complete messages
   };
 
-  // What a connection begins with.
+  // The request that a connection begins with.
   enum class Request { kSnapshot, kWatch };
 
   EndpointStream(boost::asio::io_context& io, Observer& observer,
@@ -68,7 +68,7 @@
   using Error = boost::system::error_code;
   enum class State { kConnecting, kSendingRequest, kReadingHeader, kReadingBody };
 
-  // Begins the one socket operation of a state.
+  // Begins the one socket operation of `state`.
   void Enter(State state);
   void Connect();
   void SendRequest();
@@ -78,7 +78,7 @@
   void OnHeader();
   void OnBodyComplete();
   void OnBodyError(const Error& error);
-  // Return false when the stream is over.
+  // These three return false once the stream has ended.
   bool OnBody(std::string_view bytes);
   bool OnSnapshotBytes(std::string_view bytes);
   bool OnWatchBytes(std::string_view bytes);
@@ -87,7 +87,7 @@
   // Only a complete message counts as activity: a trickle of bytes must not hold an idle watch open.
   void RecordActivity();
   void ArmIdleTimeout();
-  // Reports the end. False, for callers that return it.
+  // Closes the connection and reports the failure. Always returns false, for callers that return it in turn.
   bool End(const StreamFailure& failure);
 
   Observer* observer_;  // null once detached or ended
@@ -99,11 +99,11 @@
   boost::beast::http::request<boost::beast::http::empty_body> request_;
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
   std::array<char, 16384> chunk_;
-  std::string snapshot_;  // received so far
-  MessageFramer framer_;  // of the watch
+  std::string snapshot_;  // the part received so far
+  MessageFramer framer_;  // of the watch's bytes
   Steady::time_point last_activity_{};
   std::size_t unfinished_bytes_ = 0;  // received since last_activity_
-  bool message_received_ = false;     // in this call
+  bool message_received_ = false;     // since the last request
 };
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/discovery/endpoints.cpp
+++ b/src/proxy/discovery/endpoints.cpp
@@ -14,6 +14,7 @@
 using ErrorKind = EndpointListError::Kind;
 using Tcp = boost::asio::ip::tcp;
 
+// Returns nothing if discovery has no such phase.
 std::optional<EndpointState> StateOf(std::string_view phase) {
   if (phase == "in_service") return EndpointState::kReady;
   if (phase == "terminating") return EndpointState::kDraining;
@@ -21,8 +22,8 @@
   return std::nullopt;
 }
 
-// Sets `fault` to the last fault of the entry. Throws json::exception on a field that is absent or of another
-// type.
+// Sets `fault` to the last fault of the entry. Throws json::exception if a required field is absent or a
+// field is of another type.
 DiscoveredEndpoint ReadEndpoint(const json& entry, std::optional<ErrorKind>* fault) {
   DiscoveredEndpoint endpoint;
   endpoint.id = entry.at("id").get<std::string>();
@@ -43,6 +44,7 @@
   return endpoint;
 }
 
+// Returns the field of an entry that a fault concerns, after a dot; empty if the kind names no field.
 const char* FieldName(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kEmptyId:
@@ -87,7 +89,7 @@
 
 std::optional<EndpointList> ParseEndpointList(const json& json, EndpointListError* error) {
   EndpointList list;
-  std::optional<std::size_t> entry_index;  // the entry
+  std::optional<std::size_t> entry_index;  // of the entry that is being read
   try {
     list.revision = json.at("revision").get<std::uint64_t>();
     list.complete = json.value("complete", false);
@@ -145,7 +147,7 @@
   for (const DiscoveredEndpoint& endpoint : endpoints) {
     if (!numbers_by_id_.contains(endpoint.id)) new_ids.push_back(endpoint.id);
   }
-  // Guards against two proxies that see one list in another order numbering a collision differently.
+  // Sorted, so that proxies that receive a list in different orders number colliding ids alike.
   std::sort(new_ids.begin(), new_ids.end());
   for (const std::string& id : new_ids) {
     if (numbers_by_id_.contains(id)) continue;
--- a/src/proxy/discovery/endpoints.h
+++ b/src/proxy/discovery/endpoints.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The endpoint list in discovery's JSON form, and the numbers by which the decision module knows the
-// backends.
+// Parses discovery's JSON form of the endpoint list, and assigns the numbers by which the decision module
+// identifies backends.
 #ifndef COPPERPOINT_PROXY_DISCOVERY_ENDPOINTS_H_
 #define COPPERPOINT_PROXY_DISCOVERY_ENDPOINTS_H_
 
@@ -31,11 +31,11 @@
 
 struct EndpointList {
   std::uint64_t revision = 0;
-  bool complete = false;
+  bool complete = false;  // a snapshot of all endpoints; false: an incremental update
   std::vector<DiscoveredEndpoint> endpoints;
 };
 
-// Why a list cannot be used.
+// Why an endpoint list cannot be used.
 struct EndpointListError {
   enum class Kind {
     kNotJson,
@@ -46,34 +46,34 @@
     kInvalidUpSince,
   };
   Kind kind = Kind::kNotJson;
-  std::optional<std::size_t> entry;  // its index in `members`; nothing: the fault is in no one entry
+  std::optional<std::size_t> entry;  // index in `members`; nothing: the fault is not in a single entry
   std::string detail;
 
-  // One phrase for the log.
+  // Returns one phrase for a log line or an error message.
   std::string Describe() const;
-  // The field at fault, as far as it is known: "members.3.phase". Empty: the list itself.
+  // Returns the path of the invalid field as far as it is known: "members.3.phase". Empty: the list itself.
   std::string FieldPath() const;
 };
 
-// Nothing, and the reason in `error`, unless every entry is well formed.
+// Both return nothing, with the reason in `error`, unless every entry is well formed.
 std::optional<EndpointList> ParseEndpointList(const nlohmann::json& json, EndpointListError* error);
 std::optional<EndpointList> ParseEndpointList(std::string_view text, EndpointListError* error);
 
-// "a.b.c.d:port", or "[v6]:port".
+// Parses "a.b.c.d:port" or "[v6]:port"; returns nothing if the text is not an address.
 std::optional<boost::asio::ip::tcp::endpoint> ParseHostPort(std::string_view text);
 
-// FNV-1a: the same at every proxy and in every build, which std::hash does not promise.
+// Returns the FNV-1a hash, which is the same in every proxy and every build; std::hash does not promise that.
 std::uint64_t StableHash(std::string_view text);
 
-// Numbers for the ids of backends. They come from the id alone, so that all proxies number a backend alike;
-// only the later of two ids with the same hash, in the order of their names, gets a salted one.
+// Assigns numbers to the ids of backends. A number is the hash of the id alone, so that all proxies number a
+// backend alike; only the later of two ids with the same hash, in alphabetical order, gets a salted hash.
 class BackendIds {
  public:
   using Hash = std::uint32_t (*)(std::string_view);
   static std::uint32_t HashOf(std::string_view id);
   explicit BackendIds(Hash hash = HashOf) : hash_(hash) {}
 
-  // Assigns a BackendId to each id of the list; IdOf looks it up.
+  // Assigns a BackendId to each id of the list that has none; IdOf looks it up.
   void Assign(const std::vector<DiscoveredEndpoint>& endpoints);
   BackendId IdOf(const std::string& id) const { return numbers_by_id_.at(id); }
   void Release(const std::string& id);
--- a/src/proxy/discovery/message_framer.cpp
+++ b/src/proxy/discovery/message_framer.cpp
@@ -18,7 +18,7 @@
   return Result::kMore;
 }
 
-// No JSON string contains a line end: the message was cut off.
+// A line end within a JSON string, which cannot contain one, means that the message was cut off.
 bool MessageFramer::ScanInString(char c) {
   if (c == '\n') return false;
   if (escaped_) {
@@ -34,7 +34,7 @@
 MessageFramer::Result MessageFramer::OnLineEnd(std::string* message) {
   if (message_begun_ && depth_ == 0) return Consume(Result::kMessage, message);
   if (!message_begun_) return Consume(Result::kEmptyLine, message);
-  // A heartbeat within a message: the rest of that message will not come.
+  // An empty line within a message is a heartbeat: the rest of the message will not come.
   if (line_blank_) return Result::kMalformed;
   line_blank_ = true;
   return Result::kMore;
--- a/src/proxy/discovery/stream_error.h
+++ b/src/proxy/discovery/stream_error.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The reasons for which a call to discovery ends, beside those of the operating system.
+// Error codes for the end of a call to discovery, in addition to those of the operating system.
 #ifndef COPPERPOINT_PROXY_DISCOVERY_STREAM_ERROR_H_
 #define COPPERPOINT_PROXY_DISCOVERY_STREAM_ERROR_H_
 
@@ -22,12 +22,12 @@
 const boost::system::error_category& StreamErrorCategory();
 boost::system::error_code make_error_code(StreamError error);  // NOLINT: found by Boost under this name
 
-// Why a call ended.
+// Why a call to discovery ended.
 struct StreamFailure {
   boost::system::error_code code;
   unsigned http_status = 0;  // for StreamError::kHttpStatus
 
-  // One phrase for the log.
+  // Returns one phrase for a log line.
   std::string Describe() const;
 };
 
--- a/src/proxy/handover/handover_client.cpp
+++ b/src/proxy/handover/handover_client.cpp
@@ -12,6 +12,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
+// Returns whether `descriptor` is a socket that listens at `address`.
 bool ListensAt(int descriptor, const tcp::endpoint& address) {
   int listening = 0;
   socklen_t size = sizeof listening;
@@ -56,7 +57,7 @@
   timer_.async_wait([this](const error_code& cancelled) {
     if (!cancelled && state_ == State::kRequested) Fail(HandoverError::kTimeout);
   });
-  SendMessage(socket_, EncodeListenerRequest(listen));  // if it fails, so does the wait
+  SendMessage(socket_, EncodeListenerRequest(listen));  // an error makes the wait below fail, too
   WaitForMessage();
 }
 
@@ -93,7 +94,7 @@
   observer_.OnPredecessorExited();
 }
 
-// Closing the connection tells the predecessor to go on as the only process.
+// Closing the connection makes the predecessor continue as the only process.
 void HandoverClient::Fail(HandoverError error) {
   timer_.cancel();
   error_code ignored;
--- a/src/proxy/handover/handover_client.h
+++ b/src/proxy/handover/handover_client.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The successor's side of a hand-over: asks the process that serves for its listening socket and state.
+// The successor's side of a handover: requests the predecessor's listening socket and state.
 #ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_CLIENT_H_
 #define COPPERPOINT_PROXY_HANDOVER_HANDOVER_CLIENT_H_
 
@@ -20,7 +20,7 @@
 enum class HandoverError {
   kTimeout,            // the predecessor did not answer in time
   kPredecessorClosed,  // it refused, exited, or sent a message that was cut off
-  kInvalidListener,    // what it sent is no socket that listens at this proxy's address
+  kInvalidListener,    // what it sent is not a socket that listens at this proxy's address
 };
 
 // Owns the connection to the predecessor.
@@ -34,19 +34,19 @@
   class Observer {
    public:
     virtual ~Observer() = default;
-    // This process owns the socket from here on. `encoded_state`: for DecodeHandoverState.
+    // This process owns the socket from here on. DecodeHandoverState decodes `encoded_state`.
     virtual void OnListenerReceived(OwnedDescriptor listener, const std::string& encoded_state) = 0;
     virtual void OnHandoverFailed(HandoverError error) = 0;
-    // Only after OnListenerReceived.
+    // Called only after OnListenerReceived, as is OnPredecessorExited.
     virtual void OnDescriptorReport(const DescriptorReport& report) = 0;
     virtual void OnPredecessorExited() = 0;
   };
 
-  // Null if no process of the same user listens at `path`. `observer` must outlive the client.
+  // Returns null if no process of the same user listens at `path`. `observer` must outlive the client.
   static std::unique_ptr<HandoverClient> Connect(boost::asio::io_context& io, const std::string& path,
                                                  Observer& observer);
 
-  // Once. Either OnListenerReceived or OnHandoverFailed follows, never from within this call.
+  // May be called once. Either OnListenerReceived or OnHandoverFailed follows, never from within this call.
   void RequestListener(const boost::asio::ip::tcp::endpoint& listen, std::chrono::milliseconds timeout);
 
  private:
@@ -67,7 +67,7 @@
   State state_ = State::kConnected;
 };
 
-// For the log.
+// Returns the name for log lines.
 const char* NameOf(HandoverError error);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/handover/handover_coordinator.cpp
+++ b/src/proxy/handover/handover_coordinator.cpp
@@ -29,7 +29,7 @@
   return true;
 }
 
-// Called from within a call of discovery's: the request is an event of its own.
+// Called from within a callback of discovery, so the timer sends the request from an event of its own.
 void HandoverCoordinator::OnEndpointsReceived() {
   if (phase_ == Phase::kWaitingForEndpoints) RequestListenerAfter(std::chrono::milliseconds(0));
 }
@@ -112,7 +112,7 @@
   const auto listener = context_.listener.ReleaseListener();
   if (!listener) return std::nullopt;
   log::Global().Info(log::events::kUpgradeListenerHandedOver);
-  // No more connections than now; one at least, so that open requests can still be retried.
+  // Limits backend connections to those open now, but to one at least, so that open requests can be retried.
   context_.backends.SetConnectionLimit(std::max<std::size_t>(context_.backends.connection_count(), 1));
   return HandoverServer::Grant{*listener, HandoverState{DescriptorsInUse(), ExportBackends()}};
 }
--- a/src/proxy/handover/handover_coordinator.h
+++ b/src/proxy/handover/handover_coordinator.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// An upgrade without a lost connection: takes over from the process of this proxy that serves already, and
-// later hands over to the next one.
+// Upgrades a proxy without losing a connection: takes over from the process of this proxy that serves
+// already, and later hands over to the next one.
 #ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_COORDINATOR_H_
 #define COPPERPOINT_PROXY_HANDOVER_HANDOVER_COORDINATOR_H_
 
@@ -28,16 +28,16 @@
 
 namespace copperpoint::proxy {
 
-// The client connections of the process, as a hand-over needs them.
+// Controls the client connections of the process during a handover.
 class ListenerOwner {
  public:
   virtual ~ListenerOwner() = default;
-  // Accepts clients from here on: at the listening socket that was received, which the owner then owns, or,
-  // for OwnedDescriptor::kNone, at one of its own. Throws boost::system::system_error if it can't listen.
+  // Starts to accept clients at `listener`, the listening socket that was received, and takes ownership of
+  // it; OwnedDescriptor::kNone: opens a socket. Throws boost::system::system_error if it cannot listen.
   virtual void StartAccepting(int listener) = 0;
-  // Accepts no more clients; returns the listening socket, which stays the owner's. Nothing if it is closed.
+  // Stops accepting clients. Returns the listening socket but keeps its ownership; nothing if it is closed.
   virtual std::optional<int> ReleaseListener() = 0;
-  // Accepts clients again.
+  // Resumes accepting clients.
   virtual void ReclaimListener() = 0;
   virtual void SetClientLimit(std::size_t connections) = 0;
   virtual std::size_t client_connections() const = 0;
@@ -49,16 +49,16 @@
 //   kRequested -- received or failed ------------------> kServing     (a successor may connect)
 //
 // A process without a predecessor begins in kServing. The predecessor serves for as long as this process
-// waits for discovery's list, since the list that it was started with may be out of date.
+// waits for discovery's list, since the list that this process was started with may be out of date.
 class HandoverCoordinator : private HandoverServer::Delegate, private HandoverClient::Observer {
  public:
   using ExportState = std::function<std::vector<BackendSnapshot>()>;
   struct Options {
-    std::string socket_path;  // empty: no hand-over, to or from this process
+    std::string socket_path;  // empty: no handover to or from this process
     boost::asio::ip::tcp::endpoint listen;
     UpgradeTimeouts timeouts;
   };
-  // What it works on; all of it must outlive the coordinator.
+  // The components that the coordinator uses; all of them must outlive it.
   struct Context {
     ListenerOwner& listener;
     const Lifecycle& lifecycle;
@@ -74,16 +74,16 @@
   HandoverCoordinator(const HandoverCoordinator&) = delete;
   HandoverCoordinator& operator=(const HandoverCoordinator&) = delete;
 
-  // Takes over from a predecessor, by way of StartAccepting, as soon as discovery's list is here. False:
-  // there is none.
+  // Takes over from a predecessor, by a call of StartAccepting, once discovery's list has arrived or the wait
+  // for it has timed out. Returns false if there is no predecessor.
   bool TakeOverFromPredecessor();
-  // Discovery's list names a backend.
+  // To be called when discovery's list names a backend.
   void OnEndpointsReceived();
-  // This process accepts clients: a successor may connect.
+  // To be called when this process accepts clients: a successor may then connect.
   void AwaitSuccessor();
-  // Reports to the successor, if any, how many descriptors are in use here.
+  // Reports to the successor, if any, how many descriptors this process uses.
   void ReportDescriptors();
-  // The process shuts down: it does not take over any more.
+  // To be called when the process shuts down: it no longer takes over.
   void Cancel();
 
  private:
--- a/src/proxy/handover/handover_messages.cpp
+++ b/src/proxy/handover/handover_messages.cpp
@@ -9,7 +9,7 @@
 namespace copperpoint::proxy {
 namespace {
 
-// A multiplier beyond this is not believed.
+// A larger multiplier in a predecessor's state is taken for implausible and reduced to this one.
 constexpr int kMaxEjectionMultiplier = 100;
 
 constexpr const char* kDescriptors = "descriptors";
--- a/src/proxy/handover/handover_messages.h
+++ b/src/proxy/handover/handover_messages.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The messages between two processes of one proxy, as types, and their form on the wire. This is the one
-// place that knows that form; an old and a new version of the program exchange it, so its bytes are fixed.
+// The messages between two processes of one proxy, and their encoding, which no other file knows. The bytes
+// are fixed, since an old and a new version of the program exchange them.
 //
 //   successor -> predecessor   "take ADDRESS:PORT", the request for the listening socket
 //   predecessor -> successor   HandoverState as JSON, with the listening socket beside it, once
@@ -21,38 +21,38 @@
 
 // What the predecessor has observed of one backend; the fields are those of BackendSnapshot.
 struct BackendHandoverState {
-  std::string id;  // discovery's, since the two processes need not number backends alike
+  std::string id;  // discovery's id, since the two processes need not number backends alike
   int ejection_multiplier = 0;
   Duration ejection_remaining{0};
   double slow_start_work = 0;  // ms
 };
 
 struct HandoverState {
-  int descriptors = 0;  // that the predecessor holds
+  int descriptors = 0;  // file descriptors that the predecessor holds
   std::vector<BackendHandoverState> backends;
 };
 
-// How many descriptors the predecessor holds now.
+// How many file descriptors the predecessor holds now.
 struct DescriptorReport {
   int descriptors = 0;
 };
 
-// A HandoverState as far as it could be read. Without it the successor has to observe for itself, so that a
-// part is better than nothing.
+// The part of a HandoverState that could be decoded. The successor uses an incomplete state too, since what
+// is missing it has to observe for itself.
 struct DecodedHandoverState {
   std::optional<int> descriptors;
-  std::vector<BackendHandoverState> backends;  // those before the fault
-  std::string error;                           // what could not be read; empty: all of it was
+  std::vector<BackendHandoverState> backends;  // those before the first entry that could not be decoded
+  std::string error;                           // why decoding stopped; empty: it is complete
 };
 
 std::string EncodeListenerRequest(const boost::asio::ip::tcp::endpoint& listen);
 std::string EncodeHandoverState(const HandoverState& state);
 std::string EncodeDescriptorReport(const DescriptorReport& report);
 
-// `is_known`: whether this process has a backend of that id; the entries of others are skipped unread.
+// `is_known` returns whether this process has a backend of that id; entries of others are skipped undecoded.
 DecodedHandoverState DecodeHandoverState(const std::string& text,
                                          const std::function<bool(const std::string& id)>& is_known);
-// Nothing if the text is no report.
+// Returns nothing if the text is not a descriptor report.
 std::optional<DescriptorReport> DecodeDescriptorReport(const std::string& text);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/handover/handover_server.cpp
+++ b/src/proxy/handover/handover_server.cpp
@@ -29,7 +29,7 @@
 
 void HandoverServer::Listen() {
   if (path_.empty() || path_.size() > MaxSocketPathLength()) return;
-  // A socket that is there belongs to a process that has exited, or that has just handed over to this one.
+  // An existing socket belongs to a process that has exited, or that has just handed over to this one.
   struct stat existing {};
   if (::lstat(path_.c_str(), &existing) == 0 && S_ISSOCK(existing.st_mode)) ::unlink(path_.c_str());
   error_code failed;
@@ -63,16 +63,16 @@
     if (failed == boost::asio::error::operation_aborted) return;
     ReceivedMessage message;
     const error_code received = failed ? failed : ReceiveMessage(socket_, &message);
-    message.descriptor = OwnedDescriptor();  // a successor sends none; one that came is closed at once
+    message.descriptor = OwnedDescriptor();  // a successor sends none; one that has arrived is closed at once
     if (received && received != boost::asio::error::would_block) return OnConnectionEnded();
     if (!received && !OnMessage(message.text)) return OnConnectionEnded();
     WaitForMessage();
   });
 }
 
-// False: the connection is to be closed.
+// Returns false if the connection is to be closed.
 bool HandoverServer::OnMessage(const std::string& text) {
-  if (state_ == State::kHandedOver) return true;  // a successor has nothing more to say
+  if (state_ == State::kHandedOver) return true;  // further messages of a successor are ignored
   if (text != EncodeListenerRequest(listen_)) return false;
   const auto grant = delegate_.OnListenerRequested();
   if (!grant) return false;
@@ -86,7 +86,7 @@
   socket_.close(ignored);
   if (std::exchange(state_, State::kServing) == State::kServing) return;
   acceptor_.close(ignored);
-  Listen();  // the path may have been the successor's
+  Listen();  // the successor may have replaced the socket at the path
   delegate_.OnSuccessorExited();
 }
 
--- a/src/proxy/handover/handover_server.h
+++ b/src/proxy/handover/handover_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The predecessor's side of a hand-over: a socket in the proxy's state folder at which a successor asks for
+// The predecessor's side of a handover: a socket in the proxy's state directory at which a successor requests
 // the listening socket.
 #ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_SERVER_H_
 #define COPPERPOINT_PROXY_HANDOVER_HANDOVER_SERVER_H_
@@ -15,7 +15,7 @@
 
 namespace copperpoint::proxy {
 
-// Owns the socket in the state folder and the connection to the one successor.
+// Owns the socket in the state directory and the connection to the one successor.
 //
 //   kServing ---- a valid request, granted by the delegate --> kHandedOver
 //   kHandedOver - the successor's connection ends -----------> kServing
@@ -24,23 +24,23 @@
 class HandoverServer {
  public:
   struct Grant {
-    int listener = OwnedDescriptor::kNone;  // stays the delegate's; the successor gets a copy
+    int listener = OwnedDescriptor::kNone;  // owned by the delegate; the successor gets a copy
     HandoverState state;
   };
   class Delegate {
    public:
     virtual ~Delegate() = default;
-    // A successor is about to serve. Nothing: there is no listening socket to hand over any more.
+    // Called when a successor is about to serve. Returns nothing if no listening socket is left to hand over.
     virtual std::optional<Grant> OnListenerRequested() = 0;
-    // The successor has exited or closed its connection: this process is the only one again.
+    // Called when the successor has exited or closed its connection: this process serves alone again.
     virtual void OnSuccessorExited() = 0;
   };
 
-  // Listens at `path`, in place of whatever socket stood there. Where it can't, no successor can connect, and
-  // it begins to serve without the predecessor's state. `listen`: the address that a successor must name.
+  // Listens at `path` and replaces a socket that is there. If that fails, no successor can connect, and one
+  // begins to serve without this process's state. `listen` is the address that a successor must name.
   HandoverServer(boost::asio::io_context& io, std::string path, const boost::asio::ip::tcp::endpoint& listen,
                  Delegate& delegate);
-  // Removes the socket from the folder unless a successor, whose path it is then, has taken over.
+  // Removes the socket from the directory unless a successor has taken over, which then owns the path.
   ~HandoverServer();
   HandoverServer(const HandoverServer&) = delete;
   HandoverServer& operator=(const HandoverServer&) = delete;
--- a/src/proxy/handover/message_socket.h
+++ b/src/proxy/handover/message_socket.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Unix sockets that preserve message boundaries and carry a descriptor beside a message: what both sides of a
-// hand-over talk over.
+// Unix sockets that preserve message boundaries and pass a file descriptor with a message; both sides of a
+// handover communicate over them.
 #ifndef COPPERPOINT_PROXY_HANDOVER_MESSAGE_SOCKET_H_
 #define COPPERPOINT_PROXY_HANDOVER_MESSAGE_SOCKET_H_
 
@@ -16,7 +16,7 @@
 
 namespace copperpoint::proxy {
 
-// The SOCK_SEQPACKET protocol of Unix sockets, for which this Boost has no class.
+// The SOCK_SEQPACKET protocol of Unix sockets, for which this version of Boost has no class.
 class SeqPacketProtocol {
  public:
   int type() const { return SOCK_SEQPACKET; }
@@ -27,7 +27,7 @@
   using acceptor = boost::asio::basic_socket_acceptor<SeqPacketProtocol>;
 };
 
-// A file descriptor that is closed with its owner.
+// Owns a file descriptor and closes it on destruction.
 class OwnedDescriptor {
  public:
   static constexpr int kNone = -1;
@@ -40,7 +40,7 @@
   OwnedDescriptor& operator=(const OwnedDescriptor&) = delete;
 
   int get() const { return descriptor_; }
-  // The caller owns it from here on.
+  // Returns the descriptor, which the caller owns from here on.
   int Release();
 
  private:
@@ -49,22 +49,22 @@
 
 struct ReceivedMessage {
   std::string text;
-  OwnedDescriptor descriptor;  // that came beside the text, if any
+  OwnedDescriptor descriptor;  // the one that came with the text, if any
 };
 
-// The longest path that a Unix socket can have, in bytes.
+// Returns the longest path that a Unix socket can have, in bytes.
 std::size_t MaxSocketPathLength();
 
-// Sends one message, without waiting, and a copy of `descriptor` beside it unless that is
-// OwnedDescriptor::kNone. Returns an error if the message did not go out completely.
+// Sends one message without blocking, with a copy of `descriptor` unless that is OwnedDescriptor::kNone.
+// Returns an error if the message was not sent completely.
 boost::system::error_code SendMessage(SeqPacketProtocol::socket& socket, const std::string& text,
                                       int descriptor = OwnedDescriptor::kNone);
 
-// Receives one message without waiting. Errors: would_block if there is none yet, eof if the peer has closed,
-// message_size if the message or its descriptors were cut off, otherwise that of the system.
+// Receives one message without blocking. Errors: would_block if there is none yet, eof if the peer has
+// closed, message_size if the message or its descriptors were cut off, otherwise that of the system.
 boost::system::error_code ReceiveMessage(SeqPacketProtocol::socket& socket, ReceivedMessage* message);
 
-// Whether the process at the other end runs as the same user as this one.
+// Returns whether the process at the other end runs as the same user as this one.
 bool PeerIsSameUser(SeqPacketProtocol::socket& socket);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/lifecycle/lifecycle.h
+++ b/src/proxy/lifecycle/lifecycle.h
@@ -39,9 +39,9 @@
   bool draining() const { return state_ == State::kDraining || state_ == State::kDrainingNotStarted; }
   bool shutting_down() const { return state_ == State::kShuttingDown; }
 
-  // The process accepts clients and knows at least one backend.
+  // To be called when the process accepts clients and knows at least one backend.
   void OnStarted();
-  // Both may be repeated. False: the process is shutting down, and nothing has changed.
+  // Both are idempotent. They return false, and change nothing, if the process is shutting down.
   bool StartDraining();
   bool StopDraining();
   // Repeated calls have no effect.
@@ -50,7 +50,7 @@
  private:
   enum class Event { kStarted, kStartDraining, kStopDraining, kStartShutdown };
 
-  // The transition table: the state that follows, which is the same one where an event has no effect.
+  // The transition table: returns the state that follows, which is `state` if the event has no effect.
   static State Next(State state, Event event);
   bool Handle(Event event);
 
@@ -58,7 +58,7 @@
   State state_ = State::kStarting;
 };
 
-// The name in log lines and in the admin interface's answers. Both draining states are "drained".
+// Returns the name in log lines and in the admin interface's responses. Both draining states are "drained".
 const char* NameOf(Lifecycle::State state);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/clock.cpp
+++ b/src/proxy/membership/clock.cpp
@@ -10,9 +10,9 @@
 namespace copperpoint::proxy {
 namespace {
 
-// By which the membership's time is ahead of the machine's clock.
+// Offset() is how far the membership's time is ahead of the machine's clock.
 #ifdef COPPERPOINT_CLOCK_SEAM
-// Read from the file: microseconds, eight bytes in this machine's order.
+// The file has the offset in microseconds: eight bytes in this machine's byte order.
 membership::Time Offset() {
   static const char* const kFile = std::getenv("COPPERPOINT_CLOCK");
   std::int64_t microseconds = 0;
--- a/src/proxy/membership/clock.h
+++ b/src/proxy/membership/clock.h
@@ -11,7 +11,7 @@
 namespace copperpoint::proxy {
 
 membership::Time MembershipNow();
-// When the machine's steady clock will show what the membership calls `at`.
+// Converts a time of the membership to the machine's steady clock.
 Steady::time_point ToSteady(membership::Time at);
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/membership_host.cpp
+++ b/src/proxy/membership/membership_host.cpp
@@ -71,7 +71,7 @@
   ProcessOutput();
 }
 
-// ---- what follows from an event ---------------------------------------------------------------------------
+// ---- output after an event --------------------------------------------------------------------------------
 
 void MembershipHost::ProcessOutput() {
   ExchangeWithRollout();
@@ -80,7 +80,7 @@
   ScheduleTick();
 }
 
-// Until neither the membership nor the rollout agent has anything more for the other.
+// Repeats until neither the membership nor the rollout agent has output for the other.
 void MembershipHost::ExchangeWithRollout() {
   for (bool delivered = true; delivered;) {
     PublishFromRollout();
@@ -100,7 +100,7 @@
     membership_.SendMessage(now, message.to, rollout::kMessageTopic, std::move(message.body));
 }
 
-// False if there was nothing to deliver.
+// Returns false if there was nothing to deliver.
 bool MembershipHost::DeliverToRollout(const membership::Output& output) {
   for (const membership::ApplicationMessage& message : output.messages) {
     if (message.topic == rollout::kMessageTopic)
@@ -174,7 +174,7 @@
   return index != membership::MemberTable::kNotFound && membership_.members()[index].living();
 }
 
-// By name, so that the same members make the same change, whichever of them starts it.
+// Sorted by name, so that a rollout among the same members is the same whichever of them starts it.
 std::vector<rollout::MemberInfo> MembershipHost::LivingMembers() const {
   std::vector<rollout::MemberInfo> members;
   for (const int index : membership_.members().living()) {
--- a/src/proxy/membership/membership_host.h
+++ b/src/proxy/membership/membership_host.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This proxy's part in the membership: gives the membership (src/membership) time and sockets, and connects
-// it with what relies on it, the rollout agent and the subset of backends. It decides nothing.
+// Runs the membership (src/membership) in this proxy: provides time and sockets, and connects it with the
+// components that rely on it, the rollout agent and the subset of backends. Makes no decisions of its own.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_HOST_H_
 
@@ -27,20 +27,20 @@
 // Owns the membership's state and the sockets of the members.
 class MembershipHost : private PeerSocket::Observer {
  public:
-  // What a proxy publishes of itself.
+  // What a proxy publishes about itself.
   struct Member {
     std::string name, zone;
     std::string program_version;
     std::string settings_version;  // of the operator's file
   };
 
-  // Descriptors that it holds at most.
+  // The most descriptors that the host holds at a time.
   static constexpr int kMaxDescriptors = PeerSocket::kMaxDescriptors;
 
-  // Throws ConfigError on a key or a list of seeds that cannot be used, or fields too long for a message.
-  // Where the address is still another process's, as in an upgrade, it waits for it. `on_ring_offset` is
-  // called with the offset on the ring of backends that this proxy has among those of its zone; where there
-  // are no seeds, from the constructor on.
+  // Throws ConfigError if the key or the seeds cannot be used, or if a field is too long for a message. While
+  // another process holds the address, as in an upgrade, the host waits for it. `on_ring_offset` is called
+  // with the offset on the ring of backends that this proxy has among those of its zone; if there are no
+  // seeds, from within the constructor too.
   MembershipHost(boost::asio::io_context& io, const FleetSettings& settings, const Member& self,
                  std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
 
@@ -48,15 +48,15 @@
   // Notifies the members that this one leaves, and closes the sockets.
   void Leave();
 
-  // This process serves clients; notifies the supervisor once.
+  // To be called when this process serves clients; notifies the supervisor once.
   void OnServing() { rollout_.OnServing(); }
-  // Of completed requests, for rollouts.
+  // Returns the counts of completed requests, for rollouts.
   RequestCounts& counts() { return rollout_.counts(); }
 
   // ---- admin calls ----
   std::string StatusJson() const;
   static bool IsRolloutCall(std::string_view target) { return RolloutHost::IsRolloutCall(target); }
-  // Nothing: there is no such call.
+  // Returns nothing if there is no such call.
   std::optional<AdminHandler::FleetCallResult> HandleRolloutCall(
       const AdminHandler::FleetCallRequest& request);
 
@@ -66,7 +66,7 @@
   std::string OnExchange(std::string_view frame) override;
   void OnReply(std::string_view frame) override;
 
-  // To be called after every event: carries out what follows from it and sets the timer.
+  // To be called after every event: carries out the resulting output and sets the timer.
   void ProcessOutput();
   void ExchangeWithRollout();
   void PublishFromRollout();
@@ -84,7 +84,7 @@
   membership::Membership membership_;
   const bool subsets_enabled_;
   subsetting::RingPosition ring_position_;
-  std::optional<double> ring_offset_;  // as published last
+  std::optional<double> ring_offset_;  // the one published last
   std::function<void(double)> on_ring_offset_;
   RolloutHost rollout_;
   boost::asio::steady_timer tick_timer_;
--- a/src/proxy/membership/membership_report.cpp
+++ b/src/proxy/membership/membership_report.cpp
@@ -18,7 +18,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-// `now`: by the membership's own time, as `status_since` and `last_contact`.
+// `now` is in the membership's own time, as are `status_since` and `last_contact`.
 Json MemberJson(const membership::Membership& view, int index, const membership::Member& entry,
                 membership::Time now) {
   const membership::Record& record = *entry.record;
--- a/src/proxy/membership/membership_report.h
+++ b/src/proxy/membership/membership_report.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What this proxy reports of its membership: the JSON of GET /fleet, and events in the log.
+// Reports this proxy's membership: as the JSON of GET /fleet, and as events in the log.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_REPORT_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_MEMBERSHIP_REPORT_H_
 
@@ -16,12 +16,12 @@
 struct MembershipStatus {
   const std::string& cluster;
   const membership::Membership& view;
-  membership::Time now{};                       // the host's
+  membership::Time now{};                       // by the host's clock
   std::optional<double> ring_offset;            // nothing until it is known
   const peers::Transport::Counters* transport;  // null while the sockets are closed
 };
 
-// docs/membership.md has the fields.
+// docs/membership.md lists the fields.
 std::string MembershipJson(const MembershipStatus& status);
 
 void LogMembershipEvents(const std::vector<membership::Event>& events);
--- a/src/proxy/membership/peer_socket.h
+++ b/src/proxy/membership/peer_socket.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The sockets by which this proxy talks to the other members: opens them, and passes frames both ways.
+// Opens the sockets to the other members, and passes frames between them and this proxy.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_PEER_SOCKET_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_PEER_SOCKET_H_
 
@@ -16,38 +16,38 @@
 
 namespace copperpoint::proxy {
 
-// Owns the transport. Closed until Open has bound the address.
+// Owns the transport. The socket is closed until Open has bound the address.
 class PeerSocket {
  public:
   class Observer {
    public:
     virtual ~Observer() = default;
-    // The address is bound: from now on frames are sent and received.
+    // Called when the address is bound: frames are sent and received from now on.
     virtual void OnOpen() = 0;
     virtual void OnDatagram(const std::string& from, std::string_view frame) = 0;
-    // Another member's exchange. The result is the frame to reply with; empty: none.
+    // Handles another member's exchange. Returns the frame to reply with; empty: no reply.
     virtual std::string OnExchange(std::string_view frame) = 0;
-    // The reply to an exchange that this member has started.
+    // Receives the reply to an exchange that this member has started.
     virtual void OnReply(std::string_view frame) = 0;
   };
 
-  // Descriptors that it holds at most: both sockets, and exchanges.
+  // The most descriptors held at a time: both sockets, and exchanges.
   static constexpr int kMaxDescriptors = 18;
 
-  // `observer` must outlive it.
+  // `observer` must outlive this object.
   PeerSocket(boost::asio::io_context& io, const boost::asio::ip::udp::endpoint& listen, Observer& observer);
 
-  // Binds the address; while another process has it, as in an upgrade, retries until it is free. Calls
-  // OnOpen, from within if the address is free now. Throws boost::system::system_error on any other failure.
+  // Binds the address; while another process has it, as in an upgrade, retries until it is free. Then calls
+  // OnOpen, possibly from within this call. Throws boost::system::system_error on any other failure.
   void Open();
-  // Nothing is sent or received any more.
+  // Stops sending, receiving and retrying.
   void Close();
   bool is_open() const { return transport_ != nullptr; }
 
-  // Sends the datagrams and starts the exchanges; nothing while closed.
+  // Sends the datagrams and starts the exchanges; has no effect while closed.
   void Send(const membership::Output& output);
 
-  // Null while closed.
+  // Returns null while closed.
   const peers::Transport::Counters* counters() const {
     return transport_ ? &transport_->counters() : nullptr;
   }
--- a/src/proxy/membership/request_counts.cpp
+++ b/src/proxy/membership/request_counts.cpp
@@ -13,9 +13,9 @@
 namespace copperpoint::proxy {
 namespace {
 
-constexpr std::size_t kMaxReportBytes = 820;  // of strata: a message of the membership has 900 bytes
-constexpr std::size_t kStratumOverhead = 3;   // bytes of each in the report
-constexpr std::size_t kMaxStrata = 4096;      // that are counted at all
+constexpr std::size_t kMaxReportBytes = 820;  // for the strata: a message of the membership has 900 bytes
+constexpr std::size_t kStratumOverhead = 3;   // bytes that each stratum adds to its own in the report
+constexpr std::size_t kMaxStrata = 4096;      // further strata are not counted
 constexpr std::uint32_t kAllTenants = 0;      // in place of a tenant: all requests of a class
 
 std::uint64_t ProcessorTimeUs() {
--- a/src/proxy/membership/request_counts.h
+++ b/src/proxy/membership/request_counts.h
@@ -15,7 +15,7 @@
 
 // How a request ended.
 enum class RequestOutcome { kServed, kClientError, kRejected, kFailed, kClientDisconnected };
-const char* NameOf(RequestOutcome outcome);  // as the log has it
+const char* NameOf(RequestOutcome outcome);  // for log lines
 
 class RequestCounts {
  public:
@@ -28,16 +28,16 @@
     double duration_ms = 0;  // from the request's arrival
   };
 
-  // A request whose client has disconnected does not count.
+  // Counts a completed request, unless its client has disconnected.
   void Record(const Sample& sample);
 
-  // The counts, with processor time and memory of this process. As many as fit into one message: classes
-  // before tenants, those with most requests first.
+  // Returns the counts, with processor time and memory of this process. It has as many strata as fit into one
+  // message: classes before tenants, and those with most requests first.
   rollout::wire::MemberReport Report() const;
   std::uint64_t recorded() const { return recorded_; }
 
  private:
-  // Null for a new one beyond the limit. `tenant` 0: all requests of the class.
+  // Returns null for a new stratum beyond the limit. `tenant` 0 stands for all requests of the class.
   rollout::wire::Stratum* FindOrAdd(std::uint32_t tenant, std::uint32_t request_class);
 
   std::map<std::pair<std::uint32_t, std::uint32_t>, rollout::wire::Stratum> strata_;  // by tenant and class
--- a/src/proxy/membership/rollout_host.cpp
+++ b/src/proxy/membership/rollout_host.cpp
@@ -18,7 +18,7 @@
 using FleetCallResult = AdminHandler::FleetCallResult;
 
 constexpr std::string_view kRolloutPath = "/rollout";
-constexpr double kMinLifetimeSeconds = 1;  // that a rate is computed over
+constexpr double kMinLifetimeSeconds = 1;  // the shortest time over which a rate is computed
 
 }  // namespace
 
--- a/src/proxy/membership/rollout_host.h
+++ b/src/proxy/membership/rollout_host.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Runs this proxy's rollout agent (src/rollout): connects it with the supervisor, the counts of requests, the
-// log and the admin interface. What the agent and other members have for each other goes through
-// MembershipHost.
+// log and the admin interface. MembershipHost passes the messages and documents between the agent and the
+// other members.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_ROLLOUT_HOST_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_ROLLOUT_HOST_H_
 
@@ -30,12 +30,12 @@
     std::string name;
     std::uint64_t incarnation = 0;  // of this process
   };
-  // The members that live, this one included.
+  // Returns the living members, this one included.
   using LivingMembers = std::function<std::vector<rollout::MemberInfo>()>;
   struct Callbacks {
-    std::function<bool(const std::string& name)> is_living;  // whether a member of that name lives
+    std::function<bool(const std::string& name)> is_living;  // whether a member of that name is living
     LivingMembers living_members;
-    std::function<void()> on_output;  // TakeOutput has something that no call from outside has caused
+    std::function<void()> on_output;  // TakeOutput has output that no call from outside has caused
   };
 
   static bool IsRolloutCall(std::string_view target);
@@ -43,7 +43,7 @@
   RolloutHost(boost::asio::io_context& io, const Member& self, Callbacks callbacks);
 
   // ---- from the membership ----
-  // Whether a later version of a document may be taken from other members.
+  // Returns whether a later version of a document may be accepted from other members.
   bool AcceptsDocument(std::uint32_t topic, std::uint64_t version) const {
     return agent_.AcceptsDocument(topic, version);
   }
@@ -51,18 +51,18 @@
   void OnDocument(membership::Time now, std::uint32_t topic, std::uint64_t version, const std::string& body);
   void OnTick(membership::Time now);
   membership::Time next_tick() const { return agent_.next_tick_at(); }
-  // What is for the other members. Events are logged, and the supervisor is notified, before this returns.
+  // Returns the output for other members. Logs the events and notifies the supervisor before it returns.
   rollout::Agent::Output TakeOutput();
 
   // ---- from this process ----
-  void OnServing();  // it serves clients; only the first call counts
-  void OnLeft();     // it shuts down
-  // It is in contact with other members; only the first call counts.
+  void OnServing();  // this process serves clients; only the first call has an effect
+  void OnLeft();     // this process shuts down
+  // This process is in contact with other members; only the first call has an effect.
   void OnConnected();
   RequestCounts& counts() { return counts_; }
 
   // ---- from the admin interface: targets of which IsRolloutCall is true ----
-  // Nothing: there is no such call. To be followed by TakeOutput after a POST.
+  // Returns nothing if there is no such call. After a POST, TakeOutput must be called.
   std::optional<AdminHandler::FleetCallResult> Handle(membership::Time now,
                                                       const AdminHandler::FleetCallRequest& request);
 
@@ -79,7 +79,7 @@
   const membership::Time started_at_;
   RequestCounts counts_;
   bool serving_ = false, left_ = false, connected_ = false;
-  std::unique_ptr<SupervisorLink> supervisor_;  // null without one
+  std::unique_ptr<SupervisorLink> supervisor_;  // null if no supervisor started this process
   rollout::Agent agent_;
 };
 
--- a/src/proxy/membership/settings_loader.h
+++ b/src/proxy/membership/settings_loader.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads what `[fleet]` refers to: the key file and the file of seeds. All functions throw ConfigError, with
-// the file where there is one, if it cannot be used.
+// Reads the files that `[fleet]` names: the key file and the file of seeds. All functions throw ConfigError,
+// with the file if there is one, if a value cannot be used.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_LOADER_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_SETTINGS_LOADER_H_
 
@@ -14,12 +14,12 @@
 
 namespace copperpoint::proxy {
 
-// The codec of the members' frames, by the cluster's name and the key. The key file must not be accessible
-// to other users.
+// Returns the codec of the members' frames for the cluster's name and the key. The key file must not be
+// accessible to other users.
 peers::FrameCodec LoadFrameCodec(const FleetSettings& settings);
 
-// The seeds of the operator's file, then those of the file of seeds, whose empty lines and lines that begin
-// with '#' are skipped. Throws config::InvalidFile if that file can't be read.
+// Returns the seeds of the operator's file, then those of the file of seeds, whose empty lines and lines that
+// begin with '#' are skipped. Throws config::InvalidFile if that file cannot be read.
 std::vector<std::string> LoadSeeds(const FleetSettings& settings);
 
 boost::asio::ip::udp::endpoint ParseListenAddress(const FleetSettings& settings);
--- a/src/proxy/membership/supervisor_link.cpp
+++ b/src/proxy/membership/supervisor_link.cpp
@@ -61,7 +61,7 @@
   boost::asio::write(socket_, boost::asio::buffer(line + "\n"), ignored);
 }
 
-// "failed VERSION REASON"; other lines are skipped.
+// Handles lines of the form "failed VERSION REASON"; other lines are skipped.
 void SupervisorLink::ReadLines() {
   boost::asio::async_read_until(socket_, buffer_, '\n',
                                 [this](const boost::system::error_code& failed, std::size_t) {
--- a/src/proxy/membership/supervisor_link.h
+++ b/src/proxy/membership/supervisor_link.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The connection to the supervisor that started this process (src/supervisor), if one did: lines of text over
-// an inherited socket. This is the one place that knows their form.
+// The connection to the supervisor (src/supervisor), if one started this process: lines of text over an
+// inherited socket. No other file of the proxy knows their format.
 #ifndef COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
 #define COPPERPOINT_PROXY_MEMBERSHIP_SUPERVISOR_LINK_H_
 
@@ -18,27 +18,27 @@
 
 class SupervisorLink {
  public:
-  // What the supervisor remembers of itself and of the processes before this one.
+  // What the supervisor has recorded of the processes before this one.
   struct History {
-    std::string version;         // that this process runs, by the supervisor's name for it
-    std::string failed_version;  // that was rolled back last, and why; empty: none
-    std::string failure;
-    std::uint64_t progress = 0;          // as stored last; 0: none
+    std::string version;                 // the version that this process runs, as the supervisor names it
+    std::string failed_version;          // the version that was rolled back last; empty: none
+    std::string failure;                 // why it was rolled back
+    std::uint64_t progress = 0;          // as last stored by StoreProgress; 0: none
     std::uint32_t unexpected_exits = 0;  // of processes of this version
   };
-  // The supervisor has rolled a version back.
+  // Called when the supervisor has rolled a version back.
   using OnVersionFailed = std::function<void(const std::string& version, const std::string& reason)>;
 
-  // Null if no supervisor started this process.
+  // Returns null if no supervisor started this process.
   static std::unique_ptr<SupervisorLink> FromEnvironment(boost::asio::io_context& io,
                                                          OnVersionFailed on_version_failed);
 
   const History& history() const { return history_; }
 
   void ReportServing();                             // this process serves clients
-  void ReportMembershipContact();                   // it is in contact with other members
-  void RequestVersion(const std::string& version);  // to be run in place of this process
-  void StoreProgress(std::uint64_t progress);       // for processes to come
+  void ReportMembershipContact();                   // this process is in contact with other members
+  void RequestVersion(const std::string& version);  // the version is to run in place of this process
+  void StoreProgress(std::uint64_t progress);       // for later processes of this proxy
 
  private:
   SupervisorLink(boost::asio::io_context& io, int descriptor, History history,
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -12,8 +12,8 @@
 namespace copperpoint::proxy {
 namespace {
 
-// New connections are accepted for this long after the shutdown has begun: load balancers in front are taken
-// to notice within 400 ms that /ready fails; the rest is margin.
+// How long new connections are accepted after the shutdown has begun, in milliseconds. Load balancers in
+// front are expected to notice within 400 ms that /ready fails; the rest is margin.
 constexpr Duration kShutdownAcceptGrace{600};
 constexpr std::chrono::milliseconds kProcessSyncInterval{100};
 
@@ -22,7 +22,8 @@
           config.timeouts};
 }
 
-// The file of that name in the state folder, which may serve proxies of several names. Empty: no folder.
+// Returns the path of a file in the state directory; empty if there is none. The path has the proxy's name,
+// since proxies of several names may share the directory.
 std::string StateFile(const Config& config, const char* name) {
   if (config.state_directory.empty()) return "";
   std::string proxy_name = config.name;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One proxy: puts its parts together and connects them.
+// The composition root: creates the components of one proxy and connects them.
 #ifndef COPPERPOINT_PROXY_PROXY_H_
 #define COPPERPOINT_PROXY_PROXY_H_
 
@@ -34,28 +34,28 @@
 
 namespace copperpoint::proxy {
 
-// Owns every part of the proxy and passes on what one part reports and another needs. What goes where:
+// Owns every component of the proxy and passes the reports of each one to the components that need them:
 //
 //   ClientListener -- requests --> RequestReceiver --+
 //   DiscoveryClient - lists -----> EndpointTable ----+--> EventDispatcher --> Balancer
 //   BackendPool ----- results ---> ActionExecutor ---+          |
 //                                        ^--------- actions ----+
 //
-// The RequestTable has the open requests, Lifecycle the state of the process; see there for what SIGTERM does
-// to requests in flight. All of it runs on the thread of the event loop.
+// RequestTable holds the open requests, Lifecycle the state of the process; lifecycle.h describes what
+// SIGTERM does to requests in flight. All components run on the thread of the event loop.
 class Proxy : public RequestHandler, public AdminHandler, private ListenerOwner {
  public:
-  // Listens, or prepares to take over from the process that listens, and watches discovery from here on.
-  // Throws ConfigError, or boost::system::system_error if it can't listen.
+  // Starts to listen, or to take over from the process that listens already, and begins to follow discovery.
+  // Throws ConfigError, or boost::system::system_error if it cannot listen.
   Proxy(boost::asio::io_context& io, Config config);
   ~Proxy() override;
 
-  // Applies discovery's address and the time limits of a configuration that was read anew; the rest of it
-  // takes effect at the next start.
+  // Applies discovery's address and the time limits of a reloaded configuration; its other values take effect
+  // at the next start.
   void Reload(const Config& config);
 
-  // Begins the graceful shutdown that Lifecycle describes. `done` is called when no client connection is
-  // left, at once if this process has not accepted any.
+  // Begins the graceful shutdown that lifecycle.h describes. `done` is called when no client connection is
+  // left: from within this call if this process has not begun to accept clients.
   void Stop(std::function<void()> done);
 
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
@@ -88,18 +88,18 @@
 
   void OnEndpointList(const EndpointList& list, EndpointUpdateKind kind);
   AdminResult ApplyDisabledChange(DisabledBackends::ChangeResult result, const EndpointList& changes);
-  // Sets the client connections and the membership to the draining state that the lifecycle has now.
+  // Passes the lifecycle's draining state to the client connections and the membership.
   void ApplyDraining();
-  // Exchanges with other processes of this proxy, repeatedly: the disabled backends by their file, the
-  // descriptors in use by the hand-over's connection.
+  // Starts the periodic exchange with other processes of this proxy: reads the file of disabled backends, and
+  // reports the descriptors in use over the handover's connection.
   void ScheduleProcessSync();
 
   boost::asio::io_context& io_;
-  Config config_;  // the time limits of clients are read here, so that Reload reaches them
+  Config config_;  // clients' time limits are read from here, so that Reload applies to them
   BalancerClock clock_;
   Balancer balancer_;
   Lifecycle lifecycle_;
-  bool has_endpoints_ = false;  // a list has named a backend
+  bool has_endpoints_ = false;  // an endpoint list has named a backend
   DisabledBackends disabled_;
   const DescriptorBudget budget_;
   MembershipPublisher membership_;
@@ -112,7 +112,7 @@
   DiscoveryClient discovery_;
   ActionExecutor executor_;
   RequestReceiver receiver_;
-  std::unique_ptr<AdminServer> admin_;  // null if no address is configured
+  std::unique_ptr<AdminServer> admin_;  // null if no admin address is configured
   HandoverCoordinator handover_;
 };
 
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -77,7 +77,7 @@
 
 void Serve(const ServeOptions& options, const Environment& env) {
   boost::asio::io_context io(1);
-  // Set up before the proxy listens, so that a signal never kills one that is ready.
+  // Set up before the proxy listens, so that a signal never kills a proxy that is ready.
   boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
   log::Settings log;
   Config config = Configure(options, LoadConfig(env), &log);
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One proxy as a process: its configuration, its signals, its end.
+// Runs one proxy as a process: loads its configuration and handles its signals.
 #ifndef COPPERPOINT_PROXY_SERVE_H_
 #define COPPERPOINT_PROXY_SERVE_H_
 
@@ -13,16 +13,17 @@
 namespace copperpoint::proxy {
 
 struct ServeOptions {
-  std::string operators_file;           // empty: none
-  std::optional<log::Level> log_level;  // before the file's
-  std::optional<log::Format> log_format;
+  std::string operators_file;             // path; empty: none
+  std::optional<log::Level> log_level;    // overrides the file's
+  std::optional<log::Format> log_format;  // overrides the file's
 };
 
-// The platform's configuration with the operator's in it. Throws ConfigError or config::InvalidFile.
+// Returns the platform's configuration with the operator's settings, and sets `log` to the log settings in
+// force. Throws ConfigError or config::InvalidFile.
 Config Configure(const ServeOptions& options, Config platform, log::Settings* log);
 
-// Serves until SIGTERM or SIGINT; reloads on SIGHUP. Throws, before it serves, on what is wrong with its
-// configuration or its addresses.
+// Serves until SIGTERM or SIGINT, and reloads the configuration on SIGHUP. Throws before it serves if the
+// configuration is invalid or an address cannot be bound.
 void Serve(const ServeOptions& options, const Environment& env);
 
 }  // namespace copperpoint::proxy
