--- a/src/proxy/config/config_reader.cpp
+++ b/src/proxy/config/config_reader.cpp
@@ -30,19 +30,25 @@
   const std::string text = IsSet(variable) ? variable : root.Text(name, "");
   const auto endpoint = ParseHostPort(text);
   if (!endpoint)
-    throw ConfigError(Kind::kInvalid, {.key = name}, std::string(name) + " is no address: '" + text + "'");
+    throw ConfigError(Kind::kInvalid, {.key = name},
+                      std::string(name) + ": must be ADDRESS:PORT, but is '" + text + "'");
   return *endpoint;
 }
 
 std::uint64_t ReadSeed(const JsonObject& root) {
   const json* field = root.Find("seed");
-  if (!field) throw ConfigError(Kind::kMissing, {.key = "seed"}, "seed is missing");
+  if (!field)
+    throw ConfigError(Kind::kMissing, {.key = "seed"},
+                      "seed is missing; it must be an unsigned integer or a hexadecimal string");
   if (field->is_number_unsigned()) return field->get<std::uint64_t>();
   const std::string text = field->is_string() ? field->get<std::string>() : "";
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, kSeedBase);
   if (text.empty() || error != std::errc() || end != text.data() + text.size())
-    throw ConfigError(Kind::kInvalid, {.key = "seed"}, "seed is no hexadecimal number");
+    throw ConfigError(
+        Kind::kInvalid, {.key = "seed"},
+        "seed: must be an unsigned integer or a hexadecimal string of at most 64 bits, but is " +
+            field->dump());
   return seed;
 }
 
@@ -54,9 +60,12 @@
   }
   if (!(config->memory_mb >= kMinMemoryMb))
     throw ConfigError(Kind::kOutOfRange, {.key = "limits.memory_mb"},
-                      "limits.memory_mb is too small to serve");
+                      "limits.memory_mb: must be at least " + json(kMinMemoryMb).dump() + ", but is " +
+                          json(config->memory_mb).dump());
   if (config->sockets < kMinSockets)
-    throw ConfigError(Kind::kOutOfRange, {.key = "limits.sockets"}, "limits.sockets is too small to serve");
+    throw ConfigError(Kind::kOutOfRange, {.key = "limits.sockets"},
+                      "limits.sockets: must be at least " + std::to_string(kMinSockets) + ", but is " +
+                          std::to_string(config->sockets));
 }
 
 EndpointList ReadInitialEndpoints(const JsonObject& root) {
@@ -66,8 +75,9 @@
   auto list = ParseEndpointList(*field, &error);
   if (list) return std::move(*list);
   const std::string path = error.FieldPath();
-  throw ConfigError(Kind::kInvalid, {.key = path.empty() ? "known" : "known." + path},
-                    "known is no list: " + error.Describe());
+  throw ConfigError(
+      Kind::kInvalid, {.key = path.empty() ? "known" : "known." + path},
+      "known" + (path.empty() ? "" : "." + path) + ": invalid endpoint list: " + error.Describe());
 }
 
 const json& RequireSettings(const json& root) {
@@ -102,7 +112,7 @@
   ConfigLocation location;
   location.line = static_cast<int>(std::count(before.begin(), before.end(), '\n')) + 1;
   location.column = static_cast<int>(before.size() - (before.rfind('\n') + 1)) + 1;
-  return {Kind::kSyntax, std::move(location), "the configuration is no JSON"};
+  return {Kind::kSyntax, std::move(location), "the configuration is not valid JSON"};
 }
 
 }  // namespace
@@ -116,13 +126,16 @@
   } catch (const json::exception& error) {  // such as a number that is too large
     throw ConfigError(Kind::kOutOfRange, {}, error.what());
   }
-  if (!root.is_object()) throw ConfigError(Kind::kWrongType, {}, "the configuration is no JSON object");
+  if (!root.is_object())
+    throw ConfigError(Kind::kWrongType, {},
+                      std::string("the configuration must be a JSON object, but is ") + root.type_name());
   return ReadConfig(root, env);
 }
 
 Config LoadConfig(const Environment& env) {
   const char* path = env("ROUTER_CONFIG");
-  if (!IsSet(path)) throw ConfigError(Kind::kMissing, {}, "ROUTER_CONFIG is not set");
+  if (!IsSet(path))
+    throw ConfigError(Kind::kMissing, {}, "ROUTER_CONFIG is not set; it must name the configuration file");
   std::ifstream file(path, std::ios::binary);
   if (!file) throw ConfigError(Kind::kUnreadableFile, {}, "cannot read ROUTER_CONFIG: " + std::string(path));
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
--- a/src/proxy/config/settings_reader.cpp
+++ b/src/proxy/config/settings_reader.cpp
@@ -99,9 +99,12 @@
 void CheckTimeouts(const Config& config) {
   const bool connect = config.connect_timeout.count() > 0;
   if (connect && config.backend_idle_timeout.count() > 0) return;
-  throw ConfigError(Kind::kOutOfRange,
-                    {.key = std::string(kPermissionsPath) + (connect ? ".connIdleMs" : ".connectTimeoutMs")},
-                    "permissions.connectTimeoutMs and connIdleMs must be over 0");
+  throw ConfigError(
+      Kind::kOutOfRange,
+      {.key = std::string(kPermissionsPath) + (connect ? ".connIdleMs" : ".connectTimeoutMs")},
+      std::string(kPermissionsPath) + (connect ? ".connIdleMs" : ".connectTimeoutMs") +
+          ": must be over 0, but is " +
+          json((connect ? config.backend_idle_timeout : config.connect_timeout).count()).dump());
 }
 
 }  // namespace
--- a/src/proxy/membership/settings.cpp
+++ b/src/proxy/membership/settings.cpp
@@ -17,11 +17,13 @@
       {.text =
            "proxies of a zone divide the backends evenly by the membership; off: each by its own number"});
   boost::asio::ip::udp::endpoint parsed;
-  v.Require("listen", !on() || peers::ParseAddress(listen, &parsed), "is no ADDRESS:PORT");
-  v.Require("advertise", advertise.empty() || peers::ParseAddress(advertise, &parsed), "is no ADDRESS:PORT");
+  v.Require("listen", !on() || peers::ParseAddress(listen, &parsed),
+            "must be ADDRESS:PORT, but is '" + listen + "'");
+  v.Require("advertise", advertise.empty() || peers::ParseAddress(advertise, &parsed),
+            "must be ADDRESS:PORT, but is '" + advertise + "'");
   v.Require("key_file", !on() || !key_file.empty(), "is missing");
   for (const std::string& seed : seeds)
-    v.Require("seeds", peers::ParseAddress(seed, &parsed), "'" + seed + "' is no ADDRESS:PORT");
+    v.Require("seeds", peers::ParseAddress(seed, &parsed), "must be ADDRESS:PORT, but is '" + seed + "'");
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/membership/settings_loader.cpp
+++ b/src/proxy/membership/settings_loader.cpp
@@ -4,6 +4,7 @@
 #include <sys/stat.h>
 
 #include <algorithm>
+#include <sstream>
 #include <stdexcept>
 
 #include "config/read.h"
@@ -16,11 +17,19 @@
 using Kind = ConfigError::Kind;
 using Udp = boost::asio::ip::udp;
 
+constexpr mode_t kPermissions = 07777;
 constexpr mode_t kGroupAndOthers = 0077;
 constexpr char kKeyFile[] = "fleet.key_file";
 constexpr char kListen[] = "fleet.listen";
 constexpr char kSeedsFile[] = "fleet.seeds_file";
 
+// Returns the permission bits of a file in octal, such as "0640".
+std::string FormatPermissions(mode_t mode) {
+  std::ostringstream text;
+  text << '0' << std::oct << (mode & kPermissions);
+  return text.str();
+}
+
 }  // namespace
 
 peers::FrameCodec LoadFrameCodec(const FleetSettings& settings) {
@@ -30,7 +39,8 @@
     throw ConfigError(Kind::kUnreadableFile, location, "fleet.key_file cannot be read");
   if ((status.st_mode & kGroupAndOthers) != 0)
     throw ConfigError(Kind::kInvalid, location,
-                      "fleet.key_file may be read by others; its mode has to be 0600");
+                      "fleet.key_file: mode must be 0600, so that other users have no access, but is " +
+                          FormatPermissions(status.st_mode));
   std::string key = config::ReadFileContents(settings.key_file);
   while (!key.empty() && (key.back() == '\n' || key.back() == '\r')) key.pop_back();
   try {
@@ -54,7 +64,7 @@
     Udp::endpoint parsed;
     if (!peers::ParseAddress(line, &parsed))
       throw ConfigError(Kind::kInvalid, {.file = settings.seeds_file, .line = line_number, .key = kSeedsFile},
-                        "'" + line + "' is no ADDRESS:PORT");
+                        "must be ADDRESS:PORT, but is '" + line + "'");
     seeds.push_back(line);
   }
   return seeds;
@@ -63,8 +73,9 @@
 Udp::endpoint ParseListenAddress(const FleetSettings& settings) {
   Udp::endpoint listen;
   if (!peers::ParseAddress(settings.listen, &listen) || listen.port() == 0)
-    throw ConfigError(Kind::kInvalid, {.key = kListen},
-                      "fleet.listen is no ADDRESS:PORT: '" + settings.listen + "'");
+    throw ConfigError(
+        Kind::kInvalid, {.key = kListen},
+        "fleet.listen: must be ADDRESS:PORT with a port over 0, but is '" + settings.listen + "'");
   return listen;
 }
 
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -59,7 +59,7 @@
     const Finished run = Invoke(command + file);
     EXPECT_EQ(run.code, 2) << command;
     if (command[0] == 's') {  // the platform's file comes first, and there is none
-      EXPECT_EQ(run.err, "copperpoint: ROUTER_CONFIG is not set\n");
+      EXPECT_EQ(run.err, "copperpoint: ROUTER_CONFIG is not set; it must name the configuration file\n");
       continue;
     }
     EXPECT_NE(run.err.find("copperpoint: " + file + ":2:9: log.level: 'loud' is none of"), std::string::npos)
@@ -83,7 +83,7 @@
   const std::string file = folder.Write("platform.json", "{\n\"listen\": }");
   const Finished run = Invoke("config check --platform " + file);
   EXPECT_EQ(run.code, 2);
-  EXPECT_EQ(run.err, "copperpoint: " + file + ": 2:11: the configuration is no JSON\n");
+  EXPECT_EQ(run.err, "copperpoint: " + file + ": 2:11: the configuration is not valid JSON\n");
 }
 
 TEST(CommandLine, OldNamesOfCommandsWorkAndAreNotInTheHelp) {
--- a/tests/config/config_reader_test.cpp
+++ b/tests/config/config_reader_test.cpp
@@ -64,8 +64,9 @@
 }
 
 TEST(ConfigReader, NamesMissingKeys) {
-  ExpectError(Without("", "seed"), Kind::kMissing, "seed", "seed is missing");
-  ExpectError(Without("", "listen"), Kind::kInvalid, "listen", "listen is no address: ''");
+  ExpectError(Without("", "seed"), Kind::kMissing, "seed",
+              "seed is missing; it must be an unsigned integer or a hexadecimal string");
+  ExpectError(Without("", "listen"), Kind::kInvalid, "listen", "listen: must be ADDRESS:PORT, but is ''");
   ExpectError(Without("", "settings"), Kind::kMissing, "settings",
               "[json.exception.out_of_range.403] key 'settings' not found");
 }
@@ -79,22 +80,26 @@
               "limits.sockets: type must be number, but is string");
   ExpectError(With("/limits/memory_mb", nullptr), Kind::kWrongType, "limits.memory_mb",
               "limits.memory_mb: type must be number, but is null");
-  ExpectError("[1]", Kind::kWrongType, "", "the configuration is no JSON object");
+  ExpectError("[1]", Kind::kWrongType, "", "the configuration must be a JSON object, but is array");
 }
 
 TEST(ConfigReader, NamesValuesThatCannotBeUsed) {
-  ExpectError(With("/listen", "here"), Kind::kInvalid, "listen", "listen is no address: 'here'");
-  ExpectError(With("/operator", "there"), Kind::kInvalid, "operator", "operator is no address: 'there'");
-  ExpectError(With("/seed", "xyz"), Kind::kInvalid, "seed", "seed is no hexadecimal number");
-  ExpectError(With("/seed", -1), Kind::kInvalid, "seed", "seed is no hexadecimal number");
+  ExpectError(With("/listen", "here"), Kind::kInvalid, "listen",
+              "listen: must be ADDRESS:PORT, but is 'here'");
+  ExpectError(With("/operator", "there"), Kind::kInvalid, "operator",
+              "operator: must be ADDRESS:PORT, but is 'there'");
+  ExpectError(With("/seed", "xyz"), Kind::kInvalid, "seed",
+              "seed: must be an unsigned integer or a hexadecimal string of at most 64 bits, but is \"xyz\"");
+  ExpectError(With("/seed", -1), Kind::kInvalid, "seed",
+              "seed: must be an unsigned integer or a hexadecimal string of at most 64 bits, but is -1");
   ExpectError(With("/limits/sockets", 63), Kind::kOutOfRange, "limits.sockets",
-              "limits.sockets is too small to serve");
+              "limits.sockets: must be at least 64, but is 63");
   ExpectError(With("/limits/memory_mb", 7.9), Kind::kOutOfRange, "limits.memory_mb",
-              "limits.memory_mb is too small to serve");
+              "limits.memory_mb: must be at least 8.0, but is 7.9");
   ExpectError(With("/known/members/0/phase", "odd"), Kind::kInvalid, "known.members.0.phase",
-              "known is no list: an entry has an unknown phase");
+              "known.members.0.phase: invalid endpoint list: an entry has an unknown phase");
   ExpectError(With("/known", 7), Kind::kInvalid, "known",
-              "known is no list: [json.exception.type_error.304] cannot use at() with number");
+              "known: invalid endpoint list: [json.exception.type_error.304] cannot use at() with number");
 }
 
 TEST(ConfigReader, NamesLineAndColumnOfBrokenJson) {
@@ -102,7 +107,7 @@
   EXPECT_EQ(error.kind(), Kind::kSyntax);
   EXPECT_EQ(error.location().line, 2);
   EXPECT_EQ(error.location().column, 11);
-  EXPECT_STREQ(error.what(), "2:11: the configuration is no JSON");
+  EXPECT_STREQ(error.what(), "2:11: the configuration is not valid JSON");
   EXPECT_EQ(ErrorOf("").kind(), Kind::kSyntax);
   EXPECT_EQ(ErrorOf("{\"seed\": 1e999}").kind(), Kind::kOutOfRange);
 }
@@ -120,13 +125,14 @@
 };
 
 TEST_F(ConfigFileTest, ErrorsNameTheFile) {
-  EXPECT_EQ(LoadError({}), "ROUTER_CONFIG is not set");
+  EXPECT_EQ(LoadError({}), "ROUTER_CONFIG is not set; it must name the configuration file");
   EXPECT_EQ(LoadError({{"ROUTER_CONFIG", "/nowhere/at/all"}}), "cannot read ROUTER_CONFIG: /nowhere/at/all");
   const TemporaryFile broken("{\n  \"name\": ,\n}");
   EXPECT_EQ(LoadError({{"ROUTER_CONFIG", broken.path()}}),
-            broken.path() + ": 2:11: the configuration is no JSON");
+            broken.path() + ": 2:11: the configuration is not valid JSON");
   const TemporaryFile bad(With("/listen", "here"));
-  EXPECT_EQ(LoadError({{"ROUTER_CONFIG", bad.path()}}), bad.path() + ": listen is no address: 'here'");
+  EXPECT_EQ(LoadError({{"ROUTER_CONFIG", bad.path()}}),
+            bad.path() + ": listen: must be ADDRESS:PORT, but is 'here'");
   try {
     proxy::LoadConfig(EnvironmentOf({{"ROUTER_CONFIG", bad.path()}}));
     FAIL();
--- a/tests/config/operator_settings_test.cpp
+++ b/tests/config/operator_settings_test.cpp
@@ -118,8 +118,9 @@
 
 TEST(OperatorSettings, RequiresTheKeysOfAMember) {
   EXPECT_EQ(ErrorOf("[fleet]\ncluster = \"c\"\n"),
-            "f:1:1: fleet.listen: is no ADDRESS:PORT\nf:1:1: fleet.key_file: is missing");
-  EXPECT_EQ(ErrorOf("[fleet]\nseeds = [\"here\"]\n"), "f:2:9: fleet.seeds: 'here' is no ADDRESS:PORT");
+            "f:1:1: fleet.listen: must be ADDRESS:PORT, but is ''\nf:1:1: fleet.key_file: is missing");
+  EXPECT_EQ(ErrorOf("[fleet]\nseeds = [\"here\"]\n"),
+            "f:2:9: fleet.seeds: must be ADDRESS:PORT, but is 'here'");
 }
 
 TEST(OperatorSettings, RejectsValueOutOfRangeWithItsKey) {
--- a/tests/config/settings_reader_test.cpp
+++ b/tests/config/settings_reader_test.cpp
@@ -78,11 +78,11 @@
               "setting out of range: balancers");
   ExpectError(With("/settings/classes/0/effect", "odd"), Kind::kInvalid, "settings.classes.0.effect",
               "setting of unknown meaning: classes.0.effect");
-  const std::string message = "permissions.connectTimeoutMs and connIdleMs must be over 0";
+  const std::string path = "settings.permissions.";
   ExpectError(With("/settings/permissions/connIdleMs", -1), Kind::kOutOfRange,
-              "settings.permissions.connIdleMs", message);
+              "settings.permissions.connIdleMs", path + "connIdleMs: must be over 0, but is -1.0");
   ExpectError(With("/settings/permissions/connectTimeoutMs", 0), Kind::kOutOfRange,
-              "settings.permissions.connectTimeoutMs", message);
+              "settings.permissions.connectTimeoutMs", path + "connectTimeoutMs: must be over 0, but is 0.0");
 }
 
 }  // namespace
--- a/tests/proxy/membership_settings_test.cpp
+++ b/tests/proxy/membership_settings_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The files that `[fleet]` names, and the errors of those that cannot be used.
+// The files that `[fleet]` names, and the errors for files that cannot be used.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -46,7 +46,9 @@
   const ConfigError error = ErrorOf([&] { proxy::LoadFrameCodec(settings); });
   EXPECT_EQ(error.location().file, file.path());
   EXPECT_EQ(error.location().key, "fleet.key_file");
-  EXPECT_EQ(error.what(), file.path() + ": fleet.key_file may be read by others; its mode has to be 0600");
+  EXPECT_EQ(
+      error.what(),
+      file.path() + ": fleet.key_file: mode must be 0600, so that other users have no access, but is 0640");
 }
 
 TEST(MembershipSettings, NamesAKeyFileThatCannotBeUsed) {
@@ -77,14 +79,14 @@
   const ConfigError error = ErrorOf([&] { proxy::LoadSeeds(settings); });
   EXPECT_EQ(error.location().line, 3);
   EXPECT_EQ(error.location().key, "fleet.seeds_file");
-  EXPECT_EQ(error.what(), file.path() + ":3: 'here' is no ADDRESS:PORT");
+  EXPECT_EQ(error.what(), file.path() + ":3: must be ADDRESS:PORT, but is 'here'");
 }
 
 TEST(MembershipSettings, ListenAddressNeedsAPort) {
   EXPECT_EQ(proxy::ParseListenAddress(Settings()).port(), 7000);
   const ConfigError error = ErrorOf([] { proxy::ParseListenAddress(Settings("127.0.0.1:0")); });
   EXPECT_EQ(error.location().key, "fleet.listen");
-  EXPECT_STREQ(error.what(), "fleet.listen is no ADDRESS:PORT: '127.0.0.1:0'");
+  EXPECT_STREQ(error.what(), "fleet.listen: must be ADDRESS:PORT with a port over 0, but is '127.0.0.1:0'");
 }
 
 }  // namespace
