--- a/tests/proxy/admin_calls_test.cpp
+++ b/tests/proxy/admin_calls_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Calls of operators at the admin interface.
+// Calls of operators at the admin interface of a running proxy, and their effect on its clients.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -55,7 +55,7 @@
   EXPECT_EQ(site.Call("GET", "/ready?" + std::string(9000, 'x')), 431u);
   Client garbage(site.calls);
   EXPECT_EQ(garbage.Ask("what\r\n\r\n").result_int(), 400u);
-  // One call per connection, and it says so.
+  // The interface serves one call per connection and announces the close.
   Client twice(site.calls);
   EXPECT_EQ(twice.Ask(Call("GET", "/ready"))[http::field::connection], "close");
   EXPECT_TRUE(twice.Ended());
@@ -80,7 +80,7 @@
   EXPECT_EQ(site.Call("POST", "/backends/disable?member=s%2D1"), 200u);
   EXPECT_EQ(site.Call("POST", "/backends/disable?member=s-1"), 200u);
   ASSERT_TRUE(site.discovery.WaitForWatches(1));
-  // Whatever discovery lists in the meantime.
+  // A list in which discovery names the disabled backend as ready must not enable it.
   site.discovery.Push(ListJson(
       50, true,
       Members(MemberJson("s-1", one.address(), "in_service", 1e12), MemberJson("s-2", two.address()))));
@@ -109,7 +109,7 @@
   EXPECT_EQ(Ask(site.proxy->address, "GET", "/ready"), 503u);
   EXPECT_TRUE(idle.Ended());
   EXPECT_TRUE(silent.Ended());
-  // What is in flight finishes, and so does what still comes.
+  // Requests in flight complete, and so do requests that arrive while draining.
   Client late(site.proxy->address);
   late.Send(WithId(Look(), "0c"));
   answer.Do([](bool& now) { now = true; });
--- a/tests/proxy/admin_query_test.cpp
+++ b/tests/proxy/admin_query_test.cpp
@@ -24,7 +24,7 @@
   for (const char* query : {"", "&", "x=1", "member", "member=", "Member=s-1"})
     EXPECT_EQ(QueryParameter(query, "member"), Result(QueryError::kMissing)) << query;
   EXPECT_EQ(QueryParameter("member=a&member=a", "member"), Result(QueryError::kDuplicate));
-  // The first fault counts.
+  // The first error in the query is reported.
   EXPECT_EQ(QueryParameter("member=a&member=%", "member"), Result(QueryError::kDuplicate));
 }
 
--- a/tests/proxy/admin_server_test.cpp
+++ b/tests/proxy/admin_server_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bytes with which the admin interface answers, whatever handler it has.
+// The bytes of the admin interface's responses, with a stub in place of the proxy.
 #include "proxy/admin/admin_server.h"
 
 #include <gtest/gtest.h>
@@ -36,12 +36,12 @@
 
 class AdminServerTest : public ::testing::Test {
  protected:
-  // All that the server sends for one call, until it closes its side.
+  // Returns everything that the server sends for one call until it closes its side.
   std::string Call(const std::string& method, const std::string& target, const std::string& body = "") {
     const std::string length = body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n";
     return Send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n" + length + "\r\n" + body);
   }
-  // The same for any bytes.
+  // Returns everything that the server sends after it has received `bytes`.
   std::string Send(const std::string& bytes) {
     asio::io_context io;
     proxy::AdminServer server(io, kAnyPort, handler, timeouts);
--- a/tests/proxy/disabled_backends_test.cpp
+++ b/tests/proxy/disabled_backends_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Backends that an operator has disabled.
+// The set of backends that an operator has disabled, and its file.
 #include "proxy/control/disabled_backends.h"
 
 #include <gtest/gtest.h>
--- a/tests/proxy/disabled_file_test.cpp
+++ b/tests/proxy/disabled_file_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bytes of the file of disabled backends.
+// The format of the file of disabled backends, and its lock.
 #include "proxy/control/disabled_file.h"
 
 #include <gtest/gtest.h>
--- a/tests/proxy/discovery_messages_test.cpp
+++ b/tests/proxy/discovery_messages_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Messages of a watch of discovery: where one ends, however it is indented or split.
+// Framing of the messages of a discovery watch, with any indentation and any split into segments.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/proxy/discovery_watch_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Watches of discovery: messages, timeouts, and how soon a change is applied whatever failed.
+// Watches of discovery: messages, timeouts, and the time within which a change is applied despite failures.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -30,7 +30,7 @@
   return std::string(size).append(text).append("\r\n");
 }
 
-// A discovery that plays a script for each connection, in turn; after the last it holds its connections open.
+// A discovery that runs one script per connection, in turn; after the last it holds its connections open.
 class ScriptedDiscovery {
  public:
   using Script = std::function<void(Tcp::socket&)>;
@@ -46,7 +46,7 @@
   }
   static void Open(Tcp::socket& s) { SendRaw(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
 
-  Watched<std::vector<std::string>> calls;  // their targets
+  Watched<std::vector<std::string>> calls;  // request targets
   Watched<bool> over;
 
  private:
@@ -79,7 +79,7 @@
         [this](const proxy::EndpointList& list) { lists.Do([&](auto& l) { l.push_back(list); }); },
         [this] {
           failures.Do([](int& n) { ++n; });
-          discovery->Watch();  // as the module asks for it
+          discovery->Watch();  // as the decision module does after a failure
         });
     discovery->Watch();
     loop = std::thread([this] { io.run(); });
@@ -191,8 +191,8 @@
   EXPECT_TRUE(watch.failures.WaitFor([](int n) { return n >= 2; }));
 }
 
-// The bound, by the real times: a watch falls silent, the dial after it hangs, the call after that gets 503,
-// and the change that was made when it fell silent is here within 6 s of that.
+// With the default timeouts: the watch falls silent, the call after its idle timeout gets 503, and a change
+// that was made when the watch fell silent is still applied within 6 s of that.
 TEST(WatchBound, ChangeIsAppliedWithinSixSecondsDespiteFailures) {
   for (const auto reconnect :
        {proxy::DiscoveryClient::Reconnect::kAutomatic, proxy::DiscoveryClient::Reconnect::kOnRequest}) {
@@ -220,14 +220,15 @@
 
 TEST(WatchBound, TimeoutsAddUpToLessThanSixSeconds) {
   const proxy::DiscoveryClient::Options options;
-  // Two dials that hang, one after the silence and one at the return, with the longest back-off between.
+  // Two connects that time out, one after the silence and one at the return, with the longest backoff
+  // between.
   EXPECT_LE(options.idle_timeout + 2 * options.connect_timeout + std::chrono::milliseconds(1000 - 500),
             std::chrono::seconds(6));
   EXPECT_GT(options.idle_timeout, std::chrono::seconds(2)) << "a heartbeat may be a little late";
-  // A call that is never answered, and the longest back-off after it.
+  // A call without a response, and the longest backoff after it.
   EXPECT_LT(options.first_message_timeout + std::chrono::milliseconds(1000), std::chrono::seconds(6));
   EXPECT_GT(options.first_message_timeout, options.idle_timeout) << "calls wait their turn";
-  // After a move there are 4 s: a dial that hangs, and another one.
+  // After a migration there are 4 s: two connects in a row that time out have to fit into them.
   EXPECT_LE(2 * options.connect_timeout, std::chrono::seconds(3));
 }
 
@@ -261,7 +262,7 @@
   proxy::DiscoveryClient discovery(
       io, options, [](const proxy::EndpointList&) {}, [&] { ++failures; });
   discovery.Watch();
-  io.run();  // comes to an end: nothing is tried again
+  io.run();  // returns, since the client does not reconnect by itself
   EXPECT_EQ(failures, 1);
 }
 
--- a/tests/proxy/endpoint_list_test.cpp
+++ b/tests/proxy/endpoint_list_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the proxy does with the endpoint lists of discovery.
+// The effect of discovery's endpoint lists on a running proxy and its connections.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -73,7 +73,8 @@
   for (int i = 0; i < 8; ++i) EXPECT_EQ(client.Ask(WithId(Look(), Numbered("w", i))).body(), "two");
 }
 
-// A request that is being dialled when its backend drains is served by another, and that dial is given up.
+// A request that waits for a connection to a backend is served by another one when that backend drains, and
+// the connection attempt is abandoned.
 TEST(EndpointLists, DrainingBackendIsReplacedWhileConnecting) {
   HeldDial held;
   Backend other("other");
--- a/tests/proxy/endpoint_parser_test.cpp
+++ b/tests/proxy/endpoint_parser_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The reader of discovery's endpoint list, which also reads `known` of the platform's configuration.
+// The parser of discovery's endpoint list, which also reads `known` of the platform's configuration.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -19,7 +19,7 @@
 
 std::string List(const std::string& entries) { return R"({"revision":41,"members":[)" + entries + "]}"; }
 
-// The error of a list that has to be rejected.
+// Returns the error of a list that has to be rejected.
 EndpointListError ErrorOf(const std::string& text) {
   EndpointListError error;
   EXPECT_FALSE(ParseEndpointList(text, &error)) << text;
--- a/tests/proxy/graceful_shutdown_test.cpp
+++ b/tests/proxy/graceful_shutdown_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Connections that the proxy ends while bytes are on their way, and its own end with requests in flight.
+// Connections that the proxy closes while a client sends on them, and shutdown with requests in flight.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-// A request that crosses the end of a resting connection is not sent on, nor is the connection reset: its
-// client reads the end, and so knows that it may send it once more.
+// A request that arrives while the proxy closes its idle connection is not forwarded, and the connection is
+// not reset: its client reads the end of the stream, and so knows that it may send the request again.
 TEST(Closing, RequestThatCrossesTheCloseReadsTheEndNotAReset) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
@@ -26,7 +26,7 @@
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).body(), "served");
   auto stopped = site.proxy->Stop();
-  EXPECT_TRUE(client.Ended());  // the proxy's half of it
+  EXPECT_TRUE(client.Ended());  // the proxy has closed its sending side
   client.Send(WithId(Book(), "crossing"));
   client.Send(WithId(Book(), "another"));
   client.socket.shutdown(Tcp::socket::shutdown_send);
@@ -83,7 +83,7 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 2u);
 }
 
-// The kernel has accepted them: they count as accepted at the connection limit too.
+// The kernel has accepted these connections, so shutdown has to serve them, also at the connection limit.
 TEST(Closing, ServesClientsInTheAcceptQueueAtShutdown) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
@@ -105,7 +105,7 @@
     waiting.back()->Send(WithId(Look(), Numbered("w", i)));
   }
   auto stopped = site.proxy->Stop();
-  // The listener is still there when the grace is over, as its queue has not been seen empty.
+  // The listener stays open after the grace period, as its accept queue has not been seen empty.
   EXPECT_EQ(stopped.wait_for(milliseconds(900)), std::future_status::timeout);
   release.Do([](bool& r) { r = true; });
   for (const auto& client : waiting) EXPECT_EQ(client->Read().body(), "served");
@@ -149,7 +149,7 @@
   holding.Send(Book());
   ASSERT_TRUE(backend.WaitForRequests(2));
   auto stopped = site.proxy->Stop();
-  // From now on the proxy is not ready.
+  // The proxy reports that it is not ready, but serves requests on new and on kept connections.
   Client asks(site.proxy->address);
   EXPECT_EQ(asks.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 503u);
   Client late(site.proxy->address);
--- a/tests/proxy/handover_messages_test.cpp
+++ b/tests/proxy/handover_messages_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pins the bytes of the messages between two processes of one proxy: an old version of the program hands over
-// to a new one.
+// Fixes the bytes of the messages between two processes of one proxy, since an old version of the program
+// hands over to a new one.
 #include "proxy/handover/handover_messages.h"
 
 #include <gtest/gtest.h>
--- a/tests/proxy/lifecycle_test.cpp
+++ b/tests/proxy/lifecycle_test.cpp
@@ -17,7 +17,7 @@
 
 class LifecycleTest : public ::testing::Test {
  protected:
-  std::vector<std::string> lines_;  // of the log, without their time
+  std::vector<std::string> lines_;  // of the log, without the time stamps
   log::Logger log_{log::Settings{},
                    [this](const std::string& line) { lines_.push_back(line.substr(line.find(' ') + 1)); },
                    [] { return std::chrono::system_clock::now(); }};
--- a/tests/proxy/membership_host_test.cpp
+++ b/tests/proxy/membership_host_test.cpp
@@ -25,7 +25,7 @@
 using Tcp = boost::asio::ip::tcp;
 using Udp = boost::asio::ip::udp;
 
-// Free for UDP and TCP a moment ago.
+// Returns an address that was free for UDP and TCP a moment ago.
 std::string FreeAddress() {
   boost::asio::io_context io;
   for (;;) {
@@ -54,7 +54,7 @@
     return settings;
   }
 
-  // Until the sockets are open: another test may have had the address for a moment.
+  // Waits until the sockets are open: another test may have had the address for a moment.
   void SetUp() override {
     while (!ring_offset_) ASSERT_GT(io_.run_one_for(std::chrono::seconds(20)), 0u);
   }
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The program as a process: its configuration, its signals, its limits.
+// The program as a process: configuration errors at the start, signals, and limits of descriptors.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -72,7 +72,7 @@
   }
 }
 
-// Further SIGTERM, SIGINT and SIGHUP during the shutdown.
+// Further SIGTERM, SIGINT and SIGHUP that arrive during the shutdown must not abort requests in flight.
 TEST(Process, SignalsDuringShutdownLoseNoRequest) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
@@ -99,7 +99,7 @@
   child.Signal(SIGHUP);
   ASSERT_TRUE(elsewhere.seen.WaitFor([](const FakeDiscovery::Seen& s) { return s.asked >= 1; }));
   child.Signal(SIGINT);
-  // Also in the last stretch, when nobody is accepted any more.
+  // Sends a signal also after the grace period, when no connections are accepted any more.
   const auto gone = [&] {
     asio::io_context io;
     Tcp::socket socket(io);
@@ -114,7 +114,8 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// Idle clients use up their limit, and more wait: discovery and backends are still reached.
+// While idle clients use up their share of the descriptors and more wait to be accepted, the proxy must still
+// be able to connect to discovery and to backends.
 TEST(Process, ClientsLeaveDescriptorsForDiscoveryAndBackends) {
   constexpr rlim_t kDescriptors = 256;
   Backend backend;
--- a/tests/proxy/readiness_test.cpp
+++ b/tests/proxy/readiness_test.cpp
@@ -22,7 +22,7 @@
 TEST(Readiness, RejectionHasRetryAfter) {
   Site site(Members());
   site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
-  // Also without permission to advise simulated clients: over HTTP the response carries the header.
+  // The header does not depend on `retryAfter`, which is about simulated clients only.
   site.config["settings"]["permissions"]["retryAfter"] = false;
   site.config["settings"]["permissions"]["maxRetryAfterMs"] = 1500;
   site.Start();
--- a/tests/proxy/reload_test.cpp
+++ b/tests/proxy/reload_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The configuration is read again at SIGHUP.
+// SIGHUP reloads the configuration; an invalid one leaves the one before in force.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,7 +17,8 @@
   FakeDiscovery here, there;
   const ConfigFile file(ConfigJson(here.address(), Members(MemberJson("s-1", before.address()))).dump());
   const auto address = ReservePort();
-  // The environment names the first discovery for as long as the process lives: the file goes before it.
+  // The environment keeps naming the first discovery while the process runs: at a reload the file overrides
+  // it.
   Child child({{"ROUTER_CONFIG", file.path},
                {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())},
                {"ROUTER_DISCOVERY", "127.0.0.1:" + std::to_string(here.address().port())}});
@@ -28,11 +29,11 @@
 
   Replace(file, ConfigJson(there.address(), {}).dump());
   child.Signal(SIGHUP);
-  // Until the new one has responded, updates of the old one are applied.
+  // Updates of the old discovery are applied until the new one has responded.
   ASSERT_TRUE(there.seen.WaitFor([](const FakeDiscovery::Seen& s) { return s.asked == 1; }));
   here.Push(ListJson(42, false, Members(MemberJson("s-1", before.address(), "in_service", 1e12))));
   ASSERT_TRUE(before.WaitForClosed(1));
-  // The new one has lower revisions, and does not list removed backends.
+  // The new discovery has lower revisions, and does not list removed backends.
   there.SetWhole(ListJson(7, true, Members(MemberJson("s-2", after.address()))));
   ASSERT_TRUE(there.WaitForWatches(1));
   EXPECT_EQ(there.seen.Get().watches[0], "/v1/endpoints?stream=1&index=7");
@@ -67,7 +68,7 @@
     EXPECT_NE(line.find(fault), std::string::npos) << line;
   }
   EXPECT_EQ(Client(address).Ask(Look()).body(), "here");
-  // An idle client stays connected by the first file, and is soon closed by the third.
+  // The third file shortens kept_ms from an hour to 1 ms, so that the proxy soon closes an idle connection.
   Replace(operating, "[patience]\nkept_ms = 1\n[log]\nlevel = \"info\"\n");
   child.Signal(SIGHUP);
   EXPECT_NE(child.StderrLine().find(" info configuration_reloaded"), std::string::npos);
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One process takes over from another of the same name.
+// A process of a proxy takes over from another process of the same name.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -48,7 +48,7 @@
   discovery.Push(ListJson(42, true, list));
   ASSERT_TRUE(WaitUntilReady(next_calls));
   EXPECT_EQ(ReadyStatus(first_calls), 200u);
-  // A call at either process applies to both.
+  // Disabling or enabling a backend at either process applies to both.
   EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-2"), 200u);
   EXPECT_EQ(Operate(next_calls, "/backends/enable?member=s-1"), 200u);
   Client fresh(address);
