--- a/tests/proxy/admin_server_test.cpp
+++ b/tests/proxy/admin_server_test.cpp
@@ -74,7 +74,7 @@
   EXPECT_EQ(Call("GET", "/ready"), Answer("503 Service Unavailable", "drained"));
 }
 
-TEST_F(AdminServerTest, AnswersChangesByTheirResult) {
+TEST_F(AdminServerTest, MapsEachResultToItsResponse) {
   EXPECT_EQ(Call("POST", "/drain"), Answer("200 OK", "draining"));
   EXPECT_EQ(Call("POST", "/undrain"), Answer("200 OK", "serving again"));
   EXPECT_EQ(Call("POST", "/backends/disable?member=s%2D1"), Answer("200 OK", "disabled"));
@@ -91,7 +91,7 @@
   EXPECT_EQ(Call("POST", "/drain"), Answer("409 Conflict", "this process is stopping"));
 }
 
-TEST_F(AdminServerTest, AnswersWrongCallsWithWhatIsWrong) {
+TEST_F(AdminServerTest, RejectsInvalidCallsWithTheReason) {
   EXPECT_EQ(Call("POST", "/nothing"), Answer("404 Not Found", "no such call"));
   EXPECT_EQ(Call("POST", "/ready"), Answer("405 Method Not Allowed", "use GET"));
   EXPECT_EQ(Call("GET", "/drain"), Answer("405 Method Not Allowed", "use POST"));
@@ -112,7 +112,7 @@
   EXPECT_EQ(Call("DELETE", "/rollout"), Answer("405 Method Not Allowed", "use GET or POST"));
 }
 
-TEST_F(AdminServerTest, AnswersWhatIsNoCallWithItsFault) {
+TEST_F(AdminServerTest, RejectsMalformedOversizedAndSlowCalls) {
   EXPECT_EQ(Send("what\r\n\r\n"), Answer("400 Bad Request", "malformed"));
   EXPECT_EQ(Call("GET", "/ready?" + std::string(5000, 'x')),
             Answer("431 Request Header Fields Too Large", "head too large"));
--- a/tests/proxy/disabled_backends_test.cpp
+++ b/tests/proxy/disabled_backends_test.cpp
@@ -56,10 +56,10 @@
   const std::string file = folder.path + "/disabled.json";
   DisabledBackends one(file, log::Global()), two(file, log::Global());
   EndpointList changes;
-  for (auto* each : {&one, &two}) {
+  for (auto* instance : {&one, &two}) {
     EndpointList both = ListOf("s-1");
     both.endpoints.push_back(ListOf("s-2").endpoints[0]);
-    each->Apply(both, true);
+    instance->Apply(both, true);
   }
   EXPECT_EQ(one.Disable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
   EXPECT_EQ(two.Disable("s-2", &changes), DisabledBackends::ChangeResult::kDone);
--- a/tests/proxy/disabled_file_test.cpp
+++ b/tests/proxy/disabled_file_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(DecodeDisabledIds(" {\"disabled\":[]}"), Ids{});
 }
 
-TEST(DisabledFile, RejectsWhatIsNoListOfIds) {
+TEST(DisabledFile, RejectsTextThatIsNotAListOfIds) {
   for (const char* text : {"", "7", "[]", "{}", "{\"disabled\":{}}", "{\"disabled\":[1]}",
                            "{\"disabled\":[\"s-", "{\"disabled\":null}"})
     EXPECT_FALSE(DecodeDisabledIds(text)) << text;
--- a/tests/proxy/discovery_messages_test.cpp
+++ b/tests/proxy/discovery_messages_test.cpp
@@ -19,7 +19,7 @@
   return ListJson(revision, complete, std::move(members)).dump(indent);
 }
 
-std::vector<std::string> Cut(const std::string& text, std::size_t piece, bool* malformed) {
+std::vector<std::string> FrameAll(const std::string& text, std::size_t piece, bool* malformed) {
   MessageFramer messages;
   std::vector<std::string> all;
   std::string message;
@@ -44,7 +44,7 @@
     const std::string text = "\n" + one + "\n\r\n  " + two + " \r\n\n";
     for (std::size_t piece = 1; piece <= text.size(); ++piece) {
       bool malformed = false;
-      const auto all = Cut(text, piece, &malformed);
+      const auto all = FrameAll(text, piece, &malformed);
       ASSERT_FALSE(malformed) << indent << " " << piece;
       ASSERT_EQ(all.size(), 5u);
       EXPECT_EQ(nlohmann::json::parse(all[1]), nlohmann::json::parse(one));
@@ -53,10 +53,10 @@
   }
 }
 
-TEST(MessageFramer, DetectsGarbageAtOnce) {
+TEST(MessageFramer, RejectsMalformedBytesAtOnce) {
   for (const char* text : {"[]\n", "x", "{}}\n", "{} {}\n", "{\"a\n", "{\"members\":[\n\n", "{\n}\n]"}) {
     bool malformed = false;
-    Cut(text, 1, &malformed);
+    FrameAll(text, 1, &malformed);
     EXPECT_TRUE(malformed) << text;
   }
 }
--- a/tests/proxy/discovery_watch_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -37,7 +37,7 @@
   explicit ScriptedDiscovery(std::vector<Script> scripts)
       : scripts_(std::move(scripts)), listener_([this](Tcp::socket& s) { Serve(s); }) {}
   ~ScriptedDiscovery() {
-    over.Do([](bool& o) { o = true; });
+    finished.Do([](bool& o) { o = true; });
     listener_.Stop();
   }
   Tcp::endpoint address() const { return listener_.address; }
@@ -47,7 +47,7 @@
   static void Open(Tcp::socket& s) { SendRaw(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
 
   Watched<std::vector<std::string>> calls;  // request targets
-  Watched<bool> over;
+  Watched<bool> finished;
 
  private:
   void Serve(Tcp::socket& socket) {
@@ -60,16 +60,16 @@
     calls.Do([&](auto& c) { c.emplace_back(request.target()), n = c.size(); });
     if (n <= scripts_.size()) return scripts_[n - 1](socket);
     Open(socket);
-    over.WaitFor([](bool o) { return o; });
+    finished.WaitFor([](bool o) { return o; });
   }
 
   std::vector<Script> scripts_;
   Listener listener_;
 };
 
-struct Watching {
-  explicit Watching(const Tcp::endpoint& address) { options.address = address; }
-  ~Watching() {
+struct WatchingClient {
+  explicit WatchingClient(const Tcp::endpoint& address) { options.address = address; }
+  ~WatchingClient() {
     asio::post(io, [this] { discovery.reset(), io.stop(); });
     if (loop.joinable()) loop.join();
   }
@@ -109,7 +109,7 @@
     SendRaw(s, Chunk("\n") + Chunk(List(43, Members(kMember("s-2")), false, 4) + "\n"));
     HearToTheEnd(s);
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.Start();
   ASSERT_TRUE(watch.WaitForLists(2));
   EXPECT_EQ(watch.lists.Get()[1].endpoints[0].id, "s-2");
@@ -123,7 +123,7 @@
         SendRaw(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                        Chunk(List(42, Members(kMember("s-1"))) + end) + (cleanly ? "0\r\n\r\n" : ""));
       }});
-      Watching watch(fake.address());
+      WatchingClient watch(fake.address());
       watch.Start();
       EXPECT_TRUE(watch.WaitForLists(1));
       EXPECT_TRUE(fake.WaitForCalls(2));
@@ -138,7 +138,7 @@
     SendRaw(s, Chunk(List(42) + "}\n"));
     HearToTheEnd(s);
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.Start();
   ASSERT_TRUE(fake.WaitForCalls(2));
   EXPECT_TRUE(watch.lists.Get().empty());
@@ -154,7 +154,7 @@
       StandStill(milliseconds(5));
     }
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.options.idle_timeout = milliseconds(200);
   watch.Start();
   EXPECT_TRUE(fake.WaitForCalls(2));
@@ -174,7 +174,7 @@
     SendRaw(s, Chunk("\n"));
     HearToTheEnd(s);
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.options.idle_timeout = milliseconds(700);
   watch.Start();
   ASSERT_TRUE(watch.WaitForLists(1));
@@ -183,7 +183,7 @@
 
 TEST(WatchIdleTimeout, ConnectTimeoutIsShorter) {
   HeldDial held;
-  Watching watch(held.address());
+  WatchingClient watch(held.address());
   watch.options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
   watch.options.idle_timeout = std::chrono::minutes(10);
   watch.options.connect_timeout = milliseconds(50);
@@ -210,7 +210,7 @@
            SendRaw(s, Chunk(List(42, Members(kMember("s-1", "terminating")), false) + "\n"));
            HearToTheEnd(s);
          }});
-    Watching watch(fake.address());
+    WatchingClient watch(fake.address());
     watch.options.reconnect = reconnect;
     watch.Start();
     ASSERT_TRUE(watch.WaitForLists(1));
@@ -249,14 +249,14 @@
 }
 
 TEST(DiscoveryWatch, ReportsFailureWithoutReconnectingWherePolled) {
-  Tcp::endpoint nobody;
+  Tcp::endpoint closed_address;
   {
-    FakeDiscovery gone;
-    nobody = gone.address();
+    FakeDiscovery closed;
+    closed_address = closed.address();
   }
   asio::io_context io(1);
   proxy::DiscoveryClient::Options options;
-  options.address = nobody;
+  options.address = closed_address;
   options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
   int failures = 0;
   proxy::DiscoveryClient discovery(
--- a/tests/proxy/endpoint_list_test.cpp
+++ b/tests/proxy/endpoint_list_test.cpp
@@ -56,9 +56,9 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
-  nlohmann::json gone{{"id", "s-9"}, {"phase", "terminated"}};
+  nlohmann::json removed{{"id", "s-9"}, {"phase", "terminated"}};
   site.discovery.Push(
-      ListJson(42, false, Members(gone, MemberJson("s-1", backend.address(), "in_service", 1e12))));
+      ListJson(42, false, Members(removed, MemberJson("s-1", backend.address(), "in_service", 1e12))));
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
 }
--- a/tests/proxy/endpoint_parser_test.cpp
+++ b/tests/proxy/endpoint_parser_test.cpp
@@ -57,7 +57,7 @@
   EXPECT_EQ(endpoint.up_since_unix_ms, 0);
 }
 
-TEST(EndpointParser, NamesTheEntryAndTheFieldAtFault) {
+TEST(EndpointParser, ErrorNamesTheEntryAndTheInvalidField) {
   const std::string good(kEntry);
   const auto check = [&](const std::string& entry, Kind kind, const std::string& path,
                          const std::string& text) {
@@ -80,7 +80,7 @@
         "[json.exception.type_error.302] type must be string, but is number");
 }
 
-TEST(EndpointParser, FaultsOfTheListItselfNameNoEntry) {
+TEST(EndpointParser, ErrorInTheListItselfNamesNoEntry) {
   EXPECT_EQ(ErrorOf("{\"revision\":").kind, Kind::kNotJson);
   EXPECT_EQ(ErrorOf("{\"revision\":").Describe(), "not JSON");
   for (const char* text : {"[]", "{}", R"({"revision":41})", R"({"revision":"x","members":[]})",
--- a/tests/proxy/handover_messages_test.cpp
+++ b/tests/proxy/handover_messages_test.cpp
@@ -46,7 +46,7 @@
   EXPECT_EQ(proxy::EncodeDescriptorReport({42}), R"({"descriptors":42})");
 }
 
-TEST(HandoverMessages, DecodesWhatItEncodes) {
+TEST(HandoverMessages, DecodesAnEncodedState) {
   const DecodedHandoverState state = DecodeHandoverState(
       R"({"descriptors":31,"learnt":[{"cold_work":12.25,"ejected_ms":1500.5,"id":"s-1","multiplier":2}]})",
       KnowsAll);
@@ -59,7 +59,7 @@
   EXPECT_EQ(state.backends[0].slow_start_work, 12.25);
 }
 
-TEST(HandoverMessages, SkipsBackendsThatAreNotKnownWithoutReadingThem) {
+TEST(HandoverMessages, SkipsEntriesOfUnknownBackendsUndecoded) {
   const DecodedHandoverState state =
       DecodeHandoverState(R"({"descriptors":1,"learnt":[{"id":"s-9"},)"
                           R"({"cold_work":0,"ejected_ms":0,"id":"s-1","multiplier":0}]})",
@@ -80,7 +80,7 @@
   EXPECT_EQ(state.backends[1].ejection_multiplier, 100);
 }
 
-TEST(HandoverMessages, ReturnsWhatCameBeforeAFaultAndSaysWhatTheFaultIs) {
+TEST(HandoverMessages, ReturnsEntriesBeforeAnInvalidOneAndTheError) {
   const DecodedHandoverState state = DecodeHandoverState(
       R"({"descriptors":5,"learnt":[{"cold_work":0,"ejected_ms":0,"id":"a","multiplier":1},{"id":"b"}]})",
       KnowsAll);
@@ -89,7 +89,7 @@
   EXPECT_NE(state.error.find("multiplier"), std::string::npos) << state.error;
 }
 
-TEST(HandoverMessages, ReturnsNothingButAnErrorForTextThatIsNoState) {
+TEST(HandoverMessages, ReturnsOnlyAnErrorForTextThatIsNotAState) {
   for (const char* text : {"", "torn", "[]", "{}", R"({"learnt":[]})"}) {
     const DecodedHandoverState state = DecodeHandoverState(text, KnowsAll);
     EXPECT_EQ(state.descriptors, std::nullopt) << text;
--- a/tests/proxy/membership_settings_test.cpp
+++ b/tests/proxy/membership_settings_test.cpp
@@ -37,7 +37,7 @@
   return settings;
 }
 
-TEST(MembershipSettings, ReadsAKeyFileOfTheOwnerAlone) {
+TEST(MembershipSettings, RejectsAKeyFileThatOtherUsersCanRead) {
   const TemporaryFile file(kKey);
   FleetSettings settings = Settings();
   settings.key_file = file.path();
@@ -51,7 +51,7 @@
       file.path() + ": fleet.key_file: mode must be 0600, so that other users have no access, but is 0640");
 }
 
-TEST(MembershipSettings, NamesAKeyFileThatCannotBeUsed) {
+TEST(MembershipSettings, ErrorNamesAKeyFileThatCannotBeUsed) {
   FleetSettings settings = Settings();
   settings.key_file = std::string("/nowhere/at/all");
   const ConfigError absent = ErrorOf([&] { proxy::LoadFrameCodec(settings); });
@@ -72,7 +72,7 @@
   EXPECT_EQ(proxy::LoadSeeds(settings), (std::vector<std::string>{"127.0.0.1:9", "127.0.0.1:1", "[::1]:2"}));
 }
 
-TEST(MembershipSettings, NamesTheLineOfASeedThatIsNoAddress) {
+TEST(MembershipSettings, ErrorNamesTheLineOfAMalformedSeed) {
   const TemporaryFile file("127.0.0.1:1\n\nhere\n");
   FleetSettings settings = Settings();
   settings.seeds_file = file.path();
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -15,7 +15,7 @@
 namespace copperpoint::testing {
 namespace {
 
-void ExpectComplaint(const std::map<std::string, std::string>& env, const std::string& part) {
+void ExpectStartupError(const std::map<std::string, std::string>& env, const std::string& part) {
   Child child(env);
   const std::string text = child.Stderr();
   EXPECT_EQ(child.Wait(), 2) << part;
@@ -24,11 +24,11 @@
 }
 
 TEST(Process, ExitsWithOneLineOnInvalidConfiguration) {
-  ExpectComplaint({}, "ROUTER_CONFIG");
-  ExpectComplaint({{"ROUTER_CONFIG", "/nowhere/at/all"}}, "/nowhere/at/all");
+  ExpectStartupError({}, "ROUTER_CONFIG");
+  ExpectStartupError({{"ROUTER_CONFIG", "/nowhere/at/all"}}, "/nowhere/at/all");
   const auto with = [](const std::string& text, const std::string& part) {
     const ConfigFile file(text);
-    ExpectComplaint({{"ROUTER_CONFIG", file.path}}, part);
+    ExpectStartupError({{"ROUTER_CONFIG", file.path}}, part);
   };
   with("", "JSON");
   with("{", "JSON");
@@ -100,14 +100,14 @@
   ASSERT_TRUE(elsewhere.seen.WaitFor([](const FakeDiscovery::Seen& s) { return s.asked >= 1; }));
   child.Signal(SIGINT);
   // Sends a signal also after the grace period, when no connections are accepted any more.
-  const auto gone = [&] {
+  const auto listener_closed = [&] {
     asio::io_context io;
     Tcp::socket socket(io);
     error_code failed;
     socket.connect(address, failed);
     return static_cast<bool>(failed);
   };
-  while (!gone()) std::this_thread::yield();
+  while (!listener_closed()) std::this_thread::yield();
   child.Signal(SIGTERM);
   release.Do([](bool& r) { r = true; });
   for (const auto& client : clients) EXPECT_EQ(client->Read().body(), "served");
@@ -129,9 +129,9 @@
       kDescriptors);
   ASSERT_TRUE(WaitUntilReady(address));
   ASSERT_TRUE(discovery.WaitForWatches(1));
-  std::vector<std::unique_ptr<Client>> resting;
+  std::vector<std::unique_ptr<Client>> idle_clients;
   const auto fill = [&](std::size_t n) {
-    for (std::size_t i = 0; i < n; ++i) resting.push_back(std::make_unique<Client>(address));
+    for (std::size_t i = 0; i < n; ++i) idle_clients.push_back(std::make_unique<Client>(address));
   };
   fill(300);
   for (std::size_t watches = 2; watches < 5; ++watches) {
@@ -141,7 +141,7 @@
     Client asks(address);
     EXPECT_EQ(asks.Ask(WithId(Look(), Numbered("r", watches))).body(), "served");
   }
-  resting.clear();
+  idle_clients.clear();
   Client after(address);
   EXPECT_EQ(after.Ask(WithId(Look(), "after")).body(), "served");
   child.Signal(SIGTERM);
--- a/tests/proxy/readiness_test.cpp
+++ b/tests/proxy/readiness_test.cpp
@@ -29,9 +29,9 @@
   Client client(site.proxy->address);
   const HttpResponse answer = client.Ask(Book());
   EXPECT_EQ(answer.result_int(), 503u);
-  const double told = std::stod(std::string(answer[http::field::retry_after]));
-  EXPECT_GE(told, 1.35);
-  EXPECT_LE(told, 1.5);
+  const double retry_after_s = std::stod(std::string(answer[http::field::retry_after]));
+  EXPECT_GE(retry_after_s, 1.35);
+  EXPECT_LE(retry_after_s, 1.5);
 }
 
 TEST(Readiness, IsReadyWithEndpointList) {
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -13,21 +13,23 @@
 namespace copperpoint::testing {
 namespace {
 
-std::string Text(const Tcp::endpoint& address) { return "127.0.0.1:" + std::to_string(address.port()); }
+std::string AddressText(const Tcp::endpoint& address) {
+  return "127.0.0.1:" + std::to_string(address.port());
+}
 
 std::map<std::string, std::string> Environment(const ConfigFile& file, const Tcp::endpoint& listen,
                                                const Tcp::endpoint& calls, const Folder& folder) {
   return {{"ROUTER_CONFIG", file.path},
-          {"ROUTER_LISTEN", Text(listen)},
-          {"ROUTER_OPERATOR", Text(calls)},
+          {"ROUTER_LISTEN", AddressText(listen)},
+          {"ROUTER_OPERATOR", AddressText(calls)},
           {"TMPDIR", folder.path}};
 }
 
-unsigned Operate(const Tcp::endpoint& address, const std::string& target) {
+unsigned PostAdminCall(const Tcp::endpoint& address, const std::string& target) {
   return Client(address).Ask("POST " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
 }
 
-TEST(Upgrade, NextProcessTakesOverConnectionsAndDisabledBackends) {
+TEST(Upgrade, SuccessorTakesOverConnectionsAndDisabledBackends) {
   Backend one("one"), two("two");
   FakeDiscovery discovery;
   const auto list = Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address()));
@@ -38,19 +40,19 @@
   Child first(env);
   ASSERT_TRUE(WaitUntilReady(first_calls));
   ASSERT_TRUE(discovery.WaitForWatches(1));
-  EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-1"), 200u);
+  EXPECT_EQ(PostAdminCall(first_calls, "/backends/disable?member=s-1"), 200u);
   Client kept(address);
   EXPECT_EQ(kept.Ask(Look()).body(), "two");
 
-  env["ROUTER_OPERATOR"] = Text(next_calls);
+  env["ROUTER_OPERATOR"] = AddressText(next_calls);
   Child next(env);
   ASSERT_TRUE(discovery.WaitForWatches(2));
   discovery.Push(ListJson(42, true, list));
   ASSERT_TRUE(WaitUntilReady(next_calls));
   EXPECT_EQ(ReadyStatus(first_calls), 200u);
   // Disabling or enabling a backend at either process applies to both.
-  EXPECT_EQ(Operate(first_calls, "/backends/disable?member=s-2"), 200u);
-  EXPECT_EQ(Operate(next_calls, "/backends/enable?member=s-1"), 200u);
+  EXPECT_EQ(PostAdminCall(first_calls, "/backends/disable?member=s-2"), 200u);
+  EXPECT_EQ(PostAdminCall(next_calls, "/backends/enable?member=s-1"), 200u);
   Client fresh(address);
   EXPECT_EQ(fresh.Ask(Look()).body(), "one");
   first.Signal(SIGTERM);
@@ -63,12 +65,12 @@
   EXPECT_EQ(later.Ask(Look()).body(), "one");
   next.Signal(SIGTERM);
   EXPECT_EQ(next.Wait(), 0);
-  const std::string said = next.Stderr();
-  EXPECT_NE(said.find("upgrade_listener_received"), std::string::npos) << said;
-  EXPECT_NE(said.find("upgrade_predecessor_exited"), std::string::npos) << said;
+  const std::string stderr_text = next.Stderr();
+  EXPECT_NE(stderr_text.find("upgrade_listener_received"), std::string::npos) << stderr_text;
+  EXPECT_NE(stderr_text.find("upgrade_predecessor_exited"), std::string::npos) << stderr_text;
 }
 
-TEST(Upgrade, OldProcessServesOnWhenTheNextOneDies) {
+TEST(Upgrade, PredecessorServesAgainWhenTheSuccessorIsKilled) {
   Backend backend;
   FakeDiscovery discovery;
   const auto list = Members(MemberJson("s-1", backend.address()));
@@ -78,7 +80,7 @@
   auto env = Environment(file, address, first_calls, folder);
   Child first(env);
   ASSERT_TRUE(WaitUntilReady(first_calls));
-  env["ROUTER_OPERATOR"] = Text(next_calls);
+  env["ROUTER_OPERATOR"] = AddressText(next_calls);
   for (std::size_t i = 1; i < 3; ++i) {
     Child next(env);
     ASSERT_TRUE(discovery.WaitForWatches(i + 1));
@@ -93,15 +95,15 @@
   EXPECT_EQ(first.Wait(), 0);
 }
 
-TEST(Upgrade, StartsDespiteStaleOrForeignSocket) {
+TEST(Upgrade, StartsDespiteCorruptFilesInTheStateDirectory) {
   Backend backend;
   FakeDiscovery discovery;
   const ConfigFile file(
       ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump());
-  for (const bool torn : {false, true}) {
+  for (const bool foreign_file : {false, true}) {
     const Folder folder;
     std::ofstream(folder.path + "/copperpoint-n1-disabled.json") << "{\"disabled\":[\"s-";
-    if (torn) std::ofstream(folder.path + "/copperpoint-n1-handover.sock") << "torn";
+    if (foreign_file) std::ofstream(folder.path + "/copperpoint-n1-handover.sock") << "torn";
     const auto address = ReservePort(), calls = ReservePort();
     Child child(Environment(file, address, calls, folder));
     ASSERT_TRUE(WaitUntilReady(calls));
