--- a/src/proxy/handover/handover_coordinator.cpp
+++ b/src/proxy/handover/handover_coordinator.cpp
@@ -29,7 +29,7 @@
   return true;
 }
 
-// Called from within a call of discovery's: the request is an event of its own.
+// Called from within a callback of discovery, so the timer sends the request from an event of its own.
 void HandoverCoordinator::OnEndpointsReceived() {
   if (phase_ == Phase::kWaitingForEndpoints) RequestListenerAfter(std::chrono::milliseconds(0));
 }
@@ -74,7 +74,7 @@
 void HandoverCoordinator::RestoreState(const std::string& encoded_state) {
   const DecodedHandoverState state = DecodeHandoverState(
       encoded_state, [this](const std::string& id) { return context_.endpoints.Find(id).has_value(); });
-  if (state.descriptors) LimitBeside(*state.descriptors);
+  if (state.descriptors) LimitConnections(*state.descriptors);
   if (!state.error.empty())
     log::Global().Warn(log::events::kUpgradeStateUnreadable, {{"reason", state.error}});
   StateRestored restored;
@@ -86,15 +86,15 @@
 }
 
 void HandoverCoordinator::OnDescriptorReport(const DescriptorReport& report) {
-  LimitBeside(report.descriptors);
+  LimitConnections(report.descriptors);
 }
 
 void HandoverCoordinator::OnPredecessorExited() {
   log::Global().Info(log::events::kUpgradePredecessorExited);
-  LimitBeside(0);
+  LimitConnections(0);
 }
 
-void HandoverCoordinator::LimitBeside(int other_descriptors) {
+void HandoverCoordinator::LimitConnections(int other_descriptors) {
   const DescriptorBudget::Limits limits = context_.budget.BesideProcess(other_descriptors);
   context_.listener.SetClientLimit(limits.clients);
   context_.backends.SetConnectionLimit(limits.backends);
@@ -112,7 +112,7 @@
   const auto listener = context_.listener.ReleaseListener();
   if (!listener) return std::nullopt;
   log::Global().Info(log::events::kUpgradeListenerHandedOver);
-  // No more connections than now; one at least, so that open requests can still be retried.
+  // Limits backend connections to those open now, but to one at least, so that open requests can be retried.
   context_.backends.SetConnectionLimit(std::max<std::size_t>(context_.backends.connection_count(), 1));
   return HandoverServer::Grant{*listener, HandoverState{DescriptorsInUse(), ExportBackends()}};
 }
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Runs the event loop until it is stopped. An exception ends the handler that threw it, not the process.
-void Run(boost::asio::io_context& io) {
+void RunEventLoop(boost::asio::io_context& io) {
   for (;;) {
     try {
       io.run();
@@ -77,7 +77,7 @@
 
 void Serve(const ServeOptions& options, const Environment& env) {
   boost::asio::io_context io(1);
-  // Set up before the proxy listens, so that a signal never kills one that is ready.
+  // Set up before the proxy listens, so that a signal never kills a proxy that is ready.
   boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
   log::Settings log;
   Config config = Configure(options, LoadConfig(env), &log);
@@ -87,7 +87,7 @@
     if (!failed) proxy.Stop([&] { io.stop(); });
   });
   ReloadAtSignal(reload_signals, options, env, proxy);
-  Run(io);
+  RunEventLoop(io);
 }
 
 }  // namespace copperpoint::proxy
--- a/src/proxy/upstream/backend_pool.cpp
+++ b/src/proxy/upstream/backend_pool.cpp
@@ -120,7 +120,7 @@
 // Takes the most recently used connection that has been idle for `connection_rest`. A backend may close just
 // after a response, or send excess bytes: by that time either is detected.
 std::shared_ptr<BackendConnection> BackendPool::TakeIdle(Backend& backend) {
-  const auto latest_idle_since = Steady::now() - limits_.timeouts.connection_rest;
+  const auto latest_idle_since = Steady::now() - limits_.timeouts.reuse_delay;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > latest_idle_since) --end;
   while (end != backend.idle.begin()) {
--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -109,7 +109,7 @@
     ProxySetup setup(Members(MemberJson("s-1", backend.address())));
     setup.config["limits"]["sockets"] = kMaxSockets;
     setup.timeouts.idle_reclaim = std::chrono::minutes(10);
-    setup.timeouts.pressed_idle_reclaim = milliseconds(1);
+    setup.timeouts.idle_reclaim_under_pressure = milliseconds(1);
     setup.Start();
     std::vector<std::unique_ptr<Client>> clients;
     for (std::size_t i = 0; i < 3 * kMaxClients; ++i) {
--- a/tests/proxy/client_connection_test.cpp
+++ b/tests/proxy/client_connection_test.cpp
@@ -59,7 +59,7 @@
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
   setup.config["limits"]["sockets"] = 64;
   setup.timeouts.request_head = std::chrono::hours(1);
-  setup.timeouts.pressed_idle_reclaim = std::chrono::milliseconds(10);
+  setup.timeouts.idle_reclaim_under_pressure = std::chrono::milliseconds(10);
   setup.Start();
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 80; ++i) silent.push_back(std::make_unique<Client>(setup.proxy->address));
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -104,7 +104,7 @@
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-  setup.timeouts.connection_rest = {};
+  setup.timeouts.reuse_delay = {};
   setup.Start();
   {
     Client client(setup.proxy->address);
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -16,7 +16,7 @@
 TEST(ConnectionPool, SequentialRequestsShareAConnection) {
   Backend backend;
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-  setup.timeouts.connection_rest = {};
+  setup.timeouts.reuse_delay = {};
   setup.Start();
   Client client(setup.proxy->address);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(client.SendAndRead(LookRequest()).result_int(), 200u);
@@ -70,7 +70,7 @@
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-  setup.timeouts.connection_rest = {};
+  setup.timeouts.reuse_delay = {};
   setup.Start();
   Client client(setup.proxy->address);
   for (const char* id : {"a1", "a2", "a3"})
@@ -81,7 +81,7 @@
 TEST(ConnectionPool, DoesNotReuseConnectionBeforeItsRestTime) {
   Backend backend;
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-  setup.timeouts.connection_rest = std::chrono::hours(1);
+  setup.timeouts.reuse_delay = std::chrono::hours(1);
   setup.Start();
   Client client(setup.proxy->address);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.SendAndRead(LookRequest()).result_int(), 200u);
@@ -123,7 +123,7 @@
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-  setup.timeouts.connection_rest = std::chrono::hours(1);  // so that each request opens a connection
+  setup.timeouts.reuse_delay = std::chrono::hours(1);  // so that each request opens a connection
   setup.Start();
   Client client(setup.proxy->address);
   EXPECT_EQ(client.SendAndRead(LookRequest()).result_int(), 200u);
--- a/tests/proxy/disabled_file_test.cpp
+++ b/tests/proxy/disabled_file_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bytes of the file of disabled backends.
+// The format of the file of disabled backends, and its lock.
 #include "proxy/control/disabled_file.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   EXPECT_EQ(DecodeDisabledIds(" {\"disabled\":[]}"), Ids{});
 }
 
-TEST(DisabledFile, RejectsWhatIsNoListOfIds) {
+TEST(DisabledFile, RejectsTextThatIsNotAListOfIds) {
   for (const char* text : {"", "7", "[]", "{}", "{\"disabled\":{}}", "{\"disabled\":[1]}",
                            "{\"disabled\":[\"s-", "{\"disabled\":null}"})
     EXPECT_FALSE(DecodeDisabledIds(text)) << text;
--- a/tests/proxy/discovery_watch_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Watches of discovery: messages, timeouts, and how soon a change is applied whatever failed.
+// Watches of discovery: messages, timeouts, and the time within which a change is applied despite failures.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -30,14 +30,14 @@
   return std::string(size).append(text).append("\r\n");
 }
 
-// A discovery that plays a script for each connection, in turn; after the last it holds its connections open.
+// A discovery that runs one script per connection, in turn; after the last it holds its connections open.
 class ScriptedDiscovery {
  public:
   using Script = std::function<void(Tcp::socket&)>;
   explicit ScriptedDiscovery(std::vector<Script> scripts)
       : scripts_(std::move(scripts)), listener_([this](Tcp::socket& s) { Serve(s); }) {}
   ~ScriptedDiscovery() {
-    over.Update([](bool& o) { o = true; });
+    finished.Update([](bool& o) { o = true; });
     listener_.Stop();
   }
   Tcp::endpoint address() const { return listener_.address; }
@@ -46,8 +46,8 @@
   }
   static void Open(Tcp::socket& s) { SendRaw(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
 
-  WaitableValue<std::vector<std::string>> calls;  // their targets
-  WaitableValue<bool> over;
+  WaitableValue<std::vector<std::string>> calls;  // request targets
+  WaitableValue<bool> finished;
 
  private:
   void Serve(Tcp::socket& socket) {
@@ -60,16 +60,16 @@
     calls.Update([&](auto& c) { c.emplace_back(request.target()), n = c.size(); });
     if (n <= scripts_.size()) return scripts_[n - 1](socket);
     Open(socket);
-    over.WaitFor([](bool o) { return o; });
+    finished.WaitFor([](bool o) { return o; });
   }
 
   std::vector<Script> scripts_;
   Listener listener_;
 };
 
-struct Watching {
-  explicit Watching(const Tcp::endpoint& address) { options.address = address; }
-  ~Watching() {
+struct WatchingClient {
+  explicit WatchingClient(const Tcp::endpoint& address) { options.address = address; }
+  ~WatchingClient() {
     asio::post(io, [this] { discovery.reset(), io.stop(); });
     if (loop.joinable()) loop.join();
   }
@@ -79,7 +79,7 @@
         [this](const proxy::EndpointList& list) { lists.Update([&](auto& l) { l.push_back(list); }); },
         [this] {
           failures.Update([](int& n) { ++n; });
-          discovery->Watch();  // as the module asks for it
+          discovery->Watch();  // as the decision module does after a failure
         });
     discovery->Watch();
     loop = std::thread([this] { io.run(); });
@@ -109,7 +109,7 @@
     SendRaw(s, Chunk("\n") + Chunk(List(43, Members(kMember("s-2")), false, 4) + "\n"));
     ReadToEnd(s);
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.Start();
   ASSERT_TRUE(watch.WaitForLists(2));
   EXPECT_EQ(watch.lists.Get()[1].endpoints[0].id, "s-2");
@@ -123,7 +123,7 @@
         SendRaw(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                        Chunk(List(42, Members(kMember("s-1"))) + end) + (cleanly ? "0\r\n\r\n" : ""));
       }});
-      Watching watch(fake.address());
+      WatchingClient watch(fake.address());
       watch.Start();
       EXPECT_TRUE(watch.WaitForLists(1));
       EXPECT_TRUE(fake.WaitForCalls(2));
@@ -138,7 +138,7 @@
     SendRaw(s, Chunk(List(42) + "}\n"));
     ReadToEnd(s);
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.Start();
   ASSERT_TRUE(fake.WaitForCalls(2));
   EXPECT_TRUE(watch.lists.Get().empty());
@@ -154,7 +154,7 @@
       SleepWithoutPolling(milliseconds(5));
     }
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.options.idle_timeout = milliseconds(200);
   watch.Start();
   EXPECT_TRUE(fake.WaitForCalls(2));
@@ -174,7 +174,7 @@
     SendRaw(s, Chunk("\n"));
     ReadToEnd(s);
   }});
-  Watching watch(fake.address());
+  WatchingClient watch(fake.address());
   watch.options.idle_timeout = milliseconds(700);
   watch.Start();
   ASSERT_TRUE(watch.WaitForLists(1));
@@ -183,7 +183,7 @@
 
 TEST(WatchIdleTimeout, ConnectTimeoutIsShorter) {
   FullBacklogListener held;
-  Watching watch(held.address());
+  WatchingClient watch(held.address());
   watch.options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
   watch.options.idle_timeout = std::chrono::minutes(10);
   watch.options.connect_timeout = milliseconds(50);
@@ -191,8 +191,8 @@
   EXPECT_TRUE(watch.failures.WaitFor([](int n) { return n >= 2; }));
 }
 
-// The bound, by the real times: a watch falls silent, the dial after it hangs, the call after that gets 503,
-// and the change that was made when it fell silent is here within 6 s of that.
+// With the default timeouts: the watch falls silent, the call after its idle timeout gets 503, and a change
+// that was made when the watch fell silent is still applied within 6 s of that.
 TEST(WatchBound, ChangeIsAppliedWithinSixSecondsDespiteFailures) {
   for (const auto reconnect :
        {proxy::DiscoveryClient::Reconnect::kAutomatic, proxy::DiscoveryClient::Reconnect::kOnRequest}) {
@@ -210,7 +210,7 @@
            SendRaw(s, Chunk(List(42, Members(kMember("s-1", "terminating")), false) + "\n"));
            ReadToEnd(s);
          }});
-    Watching watch(fake.address());
+    WatchingClient watch(fake.address());
     watch.options.reconnect = reconnect;
     watch.Start();
     ASSERT_TRUE(watch.WaitForLists(1));
@@ -220,14 +220,15 @@
 
 TEST(WatchBound, TimeoutsAddUpToLessThanSixSeconds) {
   const proxy::DiscoveryClient::Options options;
-  // Two dials that hang, one after the silence and one at the return, with the longest back-off between.
+  // Two connects that time out, one after the silence and one at the return, with the longest backoff
+  // between.
   EXPECT_LE(options.idle_timeout + 2 * options.connect_timeout + std::chrono::milliseconds(1000 - 500),
             std::chrono::seconds(6));
   EXPECT_GT(options.idle_timeout, std::chrono::seconds(2)) << "a heartbeat may be a little late";
-  // A call that is never answered, and the longest back-off after it.
+  // A call without a response, and the longest backoff after it.
   EXPECT_LT(options.first_message_timeout + std::chrono::milliseconds(1000), std::chrono::seconds(6));
   EXPECT_GT(options.first_message_timeout, options.idle_timeout) << "calls wait their turn";
-  // After a move there are 4 s: a dial that hangs, and another one.
+  // After a migration there are 4 s: two connects in a row that time out have to fit into them.
   EXPECT_LE(2 * options.connect_timeout, std::chrono::seconds(3));
 }
 
@@ -248,20 +249,20 @@
 }
 
 TEST(DiscoveryWatch, ReportsFailureWithoutReconnectingWherePolled) {
-  Tcp::endpoint nobody;
+  Tcp::endpoint closed_address;
   {
-    FakeDiscovery gone;
-    nobody = gone.address();
+    FakeDiscovery closed;
+    closed_address = closed.address();
   }
   asio::io_context io(1);
   proxy::DiscoveryClient::Options options;
-  options.address = nobody;
+  options.address = closed_address;
   options.reconnect = proxy::DiscoveryClient::Reconnect::kOnRequest;
   int failures = 0;
   proxy::DiscoveryClient discovery(
       io, options, [](const proxy::EndpointList&) {}, [&] { ++failures; });
   discovery.Watch();
-  io.run();  // comes to an end: nothing is tried again
+  io.run();  // returns, since the client does not reconnect by itself
   EXPECT_EQ(failures, 1);
 }
 
--- a/tests/proxy/endpoint_list_test.cpp
+++ b/tests/proxy/endpoint_list_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the proxy does with the endpoint lists of discovery.
+// The effect of discovery's endpoint lists on a running proxy and its connections.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -56,9 +56,9 @@
   Backend backend;
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
   setup.Start();
-  nlohmann::json gone{{"id", "s-9"}, {"phase", "terminated"}};
+  nlohmann::json removed{{"id", "s-9"}, {"phase", "terminated"}};
   setup.discovery.Push(
-      ListJson(42, false, Members(gone, MemberJson("s-1", backend.address(), "in_service", 1e12))));
+      ListJson(42, false, Members(removed, MemberJson("s-1", backend.address(), "in_service", 1e12))));
   Client client(setup.proxy->address);
   EXPECT_EQ(client.SendAndRead(LookRequest()).result_int(), 200u);
 }
@@ -75,7 +75,8 @@
     EXPECT_EQ(client.SendAndRead(WithRequestId(LookRequest(), Numbered("w", i))).body(), "two");
 }
 
-// A request that is being dialled when its backend drains is served by another, and that dial is given up.
+// A request that waits for a connection to a backend is served by another one when that backend drains, and
+// the connection attempt is abandoned.
 TEST(EndpointLists, DrainingBackendIsReplacedWhileConnecting) {
   FullBacklogListener held;
   Backend other("other");
--- a/tests/proxy/graceful_shutdown_test.cpp
+++ b/tests/proxy/graceful_shutdown_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Connections that the proxy ends while bytes are on their way, and its own end with requests in flight.
+// Connections that the proxy closes while a client sends on them, and shutdown with requests in flight.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-// A request that crosses the end of a resting connection is not sent on, nor is the connection reset: its
-// client reads the end, and so knows that it may send it once more.
+// A request that arrives while the proxy closes its idle connection is not forwarded, and the connection is
+// not reset: its client reads the end of the stream, and so knows that it may send the request again.
 TEST(Closing, RequestThatCrossesTheCloseReadsTheEndNotAReset) {
   Backend backend;
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
@@ -26,7 +26,7 @@
   Client client(setup.proxy->address);
   EXPECT_EQ(client.SendAndRead(LookRequest()).body(), "served");
   auto stopped = setup.proxy->Stop();
-  EXPECT_TRUE(client.WaitForClose());  // the proxy's half of it
+  EXPECT_TRUE(client.WaitForClose());  // the proxy has closed its sending side
   client.Send(WithRequestId(BookRequest(), "crossing"));
   client.Send(WithRequestId(BookRequest(), "another"));
   client.socket.shutdown(Tcp::socket::shutdown_send);
@@ -83,7 +83,7 @@
   EXPECT_EQ(backend.activity.Get().requests.size(), 2u);
 }
 
-// The kernel has accepted them: they count as accepted at the connection limit too.
+// The kernel has accepted these connections, so shutdown has to serve them, also at the connection limit.
 TEST(Closing, ServesClientsInTheAcceptQueueAtShutdown) {
   WaitableValue<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
@@ -105,7 +105,7 @@
     waiting.back()->Send(WithRequestId(LookRequest(), Numbered("w", i)));
   }
   auto stopped = setup.proxy->Stop();
-  // The listener is still there when the grace is over, as its queue has not been seen empty.
+  // The listener stays open after the grace period, as its accept queue has not been seen empty.
   EXPECT_EQ(stopped.wait_for(milliseconds(900)), std::future_status::timeout);
   release.Update([](bool& r) { r = true; });
   for (const auto& client : waiting) EXPECT_EQ(client->Read().body(), "served");
@@ -149,7 +149,7 @@
   holding.Send(BookRequest());
   ASSERT_TRUE(backend.WaitForRequests(2));
   auto stopped = setup.proxy->Stop();
-  // From now on the proxy is not ready.
+  // The proxy reports that it is not ready, but serves requests on new and on kept connections.
   Client asks(setup.proxy->address);
   EXPECT_EQ(asks.SendAndRead("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 503u);
   Client late(setup.proxy->address);
--- a/tests/proxy/large_body_test.cpp
+++ b/tests/proxy/large_body_test.cpp
@@ -52,7 +52,7 @@
     return true;
   });
   ProxySetup setup(Members(MemberJson("s-1", backend.address())));
-  setup.timeouts.connection_rest = std::chrono::milliseconds(0);
+  setup.timeouts.reuse_delay = std::chrono::milliseconds(0);
   setup.Start();
   Client client(setup.proxy->address);
   const std::string chunked =
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The program as a process: its configuration, its signals, its limits.
+// The program as a process: configuration errors at the start, signals, and limits of descriptors.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace copperpoint::testing {
 namespace {
 
-void ExpectComplaint(const std::map<std::string, std::string>& env, const std::string& part) {
+void ExpectStartupError(const std::map<std::string, std::string>& env, const std::string& part) {
   ProxyProcess child(env);
   const std::string text = child.ReadStderr();
   EXPECT_EQ(child.Wait(), 2) << part;
@@ -24,11 +24,11 @@
 }
 
 TEST(Process, ExitsWithOneLineOnInvalidConfiguration) {
-  ExpectComplaint({}, "ROUTER_CONFIG");
-  ExpectComplaint({{"ROUTER_CONFIG", "/nowhere/at/all"}}, "/nowhere/at/all");
+  ExpectStartupError({}, "ROUTER_CONFIG");
+  ExpectStartupError({{"ROUTER_CONFIG", "/nowhere/at/all"}}, "/nowhere/at/all");
   const auto with = [](const std::string& text, const std::string& part) {
     const ConfigFile file(text);
-    ExpectComplaint({{"ROUTER_CONFIG", file.path}}, part);
+    ExpectStartupError({{"ROUTER_CONFIG", file.path}}, part);
   };
   with("", "JSON");
   with("{", "JSON");
@@ -72,7 +72,7 @@
   }
 }
 
-// Further SIGTERM, SIGINT and SIGHUP during the shutdown.
+// Further SIGTERM, SIGINT and SIGHUP that arrive during the shutdown must not abort requests in flight.
 TEST(Process, SignalsDuringShutdownLoseNoRequest) {
   WaitableValue<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
@@ -100,22 +100,23 @@
   ASSERT_TRUE(
       elsewhere.activity.WaitFor([](const FakeDiscovery::Activity& s) { return s.list_requests >= 1; }));
   child.Signal(SIGINT);
-  // Also in the last stretch, when nobody is accepted any more.
-  const auto gone = [&] {
+  // Sends a signal also after the grace period, when no connections are accepted any more.
+  const auto listener_closed = [&] {
     asio::io_context io;
     Tcp::socket socket(io);
     error_code failed;
     socket.connect(address, failed);
     return static_cast<bool>(failed);
   };
-  while (!gone()) std::this_thread::yield();
+  while (!listener_closed()) std::this_thread::yield();
   child.Signal(SIGTERM);
   release.Update([](bool& r) { r = true; });
   for (const auto& client : clients) EXPECT_EQ(client->Read().body(), "served");
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// Idle clients use up their limit, and more wait: discovery and backends are still reached.
+// While idle clients use up their share of the descriptors and more wait to be accepted, the proxy must still
+// be able to connect to discovery and to backends.
 TEST(Process, ClientsLeaveDescriptorsForDiscoveryAndBackends) {
   constexpr rlim_t kDescriptors = 256;
   Backend backend;
@@ -129,9 +130,9 @@
       kDescriptors);
   ASSERT_TRUE(WaitUntilReady(address));
   ASSERT_TRUE(discovery.WaitForWatches(1));
-  std::vector<std::unique_ptr<Client>> resting;
+  std::vector<std::unique_ptr<Client>> idle_clients;
   const auto fill = [&](std::size_t n) {
-    for (std::size_t i = 0; i < n; ++i) resting.push_back(std::make_unique<Client>(address));
+    for (std::size_t i = 0; i < n; ++i) idle_clients.push_back(std::make_unique<Client>(address));
   };
   fill(300);
   for (std::size_t watches = 2; watches < 5; ++watches) {
@@ -141,7 +142,7 @@
     Client asks(address);
     EXPECT_EQ(asks.SendAndRead(WithRequestId(LookRequest(), Numbered("r", watches))).body(), "served");
   }
-  resting.clear();
+  idle_clients.clear();
   Client after(address);
   EXPECT_EQ(after.SendAndRead(WithRequestId(LookRequest(), "after")).body(), "served");
   child.Signal(SIGTERM);
--- a/tests/proxy/readiness_test.cpp
+++ b/tests/proxy/readiness_test.cpp
@@ -22,16 +22,16 @@
 TEST(Readiness, RejectionHasRetryAfter) {
   ProxySetup setup(Members());
   setup.config["settings"]["classes"][2]["goalTimeMs"] = 50;
-  // Also without permission to advise simulated clients: over HTTP the response carries the header.
+  // The header does not depend on `retryAfter`, which is about simulated clients only.
   setup.config["settings"]["permissions"]["retryAfter"] = false;
   setup.config["settings"]["permissions"]["maxRetryAfterMs"] = 1500;
   setup.Start();
   Client client(setup.proxy->address);
   const HttpResponse answer = client.SendAndRead(BookRequest());
   EXPECT_EQ(answer.result_int(), 503u);
-  const double told = std::stod(std::string(answer[http::field::retry_after]));
-  EXPECT_GE(told, 1.35);
-  EXPECT_LE(told, 1.5);
+  const double retry_after_s = std::stod(std::string(answer[http::field::retry_after]));
+  EXPECT_GE(retry_after_s, 1.35);
+  EXPECT_LE(retry_after_s, 1.5);
 }
 
 TEST(Readiness, IsReadyWithEndpointList) {
