--- a/src/membership/claim_merger.cpp
+++ b/src/membership/claim_merger.cpp
@@ -107,7 +107,7 @@
   const bool recent = source == Source::kGossip && age < kMaxRecentTimeouts * options_.contact_timeout &&
                       now - member.last_contact >= options_.contact_timeout / 2;
   if (status == MemberStatus::kLeft || recent || !IsSameProcess(record, *member.record))
-    return lifecycle_.Bury(index, status, reported_by, claim.age_ms(), now);
+    return lifecycle_.MarkEnded(index, status, reported_by, claim.age_ms(), now);
   if (newer) lifecycle_.Revive(index, WithRefutationNumber(*member.record, record.refutation_number()), now);
   lifecycle_.Suspect(index, reported_by, now, now);
   lifecycle_.BecomeConfirmer(index, now);
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -156,7 +156,7 @@
     }
   }
   for (const int index : failed) {
-    lifecycle_.Bury(index, MemberStatus::kDead, local_.name(), 0, now);
+    lifecycle_.MarkEnded(index, MemberStatus::kDead, local_.name(), 0, now);
     queue_.ScheduleRound(now);
   }
 }
--- a/src/membership/member_lifecycle.cpp
+++ b/src/membership/member_lifecycle.cpp
@@ -105,8 +105,8 @@
   if (Suspicion* suspicion = suspicions_.Find(index)) SuspicionTable::MakeConfirmer(*suspicion, now);
 }
 
-void MemberLifecycle::Bury(int index, MemberStatus status, const std::string& reported_by,
-                           std::uint32_t age_ms, Time now) {
+void MemberLifecycle::MarkEnded(int index, MemberStatus status, const std::string& reported_by,
+                                std::uint32_t age_ms, Time now) {
   const std::string name = members_[index].record->name();
   const Time last_contact = members_[index].last_contact;
   suspicions_.End(index);
--- a/src/membership/member_lifecycle.h
+++ b/src/membership/member_lifecycle.h
@@ -43,7 +43,8 @@
   // This member becomes a confirmer of the suspicion, if there is one.
   void BecomeConfirmer(int index, Time now);
   // Dead or left, as `reported_by` declared so long ago.
-  void Bury(int index, MemberStatus status, const std::string& reported_by, std::uint32_t age_ms, Time now);
+  void MarkEnded(int index, MemberStatus status, const std::string& reported_by, std::uint32_t age_ms,
+                 Time now);
   // Another member received a message of it at `contact`; of a suspect, the others are informed.
   void RecordContact(int index, Time contact, Time now);
   // Removes tombstones that are older than their lifetime.
