--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -6,8 +6,8 @@
 namespace copperpoint::membership {
 namespace {
 
-// Whether the sender of a message with bucket hashes has another state of this name's bucket. A bucket
-// whose hash it did not send counts as different.
+// Returns whether the sender of a message with bucket hashes has another state of the bucket of `name`. A
+// bucket whose hash the message does not have counts as different.
 bool DiffersInBucket(const MemberTable& members, const wire::Message& message, const std::string& name) {
   const std::size_t bucket = MemberTable::BucketOf(name);
   const int index = static_cast<int>(bucket);
@@ -15,7 +15,7 @@
   return message.buckets(index) != members.buckets()[bucket];
 }
 
-// Whether this member has a later state than a claim that another member sent.
+// Returns whether this member has a later state of `member` than the claim that another member sent.
 bool IsLaterThan(const Member& member, const wire::Claim& claim) {
   const Record& own = *member.record;
   const Record& other = claim.record();
@@ -54,7 +54,7 @@
   for (const std::uint64_t bucket : members_.buckets()) reply.add_buckets(bucket);
   members_.ForEach([&](int index, const Member& member) {
     if (!DiffersInBucket(members_, hashes, member.record->name())) return;
-    // A claim on a suspect has no complete record.
+    // A claim on a suspect has no complete record, so that a claim with the record is sent before it.
     if (member.status == MemberStatus::kSuspect) *reply.add_claims()->mutable_record() = *member.record;
     *reply.add_claims() = claims_.ClaimOn(index, now);
   });
--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Synchronizes the complete tables of two members over TCP (push-pull anti-entropy: Demers and others, 1987):
-// hashes of buckets there, the members that differ back, and those that the other lacks there again.
+// one member sends the hashes of its buckets, the other replies with its members of the buckets that differ,
+// and the first pushes the members that the other lacks or has in an older state.
 #ifndef COPPERPOINT_MEMBERSHIP_ANTI_ENTROPY_H_
 #define COPPERPOINT_MEMBERSHIP_ANTI_ENTROPY_H_
 
@@ -16,23 +17,24 @@
 
 namespace copperpoint::membership {
 
-// Owns the time before which no further synchronization is started. Claims that it receives are merged by its
-// caller.
+// Owns the time before which no further synchronization is started. The caller merges the claims that a
+// message of the synchronization has.
 class AntiEntropy {
  public:
   AntiEntropy(const Options& options, const MemberTable& members, const ClaimBuilder& claims,
               const LocalMember& local, MessageSender& sender, RandomSource& random, Time now);
 
-  // Sends the hashes of this member's buckets to a member.
+  // Starts a synchronization: sends the hashes of this member's buckets to the member at `address`.
   void Start(const std::string& address, Time now);
-  // The same, unless the last start was within one to two sync_delays, at random.
+  // Does the same, unless the last synchronization started less than a delay ago: one to two sync_delays,
+  // drawn at random.
   void StartIfDue(const std::string& address, Time now) {
     if (now >= next_start_) Start(address, now);
   }
-  // The frame of the reply to another member's hashes: all members of the buckets that differ.
+  // Returns the frame of the reply to another member's hashes. It has all members of the buckets that differ.
   std::string Reply(const wire::Message& hashes, Time now);
-  // The members of the buckets that differ which the sender of the reply lacks or has in an older state. To
-  // be called before its claims are merged.
+  // Returns the message to push to the sender of a reply: the members of the buckets that differ which that
+  // member lacks or has in an older state. Must be called before the reply's claims are merged.
   wire::Message MissingAtSender(const wire::Message& reply, Time now);
 
  private:
--- a/src/membership/claim_builder.cpp
+++ b/src/membership/claim_builder.cpp
@@ -8,7 +8,7 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr std::size_t kMaxEnvelopeBytes = 256;  // of a datagram, for all but a record
+constexpr std::size_t kMaxEnvelopeBytes = 256;  // the bytes of a datagram reserved for all but the record
 
 }  // namespace
 
--- a/src/membership/claim_builder.h
+++ b/src/membership/claim_builder.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Writes what this member reports of others, from its tables.
+// Composes the claims and last contacts that this member reports of others, from its tables.
 #ifndef COPPERPOINT_MEMBERSHIP_CLAIM_BUILDER_H_
 #define COPPERPOINT_MEMBERSHIP_CLAIM_BUILDER_H_
 
@@ -15,20 +15,20 @@
 
 namespace copperpoint::membership {
 
-// An age as messages state it: not below 0.
+// Returns an age in milliseconds, as messages state it. A negative age counts as 0.
 std::uint32_t AgeMs(Time age);
-// Whether a record is within the limits on its fields, and fits into one datagram.
+// Returns whether a record is within the limits on its fields, and fits into one datagram.
 bool IsWithinLimits(const Record& record, const Options& options);
 
-// Reads the tables; owns no state but this member's name.
+// Reads the tables of its owner, and owns only this member's name.
 class ClaimBuilder {
  public:
   ClaimBuilder(const MemberTable& members, const SuspicionTable& suspicions, std::string own_name)
       : members_(members), suspicions_(suspicions), own_name_(std::move(own_name)) {}
 
-  // What this member has on another, by index.
+  // Returns a claim with the status and the record that this member has of another, given by its index.
   wire::Claim ClaimOn(int index, Time now) const;
-  // That the last contact with a member was at `contact`.
+  // Returns a report that the last contact with a member was at `contact`.
   wire::LastContact LastContactOf(int index, Time contact, Time now) const;
 
  private:
--- a/src/membership/claim_merger.cpp
+++ b/src/membership/claim_merger.cpp
@@ -6,7 +6,7 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr int kMaxRecentTimeouts = 2;  // contact_timeouts after which a death is not recent
+constexpr int kMaxRecentTimeouts = 2;  // the contact_timeouts after which a death no longer counts as recent
 
 bool IsSameProcess(const Record& a, const Record& b) { return a.incarnation() == b.incarnation(); }
 
@@ -53,13 +53,13 @@
     case wire::STATUS_LEFT:
       return MergeEnded(claim, reported_by, source, index, now);
     default:
-      return;  // of a later version
+      return;  // a status that only a later version of the program knows
   }
 }
 
-// A process may have lost its name to an older one only for a while: where two members restart at once, a
-// claim on the process before may arrive after one on the present process. Only a running process can claim a
-// later refutation number; a late claim cannot.
+// A process may have lost its name to an older process for only a while: when two members restart at once, a
+// claim on the previous process may arrive after one on the present process. Only a running process can claim
+// a later refutation number; a late claim cannot.
 bool ClaimMerger::IsOfEndedProcess(const Record& record, int index) const {
   if (!ended_.Contains(record.incarnation())) return false;
   return index == MemberTable::kNotFound || !Supersedes(record, *members_[index].record);
@@ -102,8 +102,9 @@
     if (newer || status == MemberStatus::kLeft) lifecycle_.ReplaceTombstone(index, record, status, now);
     return;
   }
-  // An old death, and that of a member with recent contact, is a suspicion only, which a living member gets
-  // to refute. So halves of a partitioned fleet that meet again do not bury each other by old claims.
+  // An old death, and the death of a member with recent contact, only starts a suspicion, which a living
+  // member can refute. Otherwise halves of a partitioned fleet that reconnect would declare each other dead
+  // by old claims.
   const bool recent = source == Source::kGossip && age < kMaxRecentTimeouts * options_.contact_timeout &&
                       now - member.last_contact >= options_.contact_timeout / 2;
   if (status == MemberStatus::kLeft || recent || !IsSameProcess(record, *member.record))
--- a/src/membership/claim_merger.h
+++ b/src/membership/claim_merger.h
@@ -16,26 +16,26 @@
 
 namespace copperpoint::membership {
 
-// Owns no state: each claim that counts is a transition of MemberLifecycle.
+// Owns no state: each claim that changes the table becomes a transition of MemberLifecycle.
 class ClaimMerger {
  public:
-  // Where claims come from.
+  // How a claim was received.
   enum class Source {
-    kGossip,  // a recent change
-    kSync,    // all that the sender has, however old
+    kGossip,  // in a datagram: the claim is on a recent change
+    kSync,    // in a synchronization: the sender reports its complete table, with claims of any age
   };
 
   ClaimMerger(const Options& options, const MemberTable& members, const EndedIncarnations& ended,
               const LocalMember& local, MemberLifecycle& lifecycle, NameConflict& name_conflict,
               Counters& counters);
 
-  // The claims and last contacts of a message that was accepted.
+  // Merges the claims and last contacts of a message that MessageFilter has accepted.
   void MergeAll(const wire::Message& message, Source source, Time now);
-  // `from`: the name of the member that sent the claim.
+  // Merges one claim. `from` is the name of the member that sent it.
   void Merge(const wire::Claim& claim, const std::string& from, Source source, Time now);
 
  private:
-  // Whether the claim is on a process that has ended, or lost its name to another one for good.
+  // Returns whether the claim is on a process that has ended, or that lost its name to another for good.
   bool IsOfEndedProcess(const Record& record, int index) const;
   void MergeAlive(const Record& record, int index, Time now);
   void MergeSuspect(const wire::Claim& claim, const std::string& accuser, int index, Time now);
--- a/src/membership/convergence_tracker.h
+++ b/src/membership/convergence_tracker.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides whether this member and those it receives messages of have the same table, and notices a partition:
-// tables that stay different.
+// Decides whether this member has the same table as the members that send it messages, and detects tables
+// that stay different, as after a partition.
 #ifndef COPPERPOINT_MEMBERSHIP_CONVERGENCE_TRACKER_H_
 #define COPPERPOINT_MEMBERSHIP_CONVERGENCE_TRACKER_H_
 
@@ -12,20 +12,22 @@
 
 namespace copperpoint::membership {
 
-// Owns the number of agreements in a row, and the times of the last agreement and the last change.
+// Owns the number of consecutive messages whose sender had the same table, and the times of the last such
+// message and of the last change of this member's table.
 class ConvergenceTracker {
  public:
   ConvergenceTracker(const Options& options, Time now)
       : options_(options), last_change_(now), last_agreement_(now) {}
 
-  // This member's table has changed.
+  // Must be called when this member's table has changed.
   void OnTableChanged(Time now) {
     last_change_ = now;
     agreements_ = 0;
   }
-  // A member reported the hash of its table. True: the two should be synchronized, since they have differed
-  // for sync_delay without a change here, or since this member has agreed with no other for kLostSyncDelays
-  // of them: where changes never cease, it has missed some.
+  // Must be called when a member has reported the hash of its table. Returns whether the two tables should be
+  // synchronized: they differ and this one has not changed for sync_delay, or this member's table has
+  // equalled no other for kLostSyncDelays sync_delays. So missed changes are found even if changes never
+  // cease.
   bool OnComparison(bool equal, Time now) {
     if (equal) {
       agreements_ = std::min(kMaxAgreements, agreements_ + 1);
@@ -36,8 +38,8 @@
     return now - last_agreement_ >= kLostSyncDelays * options_.sync_delay ||
            now - last_change_ >= options_.sync_delay;
   }
-  // Whether the last members that sent a message, four or all others, had the same table. `living` counts
-  // this one.
+  // Returns whether the senders of the last messages had the same table: of four messages, or of as many as
+  // there are other members if those are fewer. `living` is the number of living members with this one.
   bool Agrees(std::size_t living) const {
     return agreements_ >= static_cast<int>(std::min<std::size_t>(kMaxAgreements, living - 1));
   }
@@ -46,7 +48,7 @@
   static constexpr int kMaxAgreements = 4, kLostSyncDelays = 5;
 
   const Options& options_;
-  int agreements_ = 0;  // in a row
+  int agreements_ = 0;  // consecutive, up to kMaxAgreements
   Time last_change_, last_agreement_;
 };
 
--- a/src/membership/document_exchange.h
+++ b/src/membership/document_exchange.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Fetches later versions of documents from the members that have them, and serves this member's.
+// Fetches later versions of documents from the members that have them, and serves this member's documents.
 #ifndef COPPERPOINT_MEMBERSHIP_DOCUMENT_EXCHANGE_H_
 #define COPPERPOINT_MEMBERSHIP_DOCUMENT_EXCHANGE_H_
 
@@ -15,20 +15,21 @@
 
 namespace copperpoint::membership {
 
-// Owns the time of the next fetch. The topics that have a later version go to the output.
+// Owns the time of the next fetch. The topics of which a later version was stored are added to `updated`.
 class DocumentExchange {
  public:
   DocumentExchange(const Options& options, DocumentStore& documents, const LocalMember& local,
                    MessageSender& sender, std::vector<Topic>& updated, Time now);
 
-  // This member's own version. False: a later one is stored.
+  // Stores a version that this member publishes. Returns false if the stored version is as late, or if the
+  // document is over a limit of DocumentStore.
   bool Publish(Topic topic, std::uint64_t version, std::string body);
-  // The versions that a message of a member at `address` names: marks are taken, and a later document is
-  // fetched, one in each gossip_period.
+  // Compares the versions that a message names with this member's. Later marks are stored at once; later
+  // documents are fetched from `address`, the sender's, at most one in each gossip_period.
   void OnVersions(const wire::Message& message, const std::string& address, Time now);
-  // The frame of the reply to a fetch; empty: there is none.
+  // Returns the frame of the reply to a fetch, or an empty string if this member does not reply.
   std::string Reply(const wire::Message& fetch);
-  // The reply to this member's fetch.
+  // Stores the document that another member sent in reply to a fetch.
   void OnDocument(const wire::Message& message);
 
  private:
--- a/src/membership/ended_incarnations.h
+++ b/src/membership/ended_incarnations.h
@@ -11,7 +11,7 @@
 
 namespace copperpoint::membership {
 
-// Owns the incarnations that have ended, the oldest of them forgotten first.
+// Owns the last kMaxRemembered incarnations that have ended; beyond this number the oldest is forgotten.
 class EndedIncarnations {
  public:
   static constexpr std::size_t kMaxRemembered = 4096;
@@ -24,7 +24,7 @@
     ended_.erase(order_.front());
     order_.pop_front();
   }
-  // It is running after all.
+  // Removes an incarnation that proves to be running.
   void Remove(std::uint64_t incarnation) { ended_.erase(incarnation); }
 
  private:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,9 +9,12 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr int kConfirmerIndirectProbes = 2;  // with each direct probe of a suspect by a confirmer
-constexpr int kMaxConfirmerProbes = 32;      // in one check: many failures at once cause no storm of probes
-constexpr int kSuspicionChecksPerPeriod = 4;
+// The indirect probes that a confirmer requests with each direct probe of a suspect.
+constexpr int kConfirmerIndirectProbes = 2;
+// The greatest number of probes that a confirmer sends in one check of the suspicions, so that many failures
+// at once do not cause a burst of probes.
+constexpr int kMaxConfirmerProbes = 32;
+constexpr int kSuspicionChecksPerPeriod = 4;  // checks per probe_period
 
 }  // namespace
 
@@ -57,7 +60,8 @@
 void FailureDetector::OnAck(const wire::Message& message, Time now) {
   const std::optional<Probe> probe = probes_.Take(message.probe());
   if (!probe || message.target().empty() || message.target() != probe->target) return;
-  // Through another member: the target's message went to that one.
+  // An ack with a target was forwarded by another member, which received the target's message. This member
+  // records the contact here, since MessageFilter does so only for the sender of a message.
   const int index = members_.Find(probe->target);
   if (index != MemberTable::kNotFound && members_[index].living()) lifecycle_.RecordContact(index, now, now);
 }
@@ -97,7 +101,7 @@
     std::erase(others, local_.index());
     return others;
   };
-  // Members that died since the order was drawn are skipped; at most one order is gone through.
+  // Members that died since the order was drawn are skipped. At most about one order is searched.
   for (std::size_t i = 0; i <= members_.living().size(); ++i) {
     const std::optional<int> index = order_.Next(list_others, random_);
     if (!index) return;
@@ -150,7 +154,7 @@
                ++probed <= kMaxConfirmerProbes) {
       suspicion.last_probe = now;
       const std::uint32_t id = SendProbe(index, /*confirming=*/true, now);
-      // The report of its last contact may have missed only this confirmer.
+      // This confirmer may be the only member that a report of the suspect's last contact did not reach.
       if (options_.with_indirect_probes)
         RequestIndirectProbes(kConfirmerIndirectProbes, id, members_[index].record->name(), now);
     }
@@ -161,7 +165,8 @@
   }
 }
 
-// So that the halves of a partitioned fleet find each other again: a member that answers is not dead.
+// Probes a random dead member, so that the halves of a partitioned fleet find each other again: a member that
+// answers is not dead.
 void FailureDetector::ProbeDeadMember(Time now) {
   if (members_.living().size() == members_.size()) return;
   int chosen = MemberTable::kNotFound;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -20,7 +20,8 @@
 
 namespace copperpoint::membership {
 
-// Owns the order of probes and the times of the next probe, check of suspicions, and probe of a dead member.
+// Owns the order in which members are probed, and the times of the next probe, of the next check of the
+// suspicions, and of the next probe of a dead member.
 class FailureDetector {
  public:
   // The first probe is due at `first_probe`.
@@ -29,9 +30,9 @@
                   MemberLifecycle& lifecycle, MessageSender& sender, RandomSource& random, Time first_probe,
                   Time now);
 
-  Time next() const;  // when OnTimer is due
+  Time next() const;  // the time at which OnTimer is due
   void OnTimer(Time now);
-  // An ack of a probe of this member's, direct or through another member.
+  // Handles the ack of a probe that this member sent, received directly or through another member.
   void OnAck(const wire::Message& message, Time now);
 
  private:
@@ -40,7 +41,7 @@
   void ProbeNextMember(Time now);
   void CheckSuspicions(Time now);
   void ProbeDeadMember(Time now);
-  std::uint32_t SendProbe(int index, bool confirming, Time now);  // the probe's id
+  std::uint32_t SendProbe(int index, bool confirming, Time now);  // returns the probe's id
   // Requests `count` random members that are alive to repeat the probe; they also answer at once with their
   // last contact with the target.
   void RequestIndirectProbes(int count, std::uint32_t probe_id, const std::string& target, Time now);
--- a/src/membership/gossip_allowance.h
+++ b/src/membership/gossip_allowance.h
@@ -12,13 +12,13 @@
 
 namespace copperpoint::membership {
 
-// A token bucket that holds one second's bytes. Owns its level.
+// A token bucket that holds at most the bytes of one second. Owns its level.
 class GossipAllowance {
  public:
   GossipAllowance(std::size_t bytes_per_s, Time now)
       : rate_(static_cast<double>(bytes_per_s)), allowance_(rate_), updated_at_(now) {}
 
-  // Bytes that may be sent now.
+  // Returns the number of bytes that may be sent now.
   std::size_t Available(Time now) {
     allowance_ =
         std::min(rate_, allowance_ + rate_ * std::chrono::duration<double>(now - updated_at_).count());
@@ -28,8 +28,8 @@
   void Spend(std::size_t bytes) { allowance_ -= static_cast<double>(bytes); }
 
  private:
-  const double rate_;  // bytes a second
-  double allowance_;   // bytes, at updated_at_
+  const double rate_;  // in bytes per second
+  double allowance_;   // in bytes, at updated_at_
   Time updated_at_;
 };
 
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -8,10 +8,12 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr std::size_t kFieldBytes = 8;  // of a claim's tag and length, and of an age that has grown, at most
-constexpr int kMaxSkipped = 8;          // claims too large for the rest of a message
+// The greatest number of bytes of a claim's tag and length, and of the growth of its age in the queue.
+constexpr std::size_t kFieldBytes = 8;
+// The number of claims too large for the rest of a message after which no further claims are tried.
+constexpr int kMaxSkipped = 8;
 
-// The age of a fact that was `age_ms` old when it was queued.
+// Returns the age in milliseconds of a fact that was `age_ms` old when it was queued.
 std::uint32_t AgeAfter(std::uint32_t age_ms, Time queued_for) {
   return age_ms + static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(queued_for).count());
 }
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -15,15 +15,15 @@
 
 namespace copperpoint::membership {
 
-// Claims that were sent least often go first; where the queue is full, the one sent most often is dropped. A
-// new claim on a member replaces all that is queued on it.
+// Claims that were sent least often are sent first. When the queue is full, the claim that was sent most
+// often is dropped. A new claim on a member replaces everything that is queued on that member.
 //
 // Owns the queued claims, and the time at which the next round of gossip is due.
 class GossipQueue {
  public:
   GossipQueue(std::size_t max_claims, Time now) : max_claims_(max_claims), next_round_(now) {}
 
-  // What may be queued on one member at a time. kAccuser + n: the accusation by the suspect's n-th accuser.
+  // What may be queued on one member at a time. kAccuser + n is the accusation by the suspect's n-th accuser.
   enum Kind { kClaim, kLastContact, kAccuser };
   void Add(wire::Claim claim, Time now, int kind = kClaim);
   void Add(wire::LastContact last_contact, Time now);
@@ -31,13 +31,13 @@
   // Empties the queue for good.
   void Clear();
 
-  // Adds claims to the message, up to about `max_bytes` of it, and counts each as sent once more; after
-  // `max_transmissions` it is removed. The bytes added.
+  // Adds claims of at most `max_bytes` in total to the message. Each added claim counts as sent once more,
+  // and is removed after `max_transmissions`. Returns an upper estimate of the bytes added.
   std::size_t Fill(wire::Message* message, std::size_t max_bytes, int max_transmissions, Time now);
 
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
-  std::size_t dropped() const { return dropped_; }  // since the start: the queue was full
+  std::size_t dropped() const { return dropped_; }  // claims dropped from a full queue since the start
 
   Time next_round() const { return next_round_; }
   void ScheduleRound(Time at) { next_round_ = at; }
@@ -46,7 +46,7 @@
   using Key = std::pair<std::string, int>;  // the member's name, and the kind
   struct Item {
     wire::Claim claim;
-    wire::LastContact last_contact;  // of kLastContact, which has no claim
+    wire::LastContact last_contact;  // set for kLastContact, where `claim` is not set
     std::size_t bytes = 0;
     int transmissions = 0;
     Time queued_at{};
--- a/src/membership/gossiper.cpp
+++ b/src/membership/gossiper.cpp
@@ -8,7 +8,7 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr int kLeaveRecipients = 8;
+constexpr int kLeaveRecipients = 8;  // members that are notified when this one leaves
 
 }  // namespace
 
--- a/src/membership/gossiper.h
+++ b/src/membership/gossiper.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Disseminates the queued claims: in rounds to a few random members, while there are any.
+// Disseminates the queued claims in rounds: while any are queued, each round goes to a few random members.
 #ifndef COPPERPOINT_MEMBERSHIP_GOSSIPER_H_
 #define COPPERPOINT_MEMBERSHIP_GOSSIPER_H_
 
@@ -13,7 +13,7 @@
 
 namespace copperpoint::membership {
 
-// Owns no state; the time of the next round is in the queue.
+// Owns no state; the queue has the time of the next round.
 class Gossiper {
  public:
   Gossiper(const Options& options, const MemberTable& members, GossipQueue& queue, const LocalMember& local,
@@ -21,7 +21,7 @@
 
   Time next() const { return queue_.empty() ? kNever : queue_.next_round(); }
   void OnTimer(Time now);
-  // Notifies a few members that this one leaves.
+  // Notifies a few random members that this member leaves.
   void AnnounceLeave(Time now);
 
  private:
--- a/src/membership/local_clock.h
+++ b/src/membership/local_clock.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The time of a member: the host's time less the spans for which its process paused.
+// The local time of a member: the host's time minus the durations for which the member's process paused.
 #ifndef COPPERPOINT_MEMBERSHIP_LOCAL_CLOCK_H_
 #define COPPERPOINT_MEMBERSHIP_LOCAL_CLOCK_H_
 
@@ -10,17 +10,17 @@
 
 namespace copperpoint::membership {
 
-// A process that was stopped or starved has received nothing meanwhile, and must not conclude that the others
-// had stopped (Lifeguard). It notices only by its own delayed wake-up; the delay is left out of its time, in
-// which all timeouts of the membership are measured.
+// A process that was stopped, or that got no CPU time, has received nothing meanwhile, and must not conclude
+// that the other members had stopped (Lifeguard). It detects a pause only by its own delayed wake-up. The
+// delay is left out of the local time, by which all timeouts of the membership run.
 //
-// Owns the sum of the pauses and the wake-up that is expected next.
+// Owns the sum of the pauses and the time of the next expected wake-up.
 class LocalClock {
  public:
   LocalClock(const Options& options, Time host_now)
       : options_(options), last_event_(host_now), expected_wakeup_(host_now) {}
 
-  // Called at each event; the member's time.
+  // Must be called at each event. Returns the local time.
   Time Enter(Time host_now) {
     if (options_.with_delayed_wakeups && host_now > expected_wakeup_ + options_.delayed_wakeup)
       paused_ += host_now - expected_wakeup_;
@@ -28,7 +28,7 @@
     expected_wakeup_ = std::max(expected_wakeup_, host_now);
     return ToLocal(host_now);
   }
-  // The host will wake this member at `host_due`.
+  // Sets the time at which the host is to wake this member.
   void ExpectWakeup(Time host_due) { expected_wakeup_ = std::max(host_due, last_event_); }
 
   Time ToLocal(Time host_time) const { return host_time - paused_; }
--- a/src/membership/local_member.cpp
+++ b/src/membership/local_member.cpp
@@ -11,7 +11,10 @@
   record.set_incarnation(incarnation);
   if (record.refutation_number() == 0) record.set_refutation_number(1);
   if (!IsWithinLimits(record, options))
-    throw std::invalid_argument("name, address, zone or versions are too long for a message");
+    throw std::invalid_argument(
+        "the record of member '" + record.name() + "' is over a limit: expected a name of 1 to " +
+        std::to_string(options.max_name_bytes) +
+        " bytes, and an address, a zone and versions of at most as many, all of which fit into one datagram");
   return std::make_shared<Record>(std::move(record));
 }
 
--- a/src/membership/local_member.h
+++ b/src/membership/local_member.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This process as a member: its own record, which no other member writes, and whether it takes part.
+// This process as a member: its own record, which no other member changes, and whether it takes part in the
+// membership.
 #ifndef COPPERPOINT_MEMBERSHIP_LOCAL_MEMBER_H_
 #define COPPERPOINT_MEMBERSHIP_LOCAL_MEMBER_H_
 
@@ -16,12 +17,12 @@
 
 namespace copperpoint::membership {
 
-// Owns its index in the member table, its incarnation, and whether it is established or has stopped. Each
-// change of its record is queued for gossip.
+// Owns this member's index in the member table, its incarnation, and whether it is established or has
+// stopped. Each change of its record is queued for gossip.
 class LocalMember {
  public:
-  // Adds the record to the table under the incarnation. Throws std::invalid_argument if a field is over its
-  // limit.
+  // Adds the record, with the incarnation set in it, to the table. Throws std::invalid_argument if a field is
+  // over its limit.
   LocalMember(const Options& options, MemberTable& members, GossipQueue& queue,
               ConvergenceTracker& convergence, const ClaimBuilder& claims, Record record,
               std::uint64_t incarnation, Time now);
@@ -31,19 +32,20 @@
   const Record& record() const { return *members_[index_].record; }
   const std::string& name() const { return record().name(); }
 
-  // It has met another member, or found that there is none.
+  // Returns whether this member has met another one, or has found that there is none.
   bool established() const { return established_; }
   void set_established() { established_ = true; }
-  // It has left, or lost its name: it sends nothing more.
+  // Returns whether this member has left or lost its name. It sends nothing more then.
   bool stopped() const { return stopped_; }
   void Stop();
 
-  // Its record with one change, in the next version.
+  // Return a copy of the record with one change, in the next version.
   std::shared_ptr<Record> WithState(MemberState state) const;
   std::shared_ptr<Record> WithMetadata(const std::string& key, const std::string& value) const;
+  // Replaces the record and queues it for gossip.
   void Replace(std::shared_ptr<Record> record, Time now);
-  // Refutes a claim that is not true of this member: takes the refutation number above the claim's, in serial
-  // arithmetic, and gossips at once.
+  // Refutes a claim that is not true of this member: adopts the refutation number after the claim's, in
+  // serial arithmetic, and schedules a round of gossip at once.
   void Refute(std::uint32_t refutation_number, Time now);
 
  private:
--- a/src/membership/member_lifecycle.cpp
+++ b/src/membership/member_lifecycle.cpp
@@ -9,8 +9,10 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr Time kMinContactInterval = milliseconds(100);  // contacts closer together are reported as one
-constexpr std::uint64_t kConfirmerSeed = 3;              // of a hash that every version computes the same
+// Of contacts with a suspect that are closer together, only the first is reported.
+constexpr Time kMinContactInterval = milliseconds(100);
+// The seed of the hash that selects confirmers. It must be the same in every version of the program.
+constexpr std::uint64_t kConfirmerSeed = 3;
 
 std::uint64_t HashOf(const std::string& name, std::uint64_t seed) {
   return XXH64(name.data(), name.size(), seed);
@@ -135,7 +137,7 @@
     if (!member.living() && now - member.status_since > options_.tombstone_lifetime) expired.push_back(index);
   });
   for (const int index : expired) {
-    // A process that left does not come back. One that was cut off for long may.
+    // A process that left does not return, while one that was cut off for a long time may.
     if (members_[index].status == MemberStatus::kLeft) ended_.Add(members_[index].record->incarnation());
     members_.Remove(index);
   }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -18,7 +18,7 @@
     case MemberState::kLeaving:
       return "leaving";
   }
-  return "unknown";  // of a later version
+  return "unknown";  // a state that only a later version of the program knows
 }
 
 const char* NameOf(MemberStatus status) {
@@ -37,9 +37,10 @@
 
 namespace {
 
-// Seeds of the hashes that members compare: the same in every version of the program.
+// The seeds of the hashes that members compare. They must be the same in every version of the program.
 constexpr std::uint64_t kRecordSeed = 1, kBucketSeed = 2;
-constexpr std::uint64_t kNameSeed = 4;  // of this table's own index
+// The seed of the hash by which this table finds names, which does not leave the process.
+constexpr std::uint64_t kNameSeed = 4;
 
 std::uint64_t NameHash(std::string_view name) { return XXH64(name.data(), name.size(), kNameSeed); }
 
@@ -146,7 +147,7 @@
     return;
   }
   by_hash_.erase(found);
-  // Another name of the same hash may be in by_name_ alone: it takes the slot.
+  // Another name with the same hash, which only by_name_ has, moves to the free place in by_hash_.
   for (auto other = by_name_.begin(); other != by_name_.end(); ++other) {
     if (NameHash(other->first) != NameHash(name)) continue;
     by_hash_.emplace(NameHash(other->first), other->second);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -10,22 +10,23 @@
 constexpr Time kExpiryCheckPeriod = std::chrono::seconds(5);
 constexpr std::uint64_t kIncarnationSalt = 0x9e3779b97f4a7c15u;
 
-// The finalizer of SplitMix64: well-mixed bits of whatever seed the host has drawn.
+// The finalizer of SplitMix64, which distributes the bits of any seed that the host has drawn.
 std::uint64_t MixBits(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
   return x ^ (x >> 31);
 }
 
-// Never 0, which a message to no particular incarnation has.
+// Returns an incarnation, which is never 0: a message to no particular incarnation has 0.
 std::uint64_t IncarnationFrom(std::uint64_t seed) { return MixBits(seed + kIncarnationSalt) | 1; }
 
-// Within a period, so that the members' probes are spread over it.
+// Returns a random time within the first period, so that the first probes of the members are spread over it.
 Time FirstProbe(const Options& options, RandomSource& random, Time now) {
   return now + options.probe_period * static_cast<int>(random.Below(1000)) / 1000;
 }
 
-// A member that opens a synchronization states itself; it may do so without knowing this incarnation.
+// Returns whether the only claim of a message is that its sender is alive. A member that opens a
+// synchronization sends such a claim, and need not know the incarnation of the recipient.
 bool StatesSender(const wire::Message& message) {
   if (message.claims_size() != 1) return false;
   const wire::Claim& claim = message.claims(0);
@@ -102,7 +103,7 @@
   const bool to_this = message.to_incarnation() == local_.incarnation();
   if (!to_this && message.to_incarnation() != 0) ++counters_.misaddressed;
   if (IsFromMember(message)) merger_.MergeAll(message, ClaimMerger::Source::kGossip, now);
-  // The claims may have been on the sender.
+  // This is determined again, since the merged claims may have been on the sender.
   const bool from_member = IsFromMember(message);
   const int sender = members_.Find(message.from());
   const std::string address = sender == MemberTable::kNotFound ? from : members_[sender].record->address();
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One member's knowledge of the fleet, from messages of the other members only (docs/membership.md). No I/O,
-// no clock, no thread: time and frames come in, frames and events go out. The proxy and the fault tests host
-// the same class.
+// One member's knowledge of the fleet, gained only from messages of the other members (docs/membership.md).
+// It has no I/O, clock or thread: the host passes in the time and received frames, and takes frames to send
+// and events. The proxy and the fault tests host the same class.
 #ifndef COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
 #define COPPERPOINT_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -41,8 +41,8 @@
 
 namespace copperpoint::membership {
 
-// Owns all state of one member, and passes each event to the class that is responsible for it. All times are
-// the host's.
+// Owns all state of one member, and passes each event to the class that is responsible for it. All times that
+// the functions take and return are the host's.
 //
 // Sources: SWIM (Das, Gupta, Motivala 2002) for probes, suspicion, refutation and piggybacked claims;
 // Lifeguard (Dadgar, Phillips, Currey 2018) for confirmations, delayed wake-ups and notifying a suspect
@@ -57,57 +57,61 @@
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // For virtual time: starts as one that has long known `others`.
+  // Starts this member as one that has known `others` for long. Used in virtual time only.
   void Settle(Time now, const std::vector<std::shared_ptr<const Record>>& others);
-  // Addresses of members to contact first; those that do not answer are contacted again from time to time.
+  // Joins the fleet through the members at the addresses `seeds`. Seeds that do not answer are contacted
+  // again from time to time.
   void Join(Time now, std::vector<std::string> seeds);
 
-  // `from` is the sender's address.
+  // Handles a datagram; `from` is the sender's address.
   void OnDatagram(Time now, const std::string& from, std::string_view bytes);
-  // A frame that opens an exchange. The frame to reply; empty: none.
+  // Handles a frame that opens an exchange. Returns the frame of the reply, or an empty string for no reply.
   std::string OnExchange(Time now, std::string_view frame);
-  // The reply to an exchange that this member opened.
+  // Handles the reply to an exchange that this member opened.
   void OnReply(Time now, std::string_view frame);
   void OnTick(Time now);
-  Time next() const;  // when OnTick is due; kNever after it has stopped
+  Time next() const;  // the time at which OnTick is due; kNever after this member has stopped
 
   void SetState(Time now, MemberState state);
-  // Publishes a value in this member's metadata. False: a limit does not allow it.
+  // Publishes a value in this member's metadata. Returns false if the record would be over a limit, or if
+  // this member has stopped.
   bool Publish(Time now, const std::string& key, const std::string& value);
-  // Sends one datagram, which may be lost, to a member. False: no living member has that name, or the body is
-  // over the limit.
+  // Sends an application message to a member in one datagram, which may be lost. Returns false if no other
+  // living member has that name, the body is over the limit, or this member has stopped.
   bool SendMessage(Time now, const std::string& to, Topic topic, std::string body);
-  // Disseminates a version of a document to all members; an empty body: of a mark. False: a later one is
-  // stored.
+  // Disseminates a version of a document to all members; an empty body makes it a mark. Returns false if the
+  // stored version is as late, the document is over a limit, or this member has stopped.
   bool PublishDocument(Time now, Topic topic, std::uint64_t version, std::string body);
   const Document* document(Topic topic) const { return documents_.Find(topic); }
   void SetDocumentFilter(DocumentStore::Filter filter) { documents_.SetFilter(std::move(filter)); }
-  // Notifies members that it leaves, and stops.
+  // Notifies some members that this one leaves, and stops.
   void Leave(Time now);
 
-  // What is to be sent and reported. To be called after each of the above, and before next().
+  // Returns what is to be sent and reported. Must be called after each of the above, and before next().
   Output Take();
 
   const MemberTable& members() const { return members_; }
   const Record& self() const { return local_.record(); }
-  // It has met another member, or found that there is none.
+  // Returns whether this member has met another one, or has found that there is none.
   bool established() const { return local_.established(); }
-  // It has left, or lost its name, and sends nothing more.
+  // Returns whether this member has left or lost its name. It sends nothing more then.
   bool stopped() const { return local_.stopped(); }
-  // No member is suspected, and the last members that sent a message, up to four, had the same table.
+  // Returns whether this member is established and running, suspects no member, and had the same table as the
+  // senders of the last messages (ConvergenceTracker::Agrees).
   bool converged() const;
   const Counters& counters() const { return counters_; }
   std::size_t gossip_dropped() const { return gossip_queue_.dropped(); }
-  // nullptr: the member with this index is not suspected.
+  // Returns the suspicion of the member with this index, or nullptr if it is not suspected.
   const Suspicion* suspicion(int index) const { return suspicions_.Find(index); }
-  // The time in which the times of the member table are.
+  // Converts the host's time to the local time, which the member table and the suspicions use.
   Time ToLocalTime(Time host_time) const { return clock_.ToLocal(host_time); }
 
  private:
-  peers::FrameError Decode(std::string_view frame, wire::Message* message);  // counts errors
+  // Decodes a frame, and counts it by its error if it has one.
+  peers::FrameError Decode(std::string_view frame, wire::Message* message);
   void OnMessage(const wire::Message& message, const std::string& from, Time now);
   void OnSyncReply(const wire::Message& message, Time now);
-  // Whether the message is of a member, and to this incarnation.
+  // Returns whether the message comes from a known process and is addressed to this incarnation.
   bool IsFromMember(const wire::Message& message) const;
 
   const Options options_;
--- a/src/membership/message_filter.cpp
+++ b/src/membership/message_filter.cpp
@@ -47,10 +47,10 @@
     anti_entropy_.StartIfDue(from, now);
     return true;
   }
-  // A process that has just started: the reply has the refutation number that it has to go above.
+  // The sender may have just started and be joining: the reply tells it the refutation number to exceed.
   if (message.kind() == wire::KIND_SYNC) return true;
   ++counters_.older_incarnations;
-  if (limiter_.TryAcquire(now)) {  // a running process is informed that its name is another's
+  if (limiter_.TryAcquire(now)) {  // informs a running process that another one has its name
     wire::Message reply = sender_.NewMessage(wire::KIND_GOSSIP);
     *reply.add_claims() = claims_.ClaimOn(index, now);
     reply.set_to_incarnation(message.incarnation());
@@ -70,7 +70,8 @@
       lifecycle_.Revive(index, WithRefutationNumber(*member.record, message.refutation_number()), now);
     lifecycle_.RecordContact(index, now, now);
   } else if (member.status == MemberStatus::kDead) {
-    anti_entropy_.StartIfDue(member.record->address(), now);  // it is alive; each has missed changes
+    // The sender is alive, and the two members have missed each other's changes.
+    anti_entropy_.StartIfDue(member.record->address(), now);
   }
   return true;
 }
--- a/src/membership/message_filter.h
+++ b/src/membership/message_filter.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Decides which messages are accepted: none twice, and none of a process that has ended or lost its name.
+// Decides which messages are accepted. A message is rejected if it was received before, or if its sender is a
+// process that has ended or lost its name.
 #ifndef COPPERPOINT_MEMBERSHIP_MESSAGE_FILTER_H_
 #define COPPERPOINT_MEMBERSHIP_MESSAGE_FILTER_H_
 
@@ -20,8 +21,8 @@
 
 namespace copperpoint::membership {
 
-// Owns no state: what it learns of the sender goes to MemberLifecycle, and a sender whose table must differ
-// is synchronized with.
+// Owns no state. It passes what a message shows about its sender to MemberLifecycle, and starts a
+// synchronization with a sender whose table must differ.
 class MessageFilter {
  public:
   MessageFilter(MemberTable& members, const EndedIncarnations& ended, const ClaimBuilder& claims,
@@ -29,7 +30,7 @@
                 NameConflict& name_conflict, MessageSender& sender, ReplyLimiter& limiter,
                 Counters& counters);
 
-  // `from` is the sender's address, empty within an exchange. False: the message is dropped.
+  // Returns whether the message is accepted. `from` is the sender's address, or empty within an exchange.
   bool Accept(const wire::Message& message, const std::string& from, Time now);
 
  private:
--- a/src/membership/message_sender.cpp
+++ b/src/membership/message_sender.cpp
@@ -7,8 +7,9 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr std::size_t kReservedBytes = 16;  // of a datagram, that claims never use
+constexpr std::size_t kReservedBytes = 16;  // the bytes of a datagram that claims never use
 
+// Returns the number of times that each member sends a claim (Options::retransmit_factor).
 int MaxTransmissions(std::size_t members, int factor) {
   int digits = 1;
   for (; members >= 10; members /= 10) ++digits;
--- a/src/membership/message_sender.h
+++ b/src/membership/message_sender.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Composes and encodes the messages of this member, and adds queued claims to those that have space for them.
+// Composes and encodes the messages that this member sends, and adds queued claims to the datagrams that have
+// space for them.
 #ifndef COPPERPOINT_MEMBERSHIP_MESSAGE_SENDER_H_
 #define COPPERPOINT_MEMBERSHIP_MESSAGE_SENDER_H_
 
@@ -19,22 +20,22 @@
 
 namespace copperpoint::membership {
 
-// Owns the sequence number of the last message, and the allowance for gossip; frames go to the output, in the
-// order in which they are sent.
+// Owns the sequence number of the last message, and the allowance for gossip. Frames are appended to the
+// output in the order in which they are to be sent.
 class MessageSender {
  public:
   MessageSender(const Options& options, const peers::FrameCodec& codec, const MemberTable& members,
                 GossipQueue& queue, const DocumentStore& documents, const ClaimBuilder& claims,
                 const LocalMember& local, Output& output, Counters& counters, Time now);
 
-  // A message of this member with the next sequence number.
+  // Returns a message of this member with the next sequence number.
   wire::Message NewMessage(wire::Kind kind);
-  // A datagram to an address; `recipient` is the index of the member that has it, or MemberTable::kNotFound.
-  // One that is suspected or thought dead receives that claim first (Lifeguard).
+  // Sends a datagram to an address; `recipient` is the index of the member there, or MemberTable::kNotFound.
+  // A recipient that is suspected or marked dead receives that claim before others, to refute it (Lifeguard).
   void Send(wire::Message message, const std::string& address, int recipient, Time now);
-  // Opens an exchange with the member at an address.
+  // Opens an exchange with the member at `address`.
   void SendExchange(const std::string& address, const wire::Message& message);
-  // The frame of a reply within an exchange.
+  // Returns the frame of a reply within an exchange.
   std::string Encode(const wire::Message& message) const { return codec_.Encode(message); }
 
  private:
--- a/src/membership/name_conflict.cpp
+++ b/src/membership/name_conflict.cpp
@@ -4,6 +4,7 @@
 namespace copperpoint::membership {
 namespace {
 
+// The time within which a process that members report under this name must send a message.
 constexpr Time kAnswerTimeout = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/membership/name_conflict.h
+++ b/src/membership/name_conflict.h
@@ -16,22 +16,22 @@
 
 namespace copperpoint::membership {
 
-// The process whose claim supersedes the other's retains the name, and the other stops. A process that has
-// only just started takes the name over, as after a restart.
+// The process whose record supersedes the other's retains the name, and the other stops. A process that is
+// not established yet takes the name over, as after a restart.
 //
-// Owns the time by which a process that others report under this name must have sent a message itself.
+// Owns the time by which another process that members report under this name must have sent a message itself.
 class NameConflict {
  public:
   NameConflict(LocalMember& local, MessageSender& sender, ReplyLimiter& limiter, std::vector<Event>& events);
 
-  // What another member reports under this member's name: of this process, or of another one.
+  // Handles a claim on this member's name, which may be on this process or on another one.
   void OnClaim(const wire::Claim& claim, Time now);
-  // A message of another process with this name.
+  // Handles a message of another process with this name.
   void OnMessage(const wire::Message& message, const std::string& from, Time now);
-  // kNever while no other process is reported.
+  // Returns the time at which OnTimer is due, or kNever while no other process is reported.
   Time next() const { return answer_due_ > Time{} ? answer_due_ : kNever; }
-  // To be called at every timer: a reported process that sent nothing does not exist, and its name is this
-  // member's.
+  // Must be called at every timer event. A reported process that has sent nothing by its time-out is taken
+  // not to exist, and this member refutes the claim and keeps the name.
   void OnTimer(Time now);
 
  private:
@@ -39,7 +39,7 @@
   MessageSender& sender_;
   ReplyLimiter& limiter_;
   std::vector<Event>& events_;
-  Time answer_due_{};  // 0: no other process is reported
+  Time answer_due_{};  // 0 while no other process is reported
   std::uint32_t reported_refutation_number_ = 0;
 };
 
--- a/src/membership/output.h
+++ b/src/membership/output.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a membership produces for its host: frames to send, events, application messages and counters.
+// The output of a Membership for its host: frames to send, events, application messages and counters.
 #ifndef COPPERPOINT_MEMBERSHIP_OUTPUT_H_
 #define COPPERPOINT_MEMBERSHIP_OUTPUT_H_
 
@@ -15,7 +15,7 @@
 
 namespace copperpoint::membership {
 
-// An encoded frame and the address ("ADDRESS:PORT") that it is for.
+// An encoded frame and the address ("ADDRESS:PORT") to which it is to be sent.
 struct OutgoingFrame {
   std::string to, bytes;
 };
@@ -23,24 +23,24 @@
 // A change that this member has observed or been notified of.
 struct Event {
   enum class Kind {
-    kJoined,     // a member that was not known, or a new process of one that was
-    kSuspected,  // a probe was not answered
-    kRefuted,    // a suspect has answered
-    kDead,
-    kLeft,
-    kHealed,     // a member that was thought dead is alive, in the same process
+    kJoined,     // a member was not known, or runs in a new process
+    kSuspected,  // a member did not answer a probe
+    kRefuted,    // a suspect has refuted the suspicion
+    kDead,       // a member was declared dead
+    kLeft,       // a member has left the fleet
+    kHealed,     // a member that was marked dead is alive, in the same process
     kNameTaken,  // another process has this member's name; this one has stopped
-    kTooNew,     // a message in a format that this program cannot read
+    kTooNew,     // a message was received in a format that this program cannot read
   };
   Kind kind = Kind::kJoined;
-  std::string name;           // of the member; kTooNew: the sender's address
-  std::string reported_by;    // the member that accused or declared; empty where there is none
-  Time time_since_contact{};  // kDead
+  std::string name;           // the member's name; for kTooNew, the sender's address
+  std::string reported_by;    // the member that made the accusation or declaration, or empty
+  Time time_since_contact{};  // for kDead and kLeft, the time since the last contact with the member
 };
-// The name that log lines use.
+// Returns the name that log lines use.
 const char* NameOf(Event::Kind kind);
 
-// From another member, for the component of the program that the topic belongs to.
+// A message from another member to the component of the program that the topic belongs to.
 struct ApplicationMessage {
   std::string from;
   Topic topic = 0;
@@ -48,22 +48,23 @@
 };
 
 struct Output {
-  std::vector<OutgoingFrame> datagrams;  // over UDP
-  std::vector<OutgoingFrame> exchanges;  // over TCP: one frame there, one back
+  std::vector<OutgoingFrame> datagrams;  // to be sent over UDP
+  std::vector<OutgoingFrame> exchanges;  // requests to be sent over TCP, each of which has one reply
   std::vector<Event> events;
   std::vector<ApplicationMessage> messages;
-  std::vector<Topic> documents;  // of which a later version is present now
+  std::vector<Topic> documents;  // topics of which a later version has been stored
 };
 
-// Since the start.
+// Counts since the start of the process.
 struct Counters {
   std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;  // datagrams
-  std::uint64_t exchanges = 0, exchanged_bytes = 0;                          // frames of both directions
-  std::array<std::uint64_t, peers::kFrameErrors> rejected{};                 // frames, by peers::FrameError
+  // Exchanges that this member opened, and the bytes of the frames of all exchanges in both directions.
+  std::uint64_t exchanges = 0, exchanged_bytes = 0;
+  std::array<std::uint64_t, peers::kFrameErrors> rejected{};  // frames, by peers::FrameError
   std::uint64_t replays = 0;             // duplicates, and messages of incarnations that have ended
   std::uint64_t older_incarnations = 0;  // messages of a process whose name another one has taken over
   std::uint64_t misaddressed = 0;        // messages to another incarnation than this one
-  std::uint64_t oversized = 0;           // datagrams over peers::kMaxDatagramBytes
+  std::uint64_t oversized = 0;           // datagrams larger than peers::kMaxDatagramBytes
 };
 
 }  // namespace copperpoint::membership
--- a/src/membership/probe_relay.cpp
+++ b/src/membership/probe_relay.cpp
@@ -7,7 +7,7 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr std::size_t kMaxRelayed = 256;
+constexpr std::size_t kMaxRelayed = 256;  // unanswered probes; further requests are ignored
 
 }  // namespace
 
--- a/src/membership/probe_relay.h
+++ b/src/membership/probe_relay.h
@@ -17,24 +17,25 @@
 
 namespace copperpoint::membership {
 
-// Owns the probes that are relayed and not answered yet.
+// Owns the relayed probes that are not answered yet.
 class ProbeRelay {
  public:
   ProbeRelay(const Options& options, const MemberTable& members, const ClaimBuilder& claims,
              const LocalMember& local, OutstandingProbes& probes, MessageSender& sender);
 
-  // A member at address `from` requests a probe. It receives a nack at once, with this member's last contact
-  // with the target if it was within contact_timeout, and the ack if the target answers.
+  // Handles the request of a member, at the address `from`, to probe another one. The requester receives a
+  // nack at once, with this member's last contact with the target if that was within contact_timeout, and the
+  // ack if the target answers.
   void OnIndirectPing(const wire::Message& message, const std::string& from, Time now);
-  // False: the ack is of no relayed probe.
+  // Forwards the ack of a relayed probe to the requester. Returns false if the ack answers no relayed probe.
   bool OnAck(const wire::Message& message, Time now);
-  Time next() const;  // when OnTimer is due
+  Time next() const;  // the time at which OnTimer is due
   void OnTimer(Time now);
 
  private:
   struct RelayedProbe {
-    std::uint32_t id = 0;            // of this member's ping
-    std::uint32_t requester_id = 0;  // of the requester's probe
+    std::uint32_t id = 0;            // the id of this member's ping
+    std::uint32_t requester_id = 0;  // the id of the requester's probe
     std::string requester, requester_address, target;
     Time expires{};
   };
--- a/src/membership/probes.h
+++ b/src/membership/probes.h
@@ -16,12 +16,13 @@
 
 namespace copperpoint::membership {
 
-// Members in a shuffled order, then in a new one, so that each is probed once in as many periods as there are
-// members, and a dead one after 1.6 periods in the mean (SWIM). Owns the rest of the present order.
+// Yields the members in a shuffled order, and then in a new one, so that each is probed once in as many
+// periods as there are members, and a dead one is first probed after 1.6 periods on average (SWIM). Owns the
+// rest of the current order.
 class ProbeOrder {
  public:
-  // The index of the next member, of those that `list_members()` returns; it is called when an order is used
-  // up. The member at an index may have changed since. Nothing: there are none.
+  // Returns the index of the next member, or nothing if there is none. `list_members()` returns the indices
+  // for a new order when the current one is used up; the member at an index may have changed since that call.
   template <typename ListMembers>
   std::optional<int> Next(ListMembers list_members, RandomSource& random) {
     if (order_.empty()) {
@@ -35,19 +36,19 @@
   }
 
  private:
-  std::vector<int> order_;  // the next is the last
+  std::vector<int> order_;  // the last element is the next member
 };
 
 struct Probe {
   std::uint32_t id = 0;
-  std::string target;  // its name
+  std::string target;  // the name of the probed member
   std::uint32_t refutation_number = 0;
   Time sent{};
-  bool confirming = false;     // of a suspect, by a confirmer
-  bool indirect_sent = false;  // other members were requested to repeat it
+  bool confirming = false;     // whether a confirmer probes a suspect
+  bool indirect_sent = false;  // whether other members were requested to repeat the probe
 };
 
-// Owns the ids of probes and those that are not answered.
+// Owns the probes that are not answered yet, and the last id given to a probe.
 class OutstandingProbes {
  public:
   const Probe& Start(std::string target, std::uint32_t refutation_number, Time now, bool confirming) {
@@ -55,9 +56,9 @@
     probes_.push_back({id, std::move(target), refutation_number, now, confirming, false});
     return probes_.back();
   }
-  // For a ping whose answer is not waited for here.
+  // Returns a new id, for a ping whose ack this object does not wait for.
   std::uint32_t NewId() { return ++last_id_; }
-  // Takes the probe out; nothing if it was answered or has expired.
+  // Removes and returns the probe, or returns nothing if it was answered or has expired.
   std::optional<Probe> Take(std::uint32_t id) {
     const auto found =
         std::find_if(probes_.begin(), probes_.end(), [id](const Probe& p) { return p.id == id; });
--- a/src/membership/random_source.h
+++ b/src/membership/random_source.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random numbers of one member, reproducible from its seed.
+// The random numbers that one member uses. They are reproducible from its seed.
 #ifndef COPPERPOINT_MEMBERSHIP_RANDOM_SOURCE_H_
 #define COPPERPOINT_MEMBERSHIP_RANDOM_SOURCE_H_
 
@@ -16,7 +16,7 @@
   explicit RandomSource(std::uint64_t seed)
       : engine_(static_cast<std::uint32_t>(seed ^ (seed >> 32)) | kMinEngineSeed) {}
 
-  // From 0 to below n, which must be above 0.
+  // Returns a number from 0 to n - 1; n must be above 0.
   std::size_t Below(std::size_t n) {
     return boost::random::uniform_int_distribution<std::size_t>(0, n - 1)(engine_);
   }
--- a/src/membership/reply_limiter.h
+++ b/src/membership/reply_limiter.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Limits the replies to senders whose messages are not accepted, so that no sender can make a member send
-// much.
+// Limits the replies to senders whose messages are not accepted, so that a sender cannot make a member send
+// many datagrams.
 #ifndef COPPERPOINT_MEMBERSHIP_REPLY_LIMITER_H_
 #define COPPERPOINT_MEMBERSHIP_REPLY_LIMITER_H_
 
@@ -14,7 +14,7 @@
  public:
   explicit ReplyLimiter(Time now) : next_(now) {}
 
-  // Whether a reply may be sent now; if so it counts as sent.
+  // Returns whether a reply may be sent now. If so, it counts as sent.
   bool TryAcquire(Time now) {
     if (now < next_) return false;
     next_ = now + kPeriod;
--- a/src/membership/seed_contact.cpp
+++ b/src/membership/seed_contact.cpp
@@ -7,8 +7,10 @@
 namespace copperpoint::membership {
 namespace {
 
-constexpr Time kJoinPeriod = milliseconds(200);  // between contacts until a seed has answered
-constexpr int kEstablishedPeriods = 5;           // reconnect_periods between contacts after that
+// The time between two contacts until this member has found another one.
+constexpr Time kJoinPeriod = milliseconds(200);
+// The number of reconnect_periods between two contacts after that.
+constexpr int kEstablishedPeriods = 5;
 
 }  // namespace
 
--- a/src/membership/seed_contact.h
+++ b/src/membership/seed_contact.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Finds the fleet through its seeds: addresses of members that the settings name.
+// Finds the fleet through its seeds, which are the addresses of members that the settings name.
 #ifndef COPPERPOINT_MEMBERSHIP_SEED_CONTACT_H_
 #define COPPERPOINT_MEMBERSHIP_SEED_CONTACT_H_
 
@@ -15,19 +15,20 @@
 
 namespace copperpoint::membership {
 
-// Seeds are contacted at random, often until one has answered; later those that are in no living member's
-// record now and then, so that two fleets that never met find each other.
+// Random seeds are contacted frequently until one has answered. After that, seeds that are no living member's
+// address are contacted at longer intervals, so that two fleets that never met find each other.
 //
-// Owns the seeds, the time of the next contact, and the time at which this member gives up on them.
+// Owns the seeds, the time of the next contact, and the time at which this member stops waiting for an
+// answer.
 class SeedContact {
  public:
   SeedContact(const Options& options, const MemberTable& members, LocalMember& local,
               AntiEntropy& anti_entropy, RandomSource& random, Time now);
 
-  // Without seeds but this member itself it is the first, and established.
+  // Contacts a seed. If this member is the only seed, it is the first of its fleet and established at once.
   void Join(std::vector<std::string> seeds, Time now);
-  Time next() const;  // when one of the two below is due
-  // Without an answer of any seed for kAloneAfter, this member is the first.
+  Time next() const;  // the time at which one of the two functions below is due
+  // Establishes this member as the first of its fleet if no seed has answered for kAloneAfter.
   void CheckAlone(Time now);
   void ContactIfDue(Time now);
 
--- a/src/membership/sequence_window.h
+++ b/src/membership/sequence_window.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Detects messages that arrive twice: which sequence numbers of one sender have been received.
+// Detects messages that arrive twice, by the sequence numbers received from one sender.
 #ifndef COPPERPOINT_MEMBERSHIP_SEQUENCE_WINDOW_H_
 #define COPPERPOINT_MEMBERSHIP_SEQUENCE_WINDOW_H_
 
@@ -8,11 +8,11 @@
 
 namespace copperpoint::membership {
 
-// A sliding window over serial numbers (as of RFC 6479). Owns the latest number and which of the 64 up to it
-// were received; numbers below the window count as received.
+// A sliding window over serial numbers, as in RFC 6479. Owns the latest number, and which of the 64 numbers
+// up to it were received. Numbers below the window count as received.
 class SequenceWindow {
  public:
-  // Whether the message is new; it counts as received then.
+  // Returns whether the message is new. If so, it counts as received.
   bool Accept(std::uint32_t sequence) {
     const auto ahead = static_cast<std::int32_t>(sequence - latest_);
     if (ahead > 0) {
@@ -31,7 +31,7 @@
   static constexpr std::int32_t kWidth = 64;
 
   std::uint32_t latest_ = 0;
-  std::uint64_t received_ = 0;  // bit n: latest_ - n
+  std::uint64_t received_ = 0;  // bit n is set if latest_ - n was received
 };
 
 }  // namespace copperpoint::membership
--- a/src/membership/suspicion_table.h
+++ b/src/membership/suspicion_table.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which members are suspected and by whom, and the rule on when a suspicion becomes a death.
+// Records which members are suspected and by whom, and decides when a suspect is declared dead.
 #ifndef COPPERPOINT_MEMBERSHIP_SUSPICION_TABLE_H_
 #define COPPERPOINT_MEMBERSHIP_SUSPICION_TABLE_H_
 
@@ -17,33 +17,33 @@
 namespace copperpoint::membership {
 
 struct Suspicion {
-  std::uint32_t refutation_number = 0;  // of the suspect
+  std::uint32_t refutation_number = 0;  // the suspect's number when the suspicion started
   Time since{};
-  std::vector<std::string> accusers;  // names; the first began the suspicion
-  bool confirmer = false;             // this member is one of its confirmers
+  std::vector<std::string> accusers;  // names; the first accuser started the suspicion
+  bool confirmer = false;             // whether this member is one of the confirmers
   Time confirmer_since{};
-  Time last_probe{};  // by this confirmer
+  Time last_probe{};  // the last probe that this member sent as a confirmer
 };
 
-// Only confirmers declare a death early: the accuser, and the `confirmers` members that a hash of both names
-// picks. A confirmer probes its suspect directly, again and again, so that one that merely paused answers all
-// confirmers at once when it wakes, before any of them may decide:
-//   dead at  max(since + min_suspicion, last_contact + contact_timeout, confirmer_since + 4 probe periods)
-//            with two accusers;
-//   dead at  max(since + max_suspicion_factor * contact_timeout, the same)  with one.
-// last_contact is the latest that any member reported: a member that sends is not declared dead.
+// Only the confirmers of a suspicion declare a death: the accuser, and the `confirmers` members that a hash
+// of both names selects. A confirmer probes the suspect directly in every probe period, so that a suspect
+// that was only paused answers all confirmers when it resumes, before any of them may decide:
+//   with two accusers, the suspect is declared dead at
+//     max(since + min_suspicion, last_contact + contact_timeout, confirmer_since + 4 probe periods);
+//   with one accuser, at the later of that time and since + max_suspicion_factor * contact_timeout.
+// last_contact is the latest contact that any member reported: a member that sends is not declared dead.
 //
 // Owns the suspicions, by the suspect's index in the member table.
 class SuspicionTable {
  public:
   static constexpr std::size_t kMaxAccusers = 4;
-  static constexpr int kMinConfirmerPeriods =
-      4;  // probe periods for which a confirmer probes before it decides
+  // The number of probe periods for which a confirmer probes before it decides.
+  static constexpr int kMinConfirmerPeriods = 4;
   static constexpr std::size_t kAccusersNeeded = 2;
 
   explicit SuspicionTable(const Options& options) : options_(options) {}
 
-  // nullptr: not suspected.
+  // Return the suspicion of the member with this index, or nullptr if it is not suspected.
   Suspicion* Find(int index) {
     const auto found = suspicions_.find(index);
     return found == suspicions_.end() ? nullptr : &found->second;
@@ -58,7 +58,8 @@
   }
   void End(int index) { suspicions_.erase(index); }
 
-  // The accuser's number among those that count, from 0; -1: it is known, or there are enough.
+  // Adds an accuser and returns its number, from 0. Returns -1 if it is one already, or if the suspicion has
+  // kMaxAccusers.
   static int AddAccuser(Suspicion& suspicion, std::string_view accuser) {
     auto& accusers = suspicion.accusers;
     if (accusers.size() >= kMaxAccusers) return -1;
@@ -72,7 +73,8 @@
     suspicion.confirmer_since = now;
   }
 
-  // Whether the suspect is dead. `healthy` members, this one included, are living and not suspected.
+  // Returns whether the suspect is to be declared dead. `healthy` is the number of members, this one
+  // included, that are living and not suspected.
   bool HasFailed(const Suspicion& suspicion, Time last_contact, std::size_t healthy, Time now) const {
     if (!options_.with_suspicion) return true;
     if (now < last_contact + options_.contact_timeout) return false;
@@ -83,7 +85,7 @@
     if (suspicion.accusers.size() >= needed && now >= suspicion.since + options_.min_suspicion) return true;
     return now >= suspicion.since + options_.max_suspicion_factor * options_.contact_timeout;
   }
-  // Whether the confirmers should have decided long ago: this member becomes one of them then.
+  // Returns whether the confirmers should have decided by now, in which case this member becomes one of them.
   bool IsOverdue(const Suspicion& suspicion, Time now) const {
     return !suspicion.confirmer && now >= suspicion.since + options_.contact_timeout + options_.min_suspicion;
   }
