--- a/src/peers/frame.cpp
+++ b/src/peers/frame.cpp
@@ -10,8 +10,8 @@
 
 namespace copperpoint::peers {
 
-// COPPERPOINT_NEXT_FORMAT builds the program that a test runs beside this one: it writes the next version of
-// the format, with a field that this version does not know.
+// COPPERPOINT_NEXT_FORMAT builds the program that a test runs together with this one. It writes the next
+// version of the format, with a field that this version does not know.
 #ifdef COPPERPOINT_NEXT_FORMAT
 extern const std::uint8_t kFormatVersion = 2, kMinReaderVersion = 1;
 constexpr char kUnknownField[] = "\xa2\x06\x04next";  // field 100, four bytes
@@ -22,7 +22,7 @@
 
 namespace {
 
-// In the header.
+// Offsets in the header, in bytes.
 constexpr std::size_t kVersionOffset = 2, kMinReaderOffset = 3, kClusterOffset = 4, kDigestOffset = 8;
 
 }  // namespace
@@ -46,12 +46,14 @@
 FrameCodec::FrameCodec(std::string_view cluster, std::string_view key)
     : key_(key), cluster_hash_(static_cast<std::uint32_t>(XXH64(cluster.data(), cluster.size(), 0))) {
   if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes)
-    throw std::invalid_argument("a key of " + std::to_string(key.size()) + " bytes; 16 to 64 are wanted");
-  // Messages that cannot be parsed are counted, and protobuf does not write to standard error.
+    throw std::invalid_argument("the key has " + std::to_string(key.size()) +
+                                " bytes; 16 to 64 are expected");
+  // Prevents protobuf from writing to standard error when a message cannot be parsed; such messages are
+  // counted.
   google::protobuf::SetLogHandler(nullptr);
 }
 
-// Of the first eight bytes, before the digest, and of the message.
+// Returns the digest of the first eight bytes, which stand before the digest, and of the message.
 std::array<unsigned char, 16> FrameCodec::Digest(std::string_view frame) const {
   std::array<unsigned char, 16> digest;
   crypto_generichash_state state;
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -17,8 +17,8 @@
 using Udp = asio::ip::udp;
 using Error = boost::system::error_code;
 
-constexpr int kMaxBindAttempts = 16;                        // where the system chooses the port
-constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // after a failed accept
+constexpr int kMaxBindAttempts = 16;                        // if the system chooses the port
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // the time from a failed accept to the next one
 
 }  // namespace
 
@@ -44,21 +44,21 @@
   return address.address().is_v6() ? '[' + host + ']' + port : host + port;
 }
 
-// One exchange of a request and a reply, each a length of four bytes in network order and a frame. An empty
-// frame ends the exchange. Owns its socket and its timer.
+// One exchange of a request and a reply. Each is sent as its length, in four bytes in network order, and a
+// frame; an empty frame ends the exchange. Owns its socket and its timer.
 class Transport::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(Transport& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
 
-  // Sends a request, and passes the reply to on_response.
+  // Connects to `to`, sends a request, and passes the reply to on_response.
   void Request(const Tcp::endpoint& to, std::string frame) {
     StartTimer();
     outgoing_ = std::move(frame);
     is_client_ = true;
     Error failed;
     socket_.open(to.protocol(), failed);
-    // From the address that datagrams are sent from, by which the other member knows this one.
+    // Connects from the address that datagrams are sent from, by which the other member knows this one.
     if (!failed) socket_.bind({owner_->udp_.local_endpoint().address(), 0}, failed);
     if (failed) return Close(Result::kFailed);
     socket_.async_connect(to, [self = shared_from_this()](const Error& error) {
@@ -68,13 +68,13 @@
     });
   }
 
-  // Reads a request, and sends what on_request replies.
+  // Reads a request, and sends the reply that on_request returns.
   void Reply() {
     StartTimer();
     Read();
   }
 
-  // The transport is being destroyed.
+  // Closes the socket without a callback. Must be called when the transport is destroyed.
   void Detach() {
     owner_ = nullptr;
     Error ignored;
@@ -115,7 +115,8 @@
                      });
   }
 
-  // The buffer grows as bytes arrive, so that a length without data allocates nothing.
+  // Reads a frame of `size` bytes. The buffer grows as bytes arrive, so that a peer that sends a great length
+  // and no data causes the allocation of one chunk only.
   void ReadBody(std::size_t size) {
     constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;
     const std::size_t received = incoming_.size();
@@ -171,7 +172,8 @@
   Accept();
 }
 
-// Both sockets have one port. Where the system chooses it for one, another process may have it for the other.
+// Binds both sockets to the same port. If the system chooses the port for one socket, another process may use
+// it for the other, so that binding is tried again.
 void Transport::Bind(const Udp::endpoint& bind) {
   for (int attempt = 1;; ++attempt) {
     udp_.open(bind.protocol());
@@ -205,7 +207,7 @@
     Error failed;
     const std::size_t size = udp_.receive_from(asio::buffer(buffer_), from_, 0, failed);
     if (failed == asio::error::would_block) return;
-    if (failed) continue;  // such as the ICMP error for an earlier datagram
+    if (failed) continue;  // an error such as the ICMP error for an earlier datagram
     handlers_.on_datagram(FormatAddress(from_), {buffer_.data(), size});
   }
 }
