--- a/tests/membership/claim_merging_test.cpp
+++ b/tests/membership/claim_merging_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which messages and claims of other members are accepted.
+// Tests of which messages and claims of other members are accepted.
 #include <gtest/gtest.h>
 
 #include "membership_testing.h"
@@ -8,7 +8,8 @@
 namespace copperpoint::testing {
 namespace {
 
-// Mutant: refutation without a new number.
+// Guards against a refutation that keeps the refutation number of the suspicion: no other member would accept
+// it, and a living suspect would be declared dead.
 TEST(ClaimMerging, ASuspectRefutesWithANewNumberThatAllAccept) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
@@ -21,13 +22,15 @@
   EXPECT_TRUE(net.Converged());
 }
 
+// Guards against a plain comparison of refutation numbers: after the greatest number a member could no longer
+// refute a suspicion.
 TEST(ClaimMerging, RefutationNumbersWrapAround) {
   EXPECT_TRUE(membership::IsLater(0, 0xffffffffu));
   EXPECT_FALSE(membership::IsLater(0xffffffffu, 0));
   TestNetwork net;
   for (const char* name : {"a", "b"}) net.Add(name);
   net.Run(1000);
-  // In steps that serial arithmetic takes for later, up to the end and beyond it.
+  // Each step is later in serial arithmetic, up to the greatest number and past it.
   for (const std::uint32_t refutation_number : {0x7ffffff0u, 0xe0000000u, 0xffffffffu}) {
     net.SendClaim("b", "a", ClaimOn(net.nodes["a"]->self(), wire::STATUS_SUSPECT, refutation_number));
     net.Run(500);
@@ -36,32 +39,33 @@
   EXPECT_TRUE(net.Converged());
 }
 
-// Mutant: a tombstone forgotten at once.
+// Guards against a tombstone that is forgotten too early: a claim from before the death, which arrives late,
+// would add the dead member again.
 TEST(ClaimMerging, ALateClaimDoesNotReviveADeadMember) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
   net.Run(2000);
-  const membership::Record of_d = net.nodes["d"]->self();
+  const membership::Record record = net.nodes["d"]->self();
   net.stopped["d"] = true;
   net.Run(4000);
   ASSERT_EQ(net.StatusAt("a", "d"), MemberStatus::kDead);
   const int joined = net.Count("a", Event::Kind::kJoined, "d");
-  net.SendClaim("b", "a", ClaimOn(of_d, wire::STATUS_ALIVE, of_d.refutation_number()));
+  net.SendClaim("b", "a", ClaimOn(record, wire::STATUS_ALIVE, record.refutation_number()));
   EXPECT_EQ(net.StatusAt("a", "d"), MemberStatus::kDead);
   EXPECT_EQ(net.Count("a", Event::Kind::kJoined, "d"), joined);
 }
 
-// Two members restart at once. Each receives a claim on the other's present process first, and then, from a
-// member that did not restart, one on the process before: the older claim must not end the present process
-// for good.
-TEST(ClaimMerging, ALateClaimOnThePreviousProcessEndsNobody) {
+// Guards against a late claim that ends a running process for good. When two members restart at once, each
+// receives a claim on the other's present process first, and then, from a member that did not restart, one on
+// the previous process.
+TEST(ClaimMerging, ALateClaimOnThePreviousProcessDoesNotEndThePresentOne) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
   net.Run(2000);
   wire::Claim before;
   *before.mutable_record() = net.nodes["b"]->self();
-  before.mutable_record()->set_refutation_number(before.record().refutation_number() +
-                                                 3);  // it had refuted suspicions
+  // The previous process has refuted three suspicions.
+  before.mutable_record()->set_refutation_number(before.record().refutation_number() + 3);
   net.nodes.erase("b");
   net.Add("b", {"a"}, 77);
   net.Run(2000);
@@ -77,6 +81,8 @@
   EXPECT_EQ(members[members.Find("b")].record->incarnation(), net.nodes["b"]->self().incarnation());
 }
 
+// Guards against the acceptance of datagrams that are delivered again: at once, after the sender was replaced
+// by a new process, or after the receiver was.
 TEST(ClaimMerging, MessagesAreAcceptedOnceAndOnlyBetweenPresentProcesses) {
   TestNetwork net;
   for (const char* name : {"a", "b"}) net.Add(name);
@@ -90,7 +96,7 @@
   const auto hash = net.nodes["a"]->members().hash();
   for (const std::string& bytes : to_a) net.nodes["a"]->OnDatagram(net.now, "b", bytes);
   EXPECT_EQ(net.nodes["a"]->counters().replays, to_a.size());
-  // Another process takes the name of b: messages of the first are dropped.
+  // Another process takes the name "b": messages of the first process are dropped.
   net.nodes.erase("b");
   net.Run(100);
   net.Add("b");
@@ -102,7 +108,7 @@
   for (const std::string& bytes : to_a) net.nodes["a"]->OnDatagram(net.now, "b", bytes);
   EXPECT_EQ(dropped(), before + to_a.size());
   EXPECT_EQ(net.StatusAt("a", "b"), MemberStatus::kAlive);
-  // A new process of a drops them too.
+  // A new process with the name "a" drops them too.
   net.nodes.erase("a");
   net.Add("a", {"b"});
   net.Run(1000);
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What members publish, and the limits on it.
+// Tests of the dissemination of what members publish, and of the limits on it.
 #include <gtest/gtest.h>
 
 #include "membership_testing.h"
@@ -8,7 +8,7 @@
 namespace copperpoint::testing {
 namespace {
 
-// Mutant: a dead member's metadata kept.
+// Guards against tombstones that keep the metadata of dead members.
 TEST(Dissemination, MetadataOfADeadMemberIsDropped) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
@@ -23,6 +23,7 @@
   EXPECT_TRUE(members[members.Find("c")].record->metadata().empty());
 }
 
+// Guards against metadata or names that are too large for a datagram, which could never be sent.
 TEST(Dissemination, MetadataIsBounded) {
   TestNetwork net;
   Membership& a = net.Add("a", {});
@@ -36,7 +37,8 @@
                std::invalid_argument);
 }
 
-// Claims are sent at a bounded rate, and probes are not delayed by it.
+// Guards against claims that are sent without a bound when many members change at once, and against a bound
+// that also delays probes.
 TEST(Dissemination, ManyEventsSpreadAtABoundedRate) {
   membership::Options options;
   options.max_gossip_bytes_per_s = 2 * 1024;
@@ -50,7 +52,8 @@
     net.Run(1000);
     for (auto& [name, member] : net.nodes) {
       const std::uint64_t sent = member->counters().sent_bytes - before[name];
-      // Beside the claims: probes, acks and gossip without any, 100 bytes each at most.
+      // In addition to the claims there are probes, acks and gossip without claims, of at most 100 bytes
+      // each.
       EXPECT_LT(sent, 2 * options.max_gossip_bytes_per_s + 100 * 150) << name;
       EXPECT_GT(sent, 5u * 60u) << name;
     }
--- a/tests/membership/failure_detection_test.cpp
+++ b/tests/membership/failure_detection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which members are declared dead, and when.
+// Tests of which members are declared dead, and when.
 #include <gtest/gtest.h>
 
 #include "membership_testing.h"
@@ -8,7 +8,8 @@
 namespace copperpoint::testing {
 namespace {
 
-// Mutants: a suspicion that never ends; one that ends at once.
+// Guards against a suspicion that never ends in a death, and against one that does so before the contact
+// time-out.
 TEST(FailureDetection, AnEndedProcessIsDeadAfterTheContactTimeoutAndNotBefore) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
@@ -24,6 +25,8 @@
   EXPECT_EQ(net.Count("b", Event::Kind::kDead, "d") + net.Count("c", Event::Kind::kDead, "d"), 2);
 }
 
+// Guards against the death of a member that repeatedly pauses for less than the contact time-out: it is
+// suspected, and refutes the suspicion when it resumes.
 TEST(FailureDetection, APauseShorterThanTheContactTimeoutIsNoDeath) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
@@ -38,8 +41,9 @@
   EXPECT_GE(net.Count("a", Event::Kind::kSuspected, "d"), 1);
 }
 
-// Lifeguard: it received nothing because it had paused, not because the others were silent.
-TEST(FailureDetection, AMemberThatPausedForLongDeclaresNobodyDead) {
+// Guards against a member that declares the others dead when it resumes after a long pause: it received
+// nothing because it had paused, not because the others sent nothing (Lifeguard).
+TEST(FailureDetection, AMemberThatPausedForLongDeclaresNoMemberDead) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
   net.Run(2000);
@@ -53,7 +57,8 @@
   EXPECT_TRUE(net.Converged());
 }
 
-TEST(FailureDetection, AOneWayCutIsNoDeath) {
+// Guards against a death where the datagrams of one member do not reach one other: the rest still reach both.
+TEST(FailureDetection, AnInterruptionInOneDirectionIsNoDeath) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
   net.Run(2000);
--- a/tests/membership/frame_test.cpp
+++ b/tests/membership/frame_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The frame: what is rejected, and how programs of two versions read each other.
+// Tests of the frame: what is rejected, and how programs of two versions read each other's frames.
 #include "peers/frame.h"
 
 #include <gtest/gtest.h>
@@ -26,6 +26,7 @@
   return message;
 }
 
+// Guards against frames of another cluster or with another key, and checks that each has its own error.
 TEST(Frame, OnlyTheSameClusterAndKeyAreAccepted) {
   const FrameCodec ours("c", kKey);
   wire::Message read;
@@ -39,7 +40,8 @@
   EXPECT_THROW(FrameCodec("c", "short"), std::invalid_argument);
 }
 
-// Mutant: the digest is not checked.
+// Guards against a digest that is not checked or does not cover the whole frame: any flipped bit and any
+// truncation must be detected.
 TEST(Frame, EveryFlippedBitIsRejected) {
   const FrameCodec ours("c", kKey);
   const std::string good = ours.Encode(Sample());
@@ -55,14 +57,17 @@
   }
 }
 
+// Guards against a newer program's frame that is counted as forged, or rejected although it may be read.
 TEST(Frame, ATooNewFormatIsDistinguishedFromAForgery) {
   const FrameCodec ours("c", kKey);
   wire::Message read;
   EXPECT_EQ(ours.Decode(ours.Encode(Sample().SerializeAsString(), 9, 2), &read), FrameError::kTooNew);
-  // A newer one that an older reader may read.
+  // A newer format that an older reader may read.
   EXPECT_EQ(ours.Decode(ours.Encode(Sample().SerializeAsString(), 9, 1), &read), FrameError::kNone);
 }
 
+// Guards against one reply to each unreadable frame, by which a sender could make a member send many
+// datagrams.
 TEST(Frame, UnreadableFramesAreAnsweredOnceASecond) {
   TestNetwork net;
   Membership& a = net.Add("a", {});
@@ -75,7 +80,8 @@
   EXPECT_EQ(output.events[0].kind, Event::Kind::kTooNew);
 }
 
-// A field that this version does not know is forwarded with the record that holds it.
+// Guards against the loss of a record's new fields on their way through members of an older version: a field
+// that this version does not know is forwarded with the record.
 TEST(Frame, UnknownFieldsAreForwarded) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
@@ -86,7 +92,7 @@
   record->set_address("nowhere");
   record->set_incarnation(5);
   record->set_refutation_number(1);
-  // Field 99, of a later version, as text.
+  // Field 99, which only a later version has, with three bytes of text.
   std::string bytes = record->SerializeAsString() +
                       "\x9a\x06\x03"
                       "abc";
@@ -101,7 +107,8 @@
   EXPECT_NE(members[members.Find("newer")].record->SerializeAsString().find("abc"), std::string::npos);
 }
 
-// Datagrams as version 1 of the format writes them, which never change: each line is one, in hexadecimal.
+// Guards against a change of the format that makes datagrams of version 1 unreadable. Each line of the file
+// is one datagram, in hexadecimal; the lines never change.
 TEST(Frame, RecordedDatagramsOfVersionOneAreRead) {
   std::ifstream file(std::string(SOURCE_DIR) + "/tests/membership/datagrams_v1.txt");
   ASSERT_TRUE(file.is_open());
@@ -121,8 +128,8 @@
   EXPECT_GE(read, 4);
 }
 
-// Whatever arrives, with a valid digest or without one, the table and the name of a member stay.
-TEST(Frame, NoiseChangesNothing) {
+// Guards against random bytes, with a valid digest or without one, that change a member's table or stop it.
+TEST(Frame, RandomBytesDoNotChangeTheTable) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
   net.Run(1000);
@@ -134,7 +141,7 @@
     std::string noise(random() % 200, '\0');
     for (char& c : noise) c = static_cast<char>(random());
     if (i % 3 == 0) noise = good.substr(0, random() % good.size()) + noise;
-    if (i % 3 == 1) noise = codec.Encode(std::string_view(noise));  // a good digest over nonsense
+    if (i % 3 == 1) noise = codec.Encode(std::string_view(noise));  // a valid digest of random bytes
     net.nodes["a"]->OnDatagram(net.now, "x", noise);
     if (i % 5 == 0) net.nodes["a"]->OnExchange(net.now, noise);
     net.nodes["a"]->Take();
--- a/tests/membership/fuzz_frame.cpp
+++ b/tests/membership/fuzz_frame.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// For libFuzzer (docs/membership.md has the command, and for how long it was run): whatever arrives as a
-// datagram or a frame, with a valid digest or without one, a member does not crash or lose its name, and
-// without a valid digest its table does not change.
+// A libFuzzer target; docs/membership.md has the command and the duration of the runs. Whatever bytes arrive
+// as a datagram or a frame, with a valid digest or without one, a member must not crash or lose its name.
+// Without a valid digest its table must not change.
 #include <cstdint>
 #include <cstdlib>
 #include <memory>
@@ -36,7 +36,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size < 2) return 0;
-  const int how = data[0] % 4;
+  const int entry_point = data[0] % 4;
   const auto later = Time(1'000'000 + 10'000 * data[1]);
   std::string bytes(reinterpret_cast<const char*>(data) + 2, size - 2);
   const auto a = Member("a"), b = Member("b");
@@ -47,12 +47,12 @@
   }
   a->Take();
   const auto before = a->members().hash();
-  if (how == 0) {
+  if (entry_point == 0) {
     a->OnDatagram(later, "x", bytes);
-    Require(a->members().hash() == before);  // nobody has the key
-  } else if (how == 1) {
+    Require(a->members().hash() == before);  // the bytes have no digest made with the key
+  } else if (entry_point == 1) {
     a->OnDatagram(later, "x", FrameCodec("c", kKey).Encode(std::string_view(bytes)));
-  } else if (how == 2) {
+  } else if (entry_point == 2) {
     a->OnExchange(later, FrameCodec("c", kKey).Encode(std::string_view(bytes)));
   } else {
     a->OnReply(later, FrameCodec("c", kKey).Encode(std::string_view(bytes)));
--- a/tests/membership/gossip_queue_test.cpp
+++ b/tests/membership/gossip_queue_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The order in which claims are sent, and how often.
+// Tests of the order in which claims are sent, and of how often.
 #include "membership/gossip_queue.h"
 
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
 using membership::Time;
 using std::chrono::milliseconds;
 
-constexpr std::size_t kPlenty = 1000;  // bytes
-constexpr int kOften = 100;            // transmissions
+constexpr std::size_t kPlenty = 1000;  // in bytes; more than all claims of a test have
+constexpr int kOften = 100;            // transmissions; more than a test has
 
 wire::Claim ClaimOn(const std::string& name, std::uint64_t incarnation = 1) {
   wire::Claim claim;
@@ -34,7 +34,7 @@
 
 class GossipQueueTest : public ::testing::Test {
  protected:
-  // The names of the claims that the next message has.
+  // Fills the next message, and returns the names of the members that its claims are on.
   std::vector<std::string> Send(std::size_t max_bytes = kPlenty, int max_transmissions = kOften) {
     message_.Clear();
     bytes_ = queue_.Fill(&message_, max_bytes, max_transmissions, now_);
@@ -46,7 +46,7 @@
   Time now_ = milliseconds(1000);
   GossipQueue queue_{4, now_};
   wire::Message message_;
-  std::size_t bytes_ = 0;  // of the claims in message_
+  std::size_t bytes_ = 0;  // the bytes of the claims in message_, as Fill returned them
 };
 
 using Names = std::vector<std::string>;
--- a/tests/membership/joining_test.cpp
+++ b/tests/membership/joining_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How members find the fleet, leave it, and come back.
+// Tests of how members find the fleet, leave it, and return.
 #include <gtest/gtest.h>
 
 #include "membership_testing.h"
@@ -16,6 +16,8 @@
   for (const auto& [name, member] : net.nodes) EXPECT_TRUE(member->converged()) << name;
 }
 
+// Guards against fleets that never meet because their common seed started last: seeds that did not answer
+// must be contacted again.
 TEST(Joining, DeadSeedsAreContactedAgain) {
   TestNetwork net;
   net.Add("b", {"a"});
@@ -28,6 +30,7 @@
   EXPECT_TRUE(net.Converged());
 }
 
+// Guards against a leave that the others find out only by a time-out, and report as a death.
 TEST(Joining, ALeaveIsKnownAtOnceAndIsNoDeath) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
@@ -45,6 +48,8 @@
   EXPECT_TRUE(net.Converged());
 }
 
+// Guards against a restarted process that is taken for the previous one, or whose restart is reported as a
+// death.
 TEST(Joining, ARestartBeforeItsDeathIsDetectedIsANewProcess) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
@@ -60,6 +65,8 @@
   EXPECT_EQ(net.Count("a", Event::Kind::kJoined, "d"), 2);
 }
 
+// Guards against two processes that use one name at the same time: the later one takes the name over, and the
+// older one stops.
 TEST(Joining, OfTwoProcessesWithOneNameTheOlderStops) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c"}) net.Add(name);
--- a/tests/membership/member_table_test.cpp
+++ b/tests/membership/member_table_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The table of members: which claim holds, hashes, and the records of tombstones.
+// Tests of the member table: which claim wins, the hashes, and the records of tombstones.
 #include "membership/member_table.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +48,8 @@
   table.Remove(a);
   EXPECT_EQ(table.Find("a"), MemberTable::kNotFound);
   EXPECT_EQ(table.size(), 1u);
-  EXPECT_EQ(table.Add(RecordOf("c"), MemberStatus::kAlive, Time{}), a) << "its slot is used again";
+  EXPECT_EQ(table.Add(RecordOf("c"), MemberStatus::kAlive, Time{}), a)
+      << "the index of the removed member is used again";
 }
 
 TEST(MemberTable, HashesAreEqualForTheSameLivingMembersInAnyOrder) {
--- a/tests/membership/membership_state_test.cpp
+++ b/tests/membership/membership_state_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The small state holders of the membership: clock, sequence window, ended incarnations, convergence, limits
-// on replies and gossip, probes and documents.
+// Tests of the small classes that hold one part of the state each: clock, sequence window, ended
+// incarnations, convergence, limits on replies and gossip, probes and documents.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -88,7 +88,7 @@
   for (std::uint64_t incarnation = 1; incarnation <= limit; ++incarnation) ended.Add(incarnation);
   EXPECT_TRUE(ended.Contains(1));
   ended.Add(limit);
-  EXPECT_TRUE(ended.Contains(1)) << "one that is remembered already counts once";
+  EXPECT_TRUE(ended.Contains(1)) << "an incarnation that is remembered already counts once";
   ended.Add(limit + 1);
   EXPECT_FALSE(ended.Contains(1));
   EXPECT_TRUE(ended.Contains(2));
--- a/tests/membership/membership_testing.h
+++ b/tests/membership/membership_testing.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A few members on a network without delay, whose time the test moves.
+// A few members on a network without delay, in a time that the test advances.
 #ifndef COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
 #define COPPERPOINT_TESTS_MEMBERSHIP_MEMBERSHIP_TESTING_H_
 
@@ -22,7 +22,7 @@
 
 inline const char kKey[] = "sixteen bytes or more";
 
-// A message as `sender` would send it.
+// Returns a message with the fields that `sender` would set.
 inline wire::Message MessageFrom(const Membership& sender, wire::Kind kind, std::uint64_t to_incarnation,
                                  std::uint32_t sequence) {
   wire::Message message;
@@ -35,7 +35,7 @@
   return message;
 }
 
-// A claim on the member of a record, reported by "b".
+// Returns a claim on the member that a record describes, reported by "b".
 inline wire::Claim ClaimOn(const membership::Record& record, wire::Status status,
                            std::uint32_t refutation_number, std::uint32_t age_ms = 0) {
   wire::Claim claim;
@@ -47,11 +47,12 @@
   return claim;
 }
 
+// Owns the members, and delivers their datagrams and exchanges at once.
 class TestNetwork {
  public:
   explicit TestNetwork(membership::Options options = {}) : options(options) {}
 
-  // Starts a process whose address is its name.
+  // Starts a process whose address is its name. A `seed` of 0 selects a seed that no other process has.
   Membership& Add(const std::string& name, const std::vector<std::string>& seeds = {"a"},
                   std::uint64_t seed = 0) {
     membership::Record self;
@@ -63,7 +64,7 @@
     Flush(name);
     return *nodes[name];
   }
-  // Moves the time by `ms`, in steps of 10 ms.
+  // Advances the time by `ms` milliseconds, in steps of 10 ms.
   void Run(int ms) {
     for (const Time until = now + milliseconds(ms); now < until; now += milliseconds(10)) {
       for (auto& [name, member] : nodes) {
@@ -73,7 +74,7 @@
       }
     }
   }
-  // Delivers what a member sends.
+  // Records the events of a member, and delivers what it sends.
   void Flush(const std::string& name) {
     membership::Output output = nodes[name]->Take();
     for (const auto& event : output.events) events[name].push_back(event);
@@ -94,30 +95,31 @@
       Flush(name);
     }
   }
+  // Delivers a message as a datagram of the member that it names as its sender.
   void Deliver(const std::string& to, const wire::Message& message) {
     nodes[to]->OnDatagram(now, message.from(), peers::FrameCodec("c", kKey).Encode(message));
     Flush(to);
   }
-  // Delivers a claim as gossip of `from`.
+  // Delivers a claim as gossip that `from` sends.
   void SendClaim(const std::string& from, const std::string& to, const wire::Claim& claim) {
     wire::Message message =
         MessageFrom(*nodes[from], wire::KIND_GOSSIP, nodes[to]->self().incarnation(), ++sequences[from]);
     *message.add_claims() = claim;
     Deliver(to, message);
   }
-  // kLeft also where the observer does not know the member.
+  // Returns the status that the observer has of a member: kLeft also if it does not know the member.
   MemberStatus StatusAt(const std::string& observer, const std::string& name) {
     const auto& members = nodes[observer]->members();
     const int index = members.Find(name);
     return index < 0 ? MemberStatus::kLeft : members[index].status;
   }
-  // Events that the observer reported of a member.
+  // Returns the number of events of one kind that the observer has reported of a member.
   int Count(const std::string& observer, Event::Kind kind, const std::string& name) {
     int count = 0;
     for (const auto& event : events[observer]) count += event.kind == kind && event.name == name;
     return count;
   }
-  // All running processes know exactly each other.
+  // Returns whether the tables of all processes are equal and have exactly these processes as living members.
   bool Converged() {
     for (const auto& [name, member] : nodes) {
       if (member->members().hash() != nodes.begin()->second->members().hash() ||
@@ -130,10 +132,12 @@
   membership::Options options;
   Time now{milliseconds(1000)};
   std::map<std::string, std::unique_ptr<Membership>> nodes;
-  std::map<std::string, bool> stopped;             // the process pauses: datagrams to it are lost
-  std::map<std::string, std::uint32_t> sequences;  // of each member's last message
+  std::map<std::string, bool> stopped;             // processes that pause: datagrams to them are lost
+  std::map<std::string, std::uint32_t> sequences;  // the sequence number of each member's last message
   std::map<std::string, std::vector<Event>> events;
-  std::function<bool(const std::string& from, const std::string& to)> passes;  // unset: all does
+  // Returns whether a datagram or an exchange is delivered. If it is not set, all are.
+  std::function<bool(const std::string& from, const std::string& to)> passes;
+  // Observes every datagram that is sent.
   std::function<void(const std::string& from, const std::string& to, const std::string& bytes)> tap;
 
  private:
--- a/tests/membership/partition_test.cpp
+++ b/tests/membership/partition_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Members that were cut off from each other, and meet again.
+// Tests of members that were cut off from each other, and reconnect.
 #include <gtest/gtest.h>
 
 #include "membership_testing.h"
@@ -8,7 +8,9 @@
 namespace copperpoint::testing {
 namespace {
 
-TEST(Partition, HalvesThatMeetAgainDeclareNobodyDead) {
+// Guards against new deaths when the halves of a partitioned fleet reconnect: each half has claims that the
+// members of the other half are dead.
+TEST(Partition, HalvesThatReconnectDeclareNoMemberDead) {
   TestNetwork net;
   for (const char* name : {"a", "b", "c", "d", "e", "f"}) net.Add(name);
   net.Run(2000);
@@ -26,12 +28,14 @@
       EXPECT_NE(event.kind, Event::Kind::kDead) << name << " of " << event.name;
 }
 
-TEST(Partition, ATombstoneThatExpiredOnOneSideRevivesNobody) {
+// Guards against a dead member that is added again by a member that was cut off for so long that the
+// tombstone has expired elsewhere.
+TEST(Partition, ATombstoneThatExpiredOnOneSideDoesNotReviveTheMember) {
   TestNetwork net;
   net.options.tombstone_lifetime = std::chrono::seconds(20);
   for (const char* name : {"a", "b", "c", "d"}) net.Add(name);
   net.Run(2000);
-  // b receives nothing for so long that the others have removed the tombstone of d.
+  // Member b receives nothing until the others have removed the tombstone of d.
   net.stopped["b"] = true;
   net.nodes.erase("d");
   net.Run(40000);
--- a/tests/membership/suspicion_table_test.cpp
+++ b/tests/membership/suspicion_table_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When a suspicion becomes a death.
+// Tests of when a suspect is declared dead.
 #include "membership/suspicion_table.h"
 
 #include <gtest/gtest.h>
@@ -13,18 +13,19 @@
 using membership::Time;
 using std::chrono::milliseconds;
 
-constexpr int kSuspect = 3;          // an index
-constexpr std::size_t kHealthy = 5;  // members
+constexpr int kSuspect = 3;          // the suspect's index in the member table
+constexpr std::size_t kHealthy = 5;  // the number of members that are not suspected
 
 class SuspicionTableTest : public ::testing::Test {
  protected:
-  // A suspicion since `since_` with the last contact at the same time, by a confirmer.
+  // Starts a suspicion since `since_`, of which this member is a confirmer.
   Suspicion& Start(std::initializer_list<const char*> accusers) {
     Suspicion& suspicion = table_.Start(kSuspect, 1, since_);
     for (const char* accuser : accusers) SuspicionTable::AddAccuser(suspicion, accuser);
     SuspicionTable::MakeConfirmer(suspicion, since_);
     return suspicion;
   }
+  // Returns whether the suspect has failed `after` that time, with the last contact at `since_`.
   bool HasFailed(const Suspicion& suspicion, Time after) const {
     return table_.HasFailed(suspicion, since_, kHealthy, since_ + after);
   }
@@ -47,7 +48,7 @@
   EXPECT_TRUE(HasFailed(suspicion, max));
 }
 
-TEST_F(SuspicionTableTest, OneAccuserIsEnoughWhereNobodyElseIsHealthy) {
+TEST_F(SuspicionTableTest, OneAccuserIsEnoughWhereNoOtherMemberIsHealthy) {
   const Suspicion& suspicion = Start({"a"});
   EXPECT_TRUE(table_.HasFailed(suspicion, since_, 1, since_ + options_.contact_timeout));
 }
