--- a/src/cli/demo_command.cpp
+++ b/src/cli/demo_command.cpp
@@ -25,17 +25,17 @@
   double rate_per_s = 60;  // over all proxies
 };
 
-void PrintMembers(const fault_testing::Live& live) {
+void PrintMembers(const fault_testing::FleetStatus& status) {
   std::cout << "\nProxies:\n";
-  for (const fault_testing::LiveMember& member : live.members) {
+  for (const fault_testing::MemberStatus& member : status.members) {
     std::cout << fmt::format("  {}  serves at {}, operator at {}, process {}\n", member.name, member.listen,
                              member.operator_address, member.pid);
   }
 }
 
-void PrintExampleCalls(const fault_testing::Live& live) {
-  const fault_testing::LiveMember& first = live.members.front();
-  const fault_testing::LiveMember& second = live.members[1 % live.members.size()];
+void PrintExampleCalls(const fault_testing::FleetStatus& status) {
+  const fault_testing::MemberStatus& first = status.members.front();
+  const fault_testing::MemberStatus& second = status.members[1 % status.members.size()];
   std::cout << fmt::format(
       "\nSend a request yourself, and see the fleet as one proxy does:\n"
       "  curl -i -H 'Req-Id: 1a2b' -H 'Req-Kind: look' -H 'Req-Deadline-Ms: 2000' http://{}/look/it\n"
@@ -47,27 +47,27 @@
       "  curl -X POST http://{}/kill/{}       .../start/{}   a proxy crashes\n"
       "  curl -X POST http://{}/stop/{}       .../go/{}      a proxy is paused\n"
       "  curl -X POST http://{}/cut/{}        .../heal/{}    a proxy is partitioned from the others\n\n",
-      first.listen, first.operator_address, live.control, live.control, live.control, second.name,
-      second.name, live.control, second.name, second.name, live.control, first.name, first.name);
+      first.listen, first.operator_address, status.control, status.control, status.control, second.name,
+      second.name, status.control, second.name, second.name, status.control, first.name, first.name);
 }
 
 // One line for the last second.
-void PrintSecond(const fault_testing::Live& live) {
+void PrintSecond(const fault_testing::FleetStatus& status) {
   std::string members_seen;
   std::string requests_by_backend;
   int running = 0;
-  for (const fault_testing::LiveMember& member : live.members) {
+  for (const fault_testing::MemberStatus& member : status.members) {
     running += member.up;
     members_seen += members_seen.empty() ? "" : " ";
-    members_seen += member.up ? std::to_string(member.living) : "-";
+    members_seen += member.up ? std::to_string(member.living_members) : "-";
   }
-  for (const std::uint64_t count : live.runs) requests_by_backend += fmt::format("{:>4}", count);
+  for (const std::uint64_t count : status.executions) requests_by_backend += fmt::format("{:>4}", count);
   std::cout
       << fmt::format(
              "{:5.0f} s  served {:3} of {:3}, refused {}  | backends{}, ejections {} | proxies up {}, each "
              "sees {}, {} view{}\n",
-             live.at_s, live.served, live.asked, live.refused, requests_by_backend, live.ejections, running,
-             members_seen, live.views, live.views == 1 ? "" : "s")
+             status.at_s, status.served, status.requests, status.rejected, requests_by_backend,
+             status.ejections, running, members_seen, status.views, status.views == 1 ? "" : "s")
       << std::flush;
 }
 
@@ -81,16 +81,16 @@
   fault_testing::ProcessOptions run;
   run.program = std::filesystem::read_symlink("/proc/self/exe").string();
   bool has_started = false;
-  run.watch = [&](const fault_testing::Live& live) {
-    if (std::exchange(has_started, true)) return PrintSecond(live);
-    PrintMembers(live);
-    PrintExampleCalls(live);
+  run.on_status = [&](const fault_testing::FleetStatus& status) {
+    if (std::exchange(has_started, true)) return PrintSecond(status);
+    PrintMembers(status);
+    PrintExampleCalls(status);
   };
   std::cout << fmt::format("Starting {} proxies and {} backends; it ends by itself after {:.0f} s.\n",
                            options.proxies, options.backends, options.length_s)
             << std::flush;
   const fault_testing::ProcessOutcome result = fault_testing::PlayProcesses(plan, run);
-  for (const std::string& line : result.outcome.story) std::cout << line << '\n';
+  for (const std::string& line : result.outcome.failures) std::cout << line << '\n';
   std::cout << (result.interrupted ? "Interrupted.\n" : "Done.\n");
   return kSuccess;
 }
--- a/src/cli/fault_test_run_command.cpp
+++ b/src/cli/fault_test_run_command.cpp
@@ -78,7 +78,7 @@
 }
 
 void PrintTrace(const FaultTestOptions& options, std::uint64_t seed, const fault_testing::Outcome& outcome) {
-  for (const std::string& line : outcome.story) std::cout << "  " << line << '\n';
+  for (const std::string& line : outcome.failures) std::cout << "  " << line << '\n';
   if (!outcome.holds) std::cout << "  replay: " << ReplayCommand(options, seed) << '\n';
 }
 
@@ -88,9 +88,9 @@
   simulation::RunInParallel(outcomes.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
     fault_testing::VirtualOptions run;
     run.seed = options.seed + i;
-    run.timeline = options.seeds == 1;
+    run.record_timeline = options.seeds == 1;
     run.settled = options.settled;
-    for (const std::string& mechanism : options.without) SwitchOff(mechanism, &run.view);
+    for (const std::string& mechanism : options.without) SwitchOff(mechanism, &run.membership_options);
     outcomes[i] = fault_testing::PlayVirtual(plan, run);
   });
   return outcomes;
@@ -172,11 +172,11 @@
   CheckPlayableAsProcesses(options, plan);
   fault_testing::ProcessOptions run;
   run.program = std::filesystem::read_symlink("/proc/self/exe").string();
-  run.logs = options.log_folder;
-  run.other = options.other_program;
+  run.log_folder = options.log_folder;
+  run.other_program = options.other_program;
   run.other_settings = options.other_settings;
   run.seed = options.seed;
-  run.sharing = !options.alone;
+  run.with_membership = !options.alone;
   const fault_testing::ProcessOutcome result = fault_testing::PlayProcesses(plan, run);
   if (!options.json_file.empty()) {
     Json json = result.outcome.json;
--- a/src/cli/rollout_simulate_command.cpp
+++ b/src/cli/rollout_simulate_command.cpp
@@ -62,9 +62,9 @@
   std::vector<fault_testing::TrialResult> results(static_cast<std::size_t>(options.seeds));
   simulation::RunInParallel(results.size(), static_cast<unsigned>(options.threads), [&](std::size_t i) {
     fault_testing::TrialOptions trial = options.trial;
-    trial.tell = options.seeds == 1;
+    trial.record_events = options.seeds == 1;
     trial.seed += i;
-    results[i] = fault_testing::TryChange(plan, options.plan_file, trial);
+    results[i] = fault_testing::SimulateRollout(plan, options.plan_file, trial);
   });
   return results;
 }
@@ -91,7 +91,7 @@
       "--seed "
       "{}\n",
       options.plan_file, options.fault, options.trial.amount, options.environment, options.trial.members,
-      options.trial.faults ? " --member-faults" : "", seed);
+      options.trial.member_faults ? " --member-faults" : "", seed);
 }
 
 void PrintStatistics(const SimulateOptions& options, const TrialStatistics& statistics) {
@@ -143,11 +143,11 @@
 
 void AddFaultOptions(CLI::App* simulate, SimulateOptions* options) {
   simulate->add_option("--fault", options->fault, "What is wrong with the new version")
-      ->check(CLI::IsMember(NamesOf(fault_testing::HarmNames())));
+      ->check(CLI::IsMember(NamesOf(fault_testing::RegressionNames())));
   simulate->add_option("--amount", options->trial.amount, "How much, in the fault's unit");
   simulate->add_option("--environment", options->environment, "What happens to the fleet meanwhile")
-      ->check(CLI::IsMember(NamesOf(fault_testing::AroundNames())));
-  simulate->add_flag("--member-faults", options->trial.faults,
+      ->check(CLI::IsMember(NamesOf(fault_testing::EnvironmentNames())));
+  simulate->add_flag("--member-faults", options->trial.member_faults,
                      "Partitions, kills, pauses, a second plan, an abort, by the seed");
 }
 
@@ -156,7 +156,7 @@
   simulate->add_option("--zones", options->trial.zones, "Zones of equal size")->check(CLI::Range(1, 26));
   simulate->add_option("--rate", options->trial.rate, "Requests a second and proxy")
       ->check(CLI::NonNegativeNumber);
-  simulate->add_option("--missed", options->trial.missed, "Share of requests not served in time today");
+  simulate->add_option("--missed", options->trial.missed_share, "Share of requests not served in time today");
   simulate->add_option("--length", options->trial.length_s, "Maximum length in seconds");
 }
 
@@ -179,8 +179,8 @@
   AddFleetOptions(simulate, options.get());
   AddRunOptions(simulate, options.get());
   simulate->callback([options, exit_code] {
-    options->trial.harm = ValueOf(options->fault, fault_testing::HarmNames());
-    options->trial.around = ValueOf(options->environment, fault_testing::AroundNames());
+    options->trial.regression = ValueOf(options->fault, fault_testing::RegressionNames());
+    options->trial.environment = ValueOf(options->environment, fault_testing::EnvironmentNames());
     *exit_code = Simulate(*options);
   });
 }
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -160,7 +160,7 @@
   std::vector<std::uint64_t> runs_;
   std::size_t views_ = 0;
   std::uint64_t ejections_ = 0;
-  Live before_;  // sums up to the last second
+  FleetStatus before_;  // sums up to the last second
   Clock::time_point began_{};
   int block_ = 0, looking_ = 0;
   std::uint64_t looks_ = 0;
--- a/src/fault_testing/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -22,14 +22,14 @@
       {"discovery", TextOf(directory_->address(number))},
       {"seed", fmt::format("{:x}", options_.seed * 1000 + static_cast<std::uint64_t>(number))},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-      {"settings", SettingsOf(plan_, number)}};
+      {"settings", ProxySettings(plan_, number)}};
   std::ofstream(base + "/config.json") << config.dump();
   std::string seeds;
   for (int i = 0; i < std::min(plan_.seeds, plan_.members); ++i)
     seeds += fmt::format("{}\"{}\"", i ? ", " : "", peers::FormatAddress(At(i).outside));
   std::ofstream file(base + "/operator.toml");
   file << "[log]\nformat = \"json\"\nlines_per_s = 1000000\n";
-  if (options_.sharing)
+  if (options_.with_membership)
     file << fmt::format(
         "[fleet]\ncluster = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = "
         "\"{}/key\"\n",
@@ -51,7 +51,8 @@
       std::ofstream(settings) << std::ifstream(base + "/operator.toml").rdbuf()
                               << std::ifstream(options_.other_settings).rdbuf();
     file << fmt::format("[[version]]\nname = \"{}\"\nprogram = \"{}\"\nsettings = \"{}\"\n", version,
-                        other && !options_.other.empty() ? options_.other : options_.program, settings);
+                        other && !options_.other_program.empty() ? options_.other_program : options_.program,
+                        settings);
   }
 }
 
@@ -62,9 +63,9 @@
   // Nothing of an earlier life is left to it.
   std::filesystem::remove_all(base + "/tmp");
   std::filesystem::create_directory(base + "/tmp");
-  if (!options_.logs.empty() && !member.log.is_open()) {
-    std::filesystem::create_directories(options_.logs);
-    member.log.open(options_.logs + "/" + MemberName(number) + ".log");
+  if (!options_.log_folder.empty() && !member.log.is_open()) {
+    std::filesystem::create_directories(options_.log_folder);
+    member.log.open(options_.log_folder + "/" + MemberName(number) + ".log");
   }
   const std::uint64_t life = ++member.life;
   member.refused_before += std::exchange(member.refused, 0);
@@ -72,7 +73,9 @@
   judge_.Started(Now(), number);
   directory_->Started(number);
   member.child = std::make_unique<Child>(
-      io_, member.other && !plan_.keep && !options_.other.empty() ? options_.other : options_.program,
+      io_,
+      member.other && !plan_.keep && !options_.other_program.empty() ? options_.other_program
+                                                                     : options_.program,
       plan_.keep ? std::vector<std::string>{"supervise", base + "/keep.toml"}
                  : std::vector<std::string>{"serve", "--config", base + "/operator.toml"},
       std::map<std::string, std::string>{{"ROUTER_CONFIG", base + "/config.json"},
--- a/src/fault_testing/processes/play.cpp
+++ b/src/fault_testing/processes/play.cpp
@@ -25,7 +25,7 @@
     inside.push_back(member.inside);
     outside.push_back(member.outside);
   }
-  if (options_.sharing)
+  if (options_.with_membership)
     relay_ = std::make_unique<Relay>(io_, links_, inside, outside, [this] { return Now(); });
   const auto now = [this] { return simulation::FromMs(Now() * 1000); };
   backends_ =
@@ -100,8 +100,8 @@
     if (property.until_s >= 0) Schedule(property.until_s, [this, runs] { runs_ = runs(); });
   }
   Schedule(plan_.start_spread_s + 0.5, [this, count_from] { clients_->Start(count_from); });
-  if (options_.sharing) LookAtAll();
-  if (options_.watch) {
+  if (options_.with_membership) LookAtAll();
+  if (options_.on_status) {
     control_ = std::make_unique<Control>(
         io_, Address(102, 0),
         [this](const std::string& what, const std::string& who) { return Carry(what, who); });
--- a/src/fault_testing/processes/play.h
+++ b/src/fault_testing/processes/play.h
@@ -15,32 +15,32 @@
 namespace copperpoint::fault_testing {
 
 // What a watcher is told of a run.
-struct LiveMember {
+struct MemberStatus {
   std::string name, listen, operator_address;
   int pid = 0;
   bool up = false;
-  std::size_t living = 0;  // that it sees
+  std::size_t living_members = 0;  // that it sees
 };
-struct Live {
+struct FleetStatus {
   double at_s = 0;
   std::string control;  // address that takes POST /WHAT/WHO; see `commands`
-  std::vector<LiveMember> members;
+  std::vector<MemberStatus> members;
   std::size_t views = 0;  // different ones among those up
   // In the last second.
-  std::uint64_t asked = 0, served = 0, refused = 0, ejections = 0;
-  std::vector<std::uint64_t> runs;  // by backend
+  std::uint64_t requests = 0, served = 0, rejected = 0, ejections = 0;
+  std::vector<std::uint64_t> executions;  // by backend
 };
 
 struct ProcessOptions {
   std::string program;         // whose `serve` is started
-  std::string other;           // that `replace` puts in its place; empty: the same
+  std::string other_program;   // that `replace` puts in its place; empty: the same
   std::string other_settings;  // lines that v2 has besides v1's; empty: none
-  std::string logs;            // a folder for the members' logs; empty: none are kept
+  std::string log_folder;      // a folder for the members' logs; empty: none are kept
   std::uint64_t seed = 1;
-  bool sharing = true;  // false: the proxies know nothing of each other
+  bool with_membership = true;  // false: the proxies know nothing of each other
   // Called once all members were started, and then once a second. Commands are taken then: kill, start, stop,
   // go, cut, heal for a member (`p2`), freeze, thaw, fail, mend for a backend (`b3`).
-  std::function<void(const Live&)> watch;
+  std::function<void(const FleetStatus&)> on_status;
 };
 
 struct ProcessOutcome {
--- a/src/fault_testing/processes/service.cpp
+++ b/src/fault_testing/processes/service.cpp
@@ -359,7 +359,7 @@
   });
 }
 
-nlohmann::json SettingsOf(const Plan& plan, int member) {
+nlohmann::json ProxySettings(const Plan& plan, int member) {
   const auto cls = [](const char* name, const char* effect) {
     return nlohmann::json{{"name", name},       {"effect", effect},    {"group", "cell"},
                           {"windowMs", 2000.0}, {"goalTimeMs", 500.0}, {"deadlineMs", 2000.0},
--- a/src/fault_testing/processes/service.h
+++ b/src/fault_testing/processes/service.h
@@ -127,7 +127,7 @@
 };
 
 // The `settings` of a proxy's configuration that fit these stand-ins.
-nlohmann::json SettingsOf(const Plan& plan, int member);
+nlohmann::json ProxySettings(const Plan& plan, int member);
 
 }  // namespace copperpoint::fault_testing
 
--- a/src/fault_testing/processes/watch.cpp
+++ b/src/fault_testing/processes/watch.cpp
@@ -115,31 +115,32 @@
 }
 
 void ProcessFleet::Watch() {
-  Live live;
-  live.at_s = Now();
-  live.control = TextOf(control_->address());
+  FleetStatus status;
+  status.at_s = Now();
+  status.control = TextOf(control_->address());
   for (int i = 0; i < plan_.members; ++i) {
     const Member& member = At(i);
-    live.members.push_back({MemberName(i), TextOf(member.listen), TextOf(member.op),
-                            member.child && member.child->running() ? member.child->pid() : 0,
-                            member.up && !member.stopped, member.living});
+    status.members.push_back({MemberName(i), TextOf(member.listen), TextOf(member.op),
+                              member.child && member.child->running() ? member.child->pid() : 0,
+                              member.up && !member.stopped, member.living});
   }
-  live.views = views_;
-  Live sums;
-  sums.asked = clients_->asked();
-  sums.served = clients_->served();
-  sums.refused = clients_->refused();
-  sums.ejections = ejections_;
-  for (int b = 0; b < plan_.service.backends; ++b) sums.runs.push_back(backends_->executions(b));
-  before_.runs.resize(sums.runs.size());
-  live.asked = sums.asked - before_.asked;
-  live.served = sums.served - before_.served;
-  live.refused = sums.refused - before_.refused;
-  live.ejections = sums.ejections - before_.ejections;
-  for (std::size_t b = 0; b < sums.runs.size(); ++b) live.runs.push_back(sums.runs[b] - before_.runs[b]);
-  before_ = std::move(sums);
-  options_.watch(live);
-  Schedule(live.at_s + 1, [this] { Watch(); });
+  status.views = views_;
+  FleetStatus totals;
+  totals.requests = clients_->asked();
+  totals.served = clients_->served();
+  totals.rejected = clients_->refused();
+  totals.ejections = ejections_;
+  for (int b = 0; b < plan_.service.backends; ++b) totals.executions.push_back(backends_->executions(b));
+  before_.executions.resize(totals.executions.size());
+  status.requests = totals.requests - before_.requests;
+  status.served = totals.served - before_.served;
+  status.rejected = totals.rejected - before_.rejected;
+  status.ejections = totals.ejections - before_.ejections;
+  for (std::size_t b = 0; b < totals.executions.size(); ++b)
+    status.executions.push_back(totals.executions[b] - before_.executions[b]);
+  before_ = std::move(totals);
+  options_.on_status(status);
+  Schedule(status.at_s + 1, [this] { Watch(); });
 }
 
 std::string ProcessFleet::Carry(const std::string& what, const std::string& who) {
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -156,7 +156,7 @@
   node.up_since = now_;
   node.held.clear();
   node.letters.clear();
-  node.deaf = options_.harm == Harm::kDeaf;
+  node.deaf = options_.regression == Regression::kIsolated;
   node.cpu_us = 0;
   node.memory_kb = 30000;
   for (auto& stratum : node.strata) {
@@ -181,7 +181,7 @@
   const Micros takes = FromMs(random_.Between(800, 2000));
   if (version == plan_.new_version && node.knew_ended.contains(node.agent->progress().rollout_id))
     Break(node.name + " changes after it knew of the end");
-  if (version == plan_.new_version && options_.harm == Harm::kNoStart) {
+  if (version == plan_.new_version && options_.regression == Regression::kDoesNotStart) {
     if (result_.first_s == 0) result_.first_s = Seconds(now_);
     node.ever_new = true;
     node.failed = version;
@@ -208,7 +208,7 @@
     if (document.version > held.first) held = {document.version, document.body};
   }
   for (const rollout::Event& event : output.events) {
-    if (options_.tell)
+    if (options_.record_events)
       told_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} may have changed", Seconds(now_), node.name,
                                   event.rollout_name, rollout::NameOf(event.kind), event.reason,
                                   event.admitted_members));
@@ -247,7 +247,7 @@
     Begin(i, version);
     if (version == plan_.old_version) node.back = now_;
   }
-  if (options_.harm == Harm::kEnds && node.version == plan_.new_version &&
+  if (options_.regression == Regression::kCrashes && node.version == plan_.new_version &&
       now_ > node.up_since + FromMs(options_.amount * 1000)) {
     ++node.crashes;  // its keeper starts it again
     Begin(i, node.version);
@@ -288,40 +288,41 @@
   const bool crowd = 3 * changed >= options_.members;
   const double t = Seconds(now_);
   // Troubles come back every two minutes, so that some meet every stage.
-  const bool trouble = options_.around != Around::kCalm && std::fmod(t, 120) > 40 && std::fmod(t, 120) < 70;
+  const bool trouble =
+      options_.environment != Environment::kCalm && std::fmod(t, 120) > 40 && std::fmod(t, 120) < 70;
   for (int i = 0; i < options_.members; ++i) {
     Node& node = At(i);
     if (!Up(node) || Still(node) || now_ < node.ready_at - 2 * kSecond) continue;
     const bool is_new = node.version == plan_.new_version;
     double factor = 1, load = 1;
-    if (trouble && options_.around == Around::kSurge) factor = 4, load = 2;
+    if (trouble && options_.environment == Environment::kTrafficSurge) factor = 4, load = 2;
     // A third of the members have the backends that ail.
-    if (trouble && options_.around == Around::kBackends && (i * 7 + static_cast<int>(t / 120)) % 3 == 0)
+    if (trouble && options_.environment == Environment::kFailingBackends &&
+        (i * 7 + static_cast<int>(t / 120)) % 3 == 0)
       factor = 8;
-    if (trouble && options_.around == Around::kZoneLost && node.zone == "a") factor = 30;
+    if (trouble && options_.environment == Environment::kZoneLost && node.zone == "a") factor = 30;
     const double young = Seconds(now_ - node.up_since);
     for (int c = 0; c < options_.classes; ++c) {
       const double share = c == 0 ? 0.6 : 0.4 / std::max(1, options_.classes - 1);
-      for (int a = 0; a < options_.accounts; ++a) {
-        const double mean = node.rate * load * share / options_.accounts;
+      for (int a = 0; a < options_.tenants; ++a) {
+        const double mean = node.rate * load * share / options_.tenants;
         const int asked = boost::random::poisson_distribution<int>(std::max(1e-6, mean))(traffic_.engine());
         if (asked == 0) continue;
         double p = std::min(0.9, node.missed * factor * (c == 0 ? 1 : 1.5));
         double more = 0;
         if (is_new) {
-          const bool account = options_.harm == Harm::kFailsAccount && a == 1;
-          const bool cls = options_.harm == Harm::kFailsClass && c == 1;
-          const bool zone = options_.harm == Harm::kFailsZone && node.zone == "b";
-          if (options_.harm == Harm::kFails || account || cls || zone) more = options_.amount;
-          if (options_.harm == Harm::kCrowd && crowd) more = options_.amount;
-          if (options_.harm == Harm::kLater) more = young < 20 ? -p / 2 : options_.amount;
+          const bool account = options_.regression == Regression::kFailsTenant && a == 1;
+          const bool cls = options_.regression == Regression::kFailsClass && c == 1;
+          const bool zone = options_.regression == Regression::kFailsZone && node.zone == "b";
+          if (options_.regression == Regression::kFails || account || cls || zone) more = options_.amount;
+          if (options_.regression == Regression::kFailsAtScale && crowd) more = options_.amount;
+          if (options_.regression == Regression::kFailsLater) more = young < 20 ? -p / 2 : options_.amount;
         }
         p = std::clamp(p + more, 0.0, 1.0);
         const int missed = boost::random::binomial_distribution<int>(asked, p)(traffic_.engine());
         result_.harmed += std::max(0.0, more) * asked;
         auto& stratum = node.strata[static_cast<std::size_t>(c)];
-        auto& of_account =
-            node.strata[static_cast<std::size_t>(options_.classes + c * options_.accounts + a)];
+        auto& of_account = node.strata[static_cast<std::size_t>(options_.classes + c * options_.tenants + a)];
         for (auto* one : {&stratum, &of_account}) {
           one->set_requests(one->requests() + static_cast<std::uint64_t>(asked));
           one->set_missed(one->missed() + static_cast<std::uint64_t>(missed));
@@ -331,17 +332,19 @@
         }
         while (stratum.latency_buckets_size() < static_cast<int>(rollout::kLatencyBuckets))
           stratum.add_latency_buckets(0);
-        const double slow = is_new && options_.harm == Harm::kSlower ? 1 + options_.amount : 1;
+        const double slow = is_new && options_.regression == Regression::kSlower ? 1 + options_.amount : 1;
         for (int n = missed; n < asked; ++n) {
           const double ms = 20 * (c + 1) * slow * traffic_.Lognormal(1, 0.7);
           const int bucket = static_cast<int>(rollout::LatencyBucketOf(ms));
           stratum.set_latency_buckets(bucket, stratum.latency_buckets(bucket) + 1);
         }
-        node.cpu_us += asked * 300 * (is_new && options_.harm == Harm::kProcessor ? 1 + options_.amount : 1) *
+        node.cpu_us += asked * 300 *
+                       (is_new && options_.regression == Regression::kUsesMoreCpu ? 1 + options_.amount : 1) *
                        traffic_.Lognormal(1, 0.2);
       }
     }
-    if (is_new && options_.harm == Harm::kLeaks) node.memory_kb += options_.amount * 1024 / 60;
+    if (is_new && options_.regression == Regression::kLeaksMemory)
+      node.memory_kb += options_.amount * 1024 / 60;
   }
 }
 
@@ -443,15 +446,15 @@
     Node node;
     node.name = fmt::format("p{}", i + 1);
     node.zone = std::string(1, static_cast<char>('a' + i % options_.zones));
-    node.rate = options_.rate * traffic_.Lognormal(1, options_.uneven);
-    node.missed = options_.missed * traffic_.Lognormal(1, options_.differ);
+    node.rate = options_.rate * traffic_.Lognormal(1, options_.rate_cv);
+    node.missed = options_.missed_share * traffic_.Lognormal(1, options_.missed_cv);
     for (int c = 0; c < options_.classes; ++c) {
       rollout::wire::Stratum stratum;
       stratum.set_request_class(static_cast<std::uint32_t>(c));
       node.strata.push_back(stratum);
     }
     for (int c = 0; c < options_.classes; ++c)
-      for (int a = 0; a < options_.accounts; ++a) {
+      for (int a = 0; a < options_.tenants; ++a) {
         rollout::wire::Stratum stratum;
         stratum.set_request_class(static_cast<std::uint32_t>(c));
         stratum.set_tenant(static_cast<std::uint32_t>(a + 1));
@@ -462,7 +465,7 @@
     nodes_.push_back(std::move(node));
   }
   for (int i = 0; i < options_.members; ++i) Begin(i, plan_.old_version);
-  if (options_.faults) DrawFaults();
+  if (options_.member_faults) DrawFaults();
   const int first = static_cast<int>(random_.Below(nodes_.size()));
   if (const auto failure = At(first).agent->Start(Time(0), plan_, all)) Break(failure->text);
   Take(first);
@@ -522,7 +525,7 @@
   }
   result_.stopped = back;
   if (result_.done && back) Break("some hold the change for done, others for stopped");
-  if (options_.harm != Harm::kDeaf && !Settled()) {
+  if (options_.regression != Regression::kIsolated && !Settled()) {
     Break("it has not ended, or not everywhere alike");
     for (const Node& node : nodes_)
       if (node.agent && result_.story.size() < 30)
@@ -544,33 +547,36 @@
           {"harmed", harmed}, {"story", story}};
 }
 
-TrialResult TryChange(const std::string& text, const std::string& name_of_file, const TrialOptions& options) {
+TrialResult SimulateRollout(const std::string& text, const std::string& name_of_file,
+                            const TrialOptions& options) {
   const rollout::Plan plan = rollout::ParsePlan(text, name_of_file);
   return Trial(plan, options).Play();
 }
 
-const std::vector<std::pair<std::string, Harm>>& HarmNames() {
-  static const std::vector<std::pair<std::string, Harm>> names{{"none", Harm::kNone},
-                                                               {"fails", Harm::kFails},
-                                                               {"fails_class", Harm::kFailsClass},
-                                                               {"fails_account", Harm::kFailsAccount},
-                                                               {"fails_zone", Harm::kFailsZone},
-                                                               {"slower", Harm::kSlower},
-                                                               {"no_start", Harm::kNoStart},
-                                                               {"ends", Harm::kEnds},
-                                                               {"deaf", Harm::kDeaf},
-                                                               {"leaks", Harm::kLeaks},
-                                                               {"crowd", Harm::kCrowd},
-                                                               {"later", Harm::kLater},
-                                                               {"processor", Harm::kProcessor}};
+const std::vector<std::pair<std::string, Regression>>& RegressionNames() {
+  static const std::vector<std::pair<std::string, Regression>> names{
+      {"none", Regression::kNone},
+      {"fails", Regression::kFails},
+      {"fails_class", Regression::kFailsClass},
+      {"fails_account", Regression::kFailsTenant},
+      {"fails_zone", Regression::kFailsZone},
+      {"slower", Regression::kSlower},
+      {"no_start", Regression::kDoesNotStart},
+      {"ends", Regression::kCrashes},
+      {"deaf", Regression::kIsolated},
+      {"leaks", Regression::kLeaksMemory},
+      {"crowd", Regression::kFailsAtScale},
+      {"later", Regression::kFailsLater},
+      {"processor", Regression::kUsesMoreCpu}};
   return names;
 }
 
-const std::vector<std::pair<std::string, Around>>& AroundNames() {
-  static const std::vector<std::pair<std::string, Around>> names{{"calm", Around::kCalm},
-                                                                 {"backends", Around::kBackends},
-                                                                 {"surge", Around::kSurge},
-                                                                 {"zone_lost", Around::kZoneLost}};
+const std::vector<std::pair<std::string, Environment>>& EnvironmentNames() {
+  static const std::vector<std::pair<std::string, Environment>> names{
+      {"calm", Environment::kCalm},
+      {"backends", Environment::kFailingBackends},
+      {"surge", Environment::kTrafficSurge},
+      {"zone_lost", Environment::kZoneLost}};
   return names;
 }
 
--- a/src/fault_testing/trial.h
+++ b/src/fault_testing/trial.h
@@ -16,37 +16,37 @@
 namespace copperpoint::fault_testing {
 
 // What is wrong with the new version.
-enum class Harm {
+enum class Regression {
   kNone,
   kFails,         // `amount` more of its requests are not served in time
   kFailsClass,    // the same of one class
-  kFailsAccount,  // of one account
+  kFailsTenant,   // of one account
   kFailsZone,     // in one zone
   kSlower,        // its answers take 1 + `amount` times as long
-  kNoStart,       // it does not come up, and its keeper takes it back
-  kEnds,          // it ends after `amount` seconds, again and again
-  kDeaf,          // it serves and hears nobody
-  kLeaks,         // it takes `amount` MB more each minute
-  kCrowd,         // `amount` more fail once a third of the fleet runs it
-  kLater,         // better for 20 s, then `amount` more fail
-  kProcessor,     // 1 + `amount` times the processor time
+  kDoesNotStart,  // it does not come up, and its keeper takes it back
+  kCrashes,       // it ends after `amount` seconds, again and again
+  kIsolated,      // it serves and hears nobody
+  kLeaksMemory,   // it takes `amount` MB more each minute
+  kFailsAtScale,  // `amount` more fail once a third of the fleet runs it
+  kFailsLater,    // better for 20 s, then `amount` more fail
+  kUsesMoreCpu,   // 1 + `amount` times the processor time
 };
 
 // What befalls the fleet meanwhile, that is not the change's fault.
-enum class Around { kCalm, kBackends, kSurge, kZoneLost };
+enum class Environment { kCalm, kFailingBackends, kTrafficSurge, kZoneLost };
 
 struct TrialOptions {
-  int members = 300, zones = 3, classes = 3, accounts = 4;
-  double rate = 10;      // requests a second and member, in the mean
-  double missed = 0.01;  // share not served in time, today
-  double differ = 0.3;   // deviation of that between members, over its mean
-  double uneven = 0.7;   // deviation of a member's rate, over its mean
-  Harm harm = Harm::kNone;
+  int members = 300, zones = 3, classes = 3, tenants = 4;
+  double rate = 10;            // requests a second and member, in the mean
+  double missed_share = 0.01;  // share not served in time, today
+  double missed_cv = 0.3;      // deviation of that between members, over its mean
+  double rate_cv = 0.7;        // deviation of a member's rate, over its mean
+  Regression regression = Regression::kNone;
   double amount = 0.02;
-  Around around = Around::kCalm;
-  bool faults = false;  // cuts, kills, pauses, a second plan, an abort, by the seed
+  Environment environment = Environment::kCalm;
+  bool member_faults = false;  // cuts, kills, pauses, a second plan, an abort, by the seed
   double length_s = 900;
-  bool tell = false;  // every event, in the story of a run that does not hold
+  bool record_events = false;  // every event, in the story of a run that does not hold
   std::uint64_t seed = 1;
 };
 
@@ -63,10 +63,11 @@
 };
 
 // `plan`: text of a plan (rollout/plan.h). Throws config::InvalidFile.
-TrialResult TryChange(const std::string& plan, const std::string& name_of_file, const TrialOptions& options);
+TrialResult SimulateRollout(const std::string& plan, const std::string& name_of_file,
+                            const TrialOptions& options);
 
-const std::vector<std::pair<std::string, Harm>>& HarmNames();
-const std::vector<std::pair<std::string, Around>>& AroundNames();
+const std::vector<std::pair<std::string, Regression>>& RegressionNames();
+const std::vector<std::pair<std::string, Environment>>& EnvironmentNames();
 
 }  // namespace copperpoint::fault_testing
 
--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -39,7 +39,8 @@
         random_(options.seed, "network"),
         links_(plan, options.seed),
         conditions_(plan),
-        judge_(plan, options.seed, static_cast<double>(options.view.contact_timeout.count()) / 1e6),
+        judge_(plan, options.seed,
+               static_cast<double>(options.membership_options.contact_timeout.count()) / 1e6),
         nodes_(static_cast<std::size_t>(plan.members)) {}
 
   Outcome Play();
@@ -156,8 +157,9 @@
   self.set_program("0.1.0");
   self.set_state(static_cast<std::uint32_t>(membership::MemberState::kServing));
   simulation::Random draw(options_.seed, "member", static_cast<std::uint64_t>(member) << 20 | node.life);
-  node.view = std::make_unique<membership::Membership>(options_.view, peers::FrameCodec(kCluster, kKey),
-                                                       std::move(self), draw.Bits(), Clock(node), &records_);
+  node.view =
+      std::make_unique<membership::Membership>(options_.membership_options, peers::FrameCodec(kCluster, kKey),
+                                               std::move(self), draw.Bits(), Clock(node), &records_);
   node.stopped = false;
   node.wake = simulation::kNeverMicros;
   node.positions = subsetting::RingPosition();
@@ -218,7 +220,7 @@
       hashes_.size() == 1 && counts && node.view->members().living().size() == static_cast<std::size_t>(up_);
   judge_.Agreed(Seconds(queue_.now()), one);
   if (one && up_ == plan_.members) Meet("settled");
-  if (options_.timeline && hashes_.size() != last_views_) {
+  if (options_.record_timeline && hashes_.size() != last_views_) {
     last_views_ = hashes_.size();
     timeline_.push_back({Seconds(queue_.now()), last_views_});
   }
@@ -542,7 +544,7 @@
   Judge::Verdict verdict = judge_.Close(plan_.length_s, /*with_service=*/false);
   Outcome outcome{verdict.holds, std::move(verdict.json), std::move(verdict.story)};
   if (!outcome.holds)
-    for (std::string& line : Differences()) outcome.story.push_back(std::move(line));
+    for (std::string& line : Differences()) outcome.failures.push_back(std::move(line));
   outcome.json["seed"] = options_.seed;
   outcome.json["members"] = plan_.members;
   outcome.json["suspicions"] = suspicions_;
@@ -551,7 +553,7 @@
   outcome.json["news_shed"] = shed;
   if (divides_) outcome.json["changed_over"] = changed_over_;
   outcome.json["events"] = queue_.processed();
-  if (options_.timeline) {
+  if (options_.record_timeline) {
     outcome.json["views"] = std::move(timeline_);
     outcome.json["spread"] = judge_.Spread();
   }
--- a/src/fault_testing/virtual.h
+++ b/src/fault_testing/virtual.h
@@ -17,14 +17,14 @@
 struct Outcome {
   bool holds = true;
   nlohmann::ordered_json json;
-  std::vector<std::string> story;
+  std::vector<std::string> failures;
 };
 
 struct VirtualOptions {
   std::uint64_t seed = 1;
-  membership::Options view;
-  bool settled = false;   // those that start with the run have long known each other
-  bool timeline = false;  // keeps how many views there are over time, for plots
+  membership::Options membership_options;
+  bool settled = false;          // those that start with the run have long known each other
+  bool record_timeline = false;  // keeps how many views there are over time, for plots
 };
 
 Outcome PlayVirtual(const Plan& plan, const VirtualOptions& options);
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -25,7 +25,7 @@
 std::string Replay(const std::string& name, std::uint64_t seed, const Outcome& outcome) {
   std::string text =
       "copperpoint fault-test run lab/rig/" + name + ".toml --virtual --seed " + std::to_string(seed) + "\n";
-  for (const std::string& line : outcome.story) text += line + "\n";
+  for (const std::string& line : outcome.failures) text += line + "\n";
   return text;
 }
 
@@ -59,7 +59,7 @@
 TEST(Virtual, WithoutSuspicionTheLivingAreRemoved) {
   const Plan plan = ReadPlan(File("pause"));
   VirtualOptions options;
-  options.view.with_suspicion = false;
+  options.membership_options.with_suspicion = false;
   const Outcome outcome = PlayVirtual(plan, options);
   EXPECT_FALSE(outcome.holds);
 }
@@ -79,9 +79,9 @@
   VirtualOptions options;
   int lost = 0;
   for (options.seed = 1; options.seed <= 10; ++options.seed) {
-    options.view.with_delayed_wakeups = true;
+    options.membership_options.with_delayed_wakeups = true;
     EXPECT_TRUE(PlayVirtual(plan, options).holds) << options.seed;
-    options.view.with_delayed_wakeups = false;
+    options.membership_options.with_delayed_wakeups = false;
     lost += !PlayVirtual(plan, options).holds;
   }
   EXPECT_GE(lost, 1);
@@ -91,14 +91,14 @@
   const Plan plan = SmallStarved();
   VirtualOptions options;
   const int with = PlayVirtual(plan, options).json["suspicions"];
-  options.view.with_indirect_probes = false;
+  options.membership_options.with_indirect_probes = false;
   const int without = PlayVirtual(plan, options).json["suspicions"];
   EXPECT_GT(without, 2 * with);
 }
 
 TEST(Virtual, WithoutWholeComparisonsHalvesDoNotFindOneView) {
   VirtualOptions options;
-  options.view.with_anti_entropy = false;
+  options.membership_options.with_anti_entropy = false;
   EXPECT_FALSE(PlayVirtual(ReadPlan(File("split")), options).holds);
 }
 
@@ -245,7 +245,7 @@
                             {"listen", "127.0.0.1:0"},
                             {"discovery", "127.0.0.1:1"},
                             {"seed", "1"},
-                            {"settings", SettingsOf(Plan(), 0)}};
+                            {"settings", ProxySettings(Plan(), 0)}};
   const std::string config = folder.Write("c.json", json.dump());
   ::chmod(key.c_str(), 0644);
   const Finished finished =
--- a/tests/rollout/simulated_rollout_test.cpp
+++ b/tests/rollout/simulated_rollout_test.cpp
@@ -15,15 +15,15 @@
 fault_testing::TrialResult Play(fault_testing::TrialOptions options) {
   options.members = 9;
   options.classes = 2;
-  options.accounts = 1;
-  return fault_testing::TryChange(kPlan, "plan", options);
+  options.tenants = 1;
+  return fault_testing::SimulateRollout(kPlan, "plan", options);
 }
 
 TEST(SimulatedRollout, GuaranteesHoldUnderRandomFaults) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     fault_testing::TrialOptions options;
     options.seed = seed;
-    options.faults = true;
+    options.member_faults = true;
     options.length_s = 400;
     const fault_testing::TrialResult result = Play(options);
     std::string lines;
@@ -33,15 +33,16 @@
 }
 
 TEST(SimulatedRollout, SevereFaultOfTheNewVersionStopsInTheFirstStage) {
-  for (const fault_testing::Harm harm :
-       {fault_testing::Harm::kNoStart, fault_testing::Harm::kEnds, fault_testing::Harm::kDeaf}) {
+  for (const fault_testing::Regression regression :
+       {fault_testing::Regression::kDoesNotStart, fault_testing::Regression::kCrashes,
+        fault_testing::Regression::kIsolated}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       fault_testing::TrialOptions options;
       options.seed = seed;
-      options.harm = harm;
+      options.regression = regression;
       options.amount = 5;
       const fault_testing::TrialResult result = Play(options);
-      EXPECT_TRUE(result.stopped && !result.done) << static_cast<int>(harm) << " seed " << seed;
+      EXPECT_TRUE(result.stopped && !result.done) << static_cast<int>(regression) << " seed " << seed;
       EXPECT_LE(result.ever, 1) << seed;
     }
   }
