--- a/src/fault_testing/conditions.h
+++ b/src/fault_testing/conditions.h
@@ -19,35 +19,35 @@
  public:
   explicit Conditions(const Plan& plan) {
     for (std::size_t i = 0; i < plan.faults.size(); ++i)
-      if (!plan.faults[i].when.empty()) waiting_.push_back({i, plan.faults[i].when});
+      if (!plan.faults[i].when.empty()) pending_.push_back({i, plan.faults[i].when});
   }
 
   // The faults, by number, that waited for this; each is named once.
-  std::vector<std::size_t> Met(std::string_view event, std::string_view member = {}) {
-    std::vector<std::size_t> met;
-    if (waiting_.empty()) return met;
-    std::string whole(event);
-    if (!member.empty()) whole.append(":").append(member);
-    std::erase_if(waiting_, [&](const Waiting& of) {
-      if (of.when != event && of.when != whole) return false;
-      met.push_back(of.fault);
+  std::vector<std::size_t> TakeTriggered(std::string_view event, std::string_view member = {}) {
+    std::vector<std::size_t> triggered;
+    if (pending_.empty()) return triggered;
+    std::string event_of_member(event);
+    if (!member.empty()) event_of_member.append(":").append(member);
+    std::erase_if(pending_, [&](const PendingFault& pending) {
+      if (pending.when != event && pending.when != event_of_member) return false;
+      triggered.push_back(pending.fault);
       return true;
     });
-    return met;
+    return triggered;
   }
   // What nothing has met yet.
-  std::vector<std::string> unmet() const {
-    std::vector<std::string> words;
-    for (const Waiting& of : waiting_) words.push_back(of.when);
-    return words;
+  std::vector<std::string> untriggered() const {
+    std::vector<std::string> conditions;
+    for (const PendingFault& pending : pending_) conditions.push_back(pending.when);
+    return conditions;
   }
 
  private:
-  struct Waiting {
+  struct PendingFault {
     std::size_t fault;
     std::string when;
   };
-  std::vector<Waiting> waiting_;
+  std::vector<PendingFault> pending_;
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/judge.cpp
+++ b/src/fault_testing/judge.cpp
@@ -11,268 +11,280 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-std::vector<bool> Marked(const Plan& plan, const std::vector<int>& members) {
-  std::vector<bool> marked(static_cast<std::size_t>(plan.members));
-  for (const int member : members) marked[static_cast<std::size_t>(member)] = true;
-  return marked;
+std::vector<bool> MemberMask(const Plan& plan, const std::vector<int>& members) {
+  std::vector<bool> mask(static_cast<std::size_t>(plan.members));
+  for (const int member : members) mask[static_cast<std::size_t>(member)] = true;
+  return mask;
 }
 
 }  // namespace
 
-Judge::Judge(const Plan& plan, std::uint64_t seed, double silence_s)
+RunEvaluator::RunEvaluator(const Plan& plan, std::uint64_t seed, double contact_timeout_s)
     : plan_(plan),
       seed_(seed),
-      silence_(silence_s),
-      lives_(static_cast<std::size_t>(plan.members)),
-      stops_(static_cast<std::size_t>(plan.members)),
-      last_fault_over_(LastFaultOver(plan)) {
+      contact_timeout_s_(contact_timeout_s),
+      run_periods_(static_cast<std::size_t>(plan.members)),
+      pause_periods_(static_cast<std::size_t>(plan.members)),
+      last_fault_end_s_(LastFaultEnd(plan)) {
   for (const Fault& fault : plan.faults) {
-    if (fault.when.empty()) AddCut(fault, fault.at_s);
+    if (fault.when.empty()) AddPartition(fault, fault.at_s);
   }
 }
 
-void Judge::AddCut(const Fault& fault, double from) {
+void RunEvaluator::AddPartition(const Fault& fault, double from) {
   if (fault.kind != FaultKind::kCut && !(fault.kind == FaultKind::kLoss && fault.amount >= 0.5)) return;
-  Cut cut{from, fault.for_s > 0 ? from + fault.for_s : plan_.length_s, {}, {}};
-  cut.who = Marked(plan_, Chosen(plan_, fault.who, seed_));
-  cut.whom = Marked(plan_, Chosen(plan_, fault.to, seed_));
+  Partition partition{from, fault.for_s > 0 ? from + fault.for_s : plan_.length_s, {}, {}};
+  partition.senders = MemberMask(plan_, SelectMembers(plan_, fault.who, seed_));
+  partition.receivers = MemberMask(plan_, SelectMembers(plan_, fault.to, seed_));
   if (fault.to.empty()) {
-    cut.whom = cut.who;
-    cut.whom.flip();
+    partition.receivers = partition.senders;
+    partition.receivers.flip();
   }
-  cuts_.push_back(std::move(cut));
+  partitions_.push_back(std::move(partition));
 }
 
-void Judge::Begun(double at, const Fault& fault) {
-  AddCut(fault, at);
-  last_fault_over_ = std::max(last_fault_over_, at + fault.for_s);
+void RunEvaluator::OnFaultTriggered(double at, const Fault& fault) {
+  AddPartition(fault, at);
+  last_fault_end_s_ = std::max(last_fault_end_s_, at + fault.for_s);
 }
 
-void Judge::Started(double at, int member) { lives_[static_cast<std::size_t>(member)].push_back({at}); }
+void RunEvaluator::OnStarted(double at, int member) {
+  run_periods_[static_cast<std::size_t>(member)].push_back({at});
+}
 
-void Judge::Ended(double at, int member, bool with_a_word) {
-  auto& lives = lives_[static_cast<std::size_t>(member)];
-  if (lives.empty() || lives.back().to >= 0) return;
-  lives.back().to = at;
-  lives.back().with_a_word = with_a_word;
-  if (!with_a_word) deaths_.push_back({at, member, {}});
+void RunEvaluator::OnEnded(double at, int member, bool graceful) {
+  auto& runs = run_periods_[static_cast<std::size_t>(member)];
+  if (runs.empty() || runs.back().to >= 0) return;
+  runs.back().to = at;
+  runs.back().graceful = graceful;
+  if (!graceful) crashes_.push_back({at, member, {}});
 }
 
-void Judge::Stopped(double at, int member) { stops_[static_cast<std::size_t>(member)].push_back({at}); }
-void Judge::Continued(double at, int member) {
-  auto& stops = stops_[static_cast<std::size_t>(member)];
-  if (!stops.empty()) stops.back().to = at;
+void RunEvaluator::OnPaused(double at, int member) {
+  pause_periods_[static_cast<std::size_t>(member)].push_back({at});
+}
+void RunEvaluator::OnResumed(double at, int member) {
+  auto& pauses = pause_periods_[static_cast<std::size_t>(member)];
+  if (!pauses.empty()) pauses.back().to = at;
 }
 
 // Which side heard which doesn't matter: who cannot talk both ways may be given up.
-bool Judge::CutOff(int a, int b, double at) const {
+bool RunEvaluator::WasPartitioned(int a, int b, double at) const {
   const auto x = static_cast<std::size_t>(a), y = static_cast<std::size_t>(b);
-  return std::any_of(cuts_.begin(), cuts_.end(), [&](const Cut& cut) {
+  return std::any_of(partitions_.begin(), partitions_.end(), [&](const Partition& partition) {
     // What was decided before the cut ended still spreads for as long as a suspicion takes.
-    return at >= cut.from && at <= cut.to + 2 * silence_ &&
-           ((cut.who[x] && cut.whom[y]) || (cut.who[y] && cut.whom[x]));
+    return at >= partition.from && at <= partition.to + 2 * contact_timeout_s_ &&
+           ((partition.senders[x] && partition.receivers[y]) ||
+            (partition.senders[y] && partition.receivers[x]));
   });
 }
 
-void Judge::SaidDead(double at, int observer, int subject) {
-  const auto& lives = lives_[static_cast<std::size_t>(subject)];
-  for (auto death = deaths_.rbegin(); death != deaths_.rend(); ++death) {
-    if (death->subject != subject) continue;
-    death->known.try_emplace(observer, at);
+void RunEvaluator::OnDeclaredDead(double at, int observer, int subject) {
+  const auto& runs = run_periods_[static_cast<std::size_t>(subject)];
+  for (auto crash = crashes_.rbegin(); crash != crashes_.rend(); ++crash) {
+    if (crash->subject != subject) continue;
+    crash->detected_at.try_emplace(observer, at);
     break;
   }
-  if (lives.empty() || lives.back().to >= 0) return;                      // it had ended
-  if (lives.size() > 1 && at - lives.back().from < 2 * silence_) return;  // news of the process before
-  if (CutOff(observer, subject, at)) return;
-  const auto& stops = stops_[static_cast<std::size_t>(subject)];
-  if (!stops.empty() && (stops.back().to < 0 || at - stops.back().to < silence_) &&
-      (stops.back().to < 0 ? at : stops.back().to) - stops.back().from >= silence_ - 0.3)
+  if (runs.empty() || runs.back().to >= 0) return;  // it had ended
+  if (runs.size() > 1 && at - runs.back().from < 2 * contact_timeout_s_)
+    return;  // news of the process before
+  if (WasPartitioned(observer, subject, at)) return;
+  const auto& pauses = pause_periods_[static_cast<std::size_t>(subject)];
+  if (!pauses.empty() && (pauses.back().to < 0 || at - pauses.back().to < contact_timeout_s_) &&
+      (pauses.back().to < 0 ? at : pauses.back().to) - pauses.back().from >= contact_timeout_s_ - 0.3)
     return;  // it stood still for longer than silence is borne
-  removals_.push_back({at, observer, subject});
+  false_removals_.push_back({at, observer, subject});
 }
 
-void Judge::Agreed(double at, bool agreed) {
+void RunEvaluator::OnAgreement(double at, bool agreed) {
   if (agreement_.empty() || agreement_.back().second != agreed) agreement_.emplace_back(at, agreed);
 }
 
-void Judge::Bytes(double per_s_out, double per_s_in) {
+void RunEvaluator::AddByteRates(double per_s_out, double per_s_in) {
   bytes_out_ = std::max(bytes_out_, per_s_out);
   bytes_in_ = std::max(bytes_in_, per_s_in);
 }
 
-void Judge::Served(std::uint64_t served, std::uint64_t asked) {
-  served_ += served;
-  asked_ += asked;
+void RunEvaluator::AddRequests(std::uint64_t served, std::uint64_t requests) {
+  served_requests_ += served;
+  requests_ += requests;
 }
 
-bool Judge::LivedThrough(int member, double from, double to) const {
-  for (const Life& life : lives_[static_cast<std::size_t>(member)])
-    if (life.from < from && (life.to < 0 || life.to > to)) return true;
+bool RunEvaluator::RanThroughout(int member, double from, double to) const {
+  for (const Period& period : run_periods_[static_cast<std::size_t>(member)])
+    if (period.from < from && (period.to < 0 || period.to > to)) return true;
   return false;
 }
 
-nlohmann::ordered_json Judge::Known(double end, double* worst, std::vector<std::string>* story) const {
-  std::vector<double> first, all;
+nlohmann::ordered_json RunEvaluator::EvaluateDetection(double end, double* worst,
+                                                       std::vector<std::string>* failures) const {
+  std::vector<double> first_delays, last_delays;
   *worst = 0;
-  for (const Death& death : deaths_) {
+  for (const Crash& crash : crashes_) {
     double earliest = end, latest = 0;
     // Started again: members may learn of the new process without a word of the old one's death.
-    const auto& lives = lives_[static_cast<std::size_t>(death.subject)];
-    const bool back =
-        std::any_of(lives.begin(), lives.end(), [&](const Life& l) { return l.from > death.at; });
+    const auto& runs = run_periods_[static_cast<std::size_t>(crash.subject)];
+    const bool restarted =
+        std::any_of(runs.begin(), runs.end(), [&](const Period& period) { return period.from > crash.at; });
     for (int member = 0; member < plan_.members; ++member) {
-      if (member == death.subject || CutOff(member, death.subject, death.at)) continue;
-      const auto found = death.known.find(member);
-      if (found != death.known.end()) {
-        earliest = std::min(earliest, found->second - death.at);
-        latest = std::max(latest, found->second - death.at);
-      } else if (!back && LivedThrough(member, death.at, end)) {
-        latest = end - death.at;
-        story->push_back(fmt::format("{} never learnt that {} ended at {:.2f} s", MemberName(member),
-                                     MemberName(death.subject), death.at));
+      if (member == crash.subject || WasPartitioned(member, crash.subject, crash.at)) continue;
+      const auto found = crash.detected_at.find(member);
+      if (found != crash.detected_at.end()) {
+        earliest = std::min(earliest, found->second - crash.at);
+        latest = std::max(latest, found->second - crash.at);
+      } else if (!restarted && RanThroughout(member, crash.at, end)) {
+        latest = end - crash.at;
+        failures->push_back(fmt::format("{} never learnt that {} ended at {:.2f} s", MemberName(member),
+                                        MemberName(crash.subject), crash.at));
       }
     }
     if (latest == 0) continue;
-    first.push_back(earliest);
-    all.push_back(latest);
+    first_delays.push_back(earliest);
+    last_delays.push_back(latest);
     *worst = std::max(*worst, latest);
   }
-  return {{"ends", first.size()},
-          {"first_p50_s", Quantile(first, 0.5)},
-          {"first_p99_s", Quantile(first, 0.99)},
-          {"all_p50_s", Quantile(all, 0.5)},
-          {"all_p99_s", Quantile(all, 0.99)}};
+  return {{"ends", first_delays.size()},
+          {"first_p50_s", Quantile(first_delays, 0.5)},
+          {"first_p99_s", Quantile(first_delays, 0.99)},
+          {"all_p50_s", Quantile(last_delays, 0.5)},
+          {"all_p99_s", Quantile(last_delays, 0.99)}};
 }
 
-std::vector<double> Judge::Spread() const {
-  std::vector<double> spread;
-  if (deaths_.empty()) return spread;
-  for (const auto& [observer, at] : deaths_.front().known) spread.push_back(at - deaths_.front().at);
-  std::sort(spread.begin(), spread.end());
-  return spread;
+std::vector<double> RunEvaluator::DetectionDelays() const {
+  std::vector<double> delays;
+  if (crashes_.empty()) return delays;
+  for (const auto& [observer, at] : crashes_.front().detected_at) delays.push_back(at - crashes_.front().at);
+  std::sort(delays.begin(), delays.end());
+  return delays;
 }
 
-Judge::Verdict Judge::Close(double at, bool with_service) {
-  Verdict verdict;
-  auto& results = verdict.json["properties"] = nlohmann::ordered_json::array();
+RunEvaluator::Evaluation RunEvaluator::Evaluate(double at, bool with_service_properties) {
+  Evaluation evaluation;
+  auto& results = evaluation.json["properties"] = nlohmann::ordered_json::array();
   for (const Property& property : plan_.properties) {
     const bool of_service =
         property.kind == PropertyKind::kServedAtLeast || property.kind == PropertyKind::kTrafficShare ||
         property.kind == PropertyKind::kRunsAtEnd || property.kind == PropertyKind::kEverRan;
-    if (of_service && !with_service) continue;
+    if (of_service && !with_service_properties) continue;
     nlohmann::ordered_json result{{"kind", NameOf(property.kind)}, {"bound", property.bound}};
     bool holds = true;
-    std::vector<std::string> story;
+    std::vector<std::string> failures;
     switch (property.kind) {
       case PropertyKind::kSettlesWithin: {
-        const double from = property.after_s >= 0 ? property.after_s : last_fault_over_;
+        const double from = property.after_s >= 0 ? property.after_s : last_fault_end_s_;
         const bool agreed = !agreement_.empty() && agreement_.back().second;
         const double took = agreed ? std::max(0.0, agreement_.back().first - from) : at - from;
         holds = agreed && took <= property.bound;
         result["settled"] = agreed;
         result["seconds"] = took;
         if (!holds)
-          story.push_back(
+          failures.push_back(
               agreed ? fmt::format("one view only {:.2f} s after {:.2f} s", took, from)
                      : fmt::format("no one view by the end, {:.2f} s after {:.2f} s", at - from, from));
         break;
       }
       case PropertyKind::kKnownWithin: {
         double worst = 0;
-        result.update(Known(at, &worst, &story));
+        result.update(EvaluateDetection(at, &worst, &failures));
         result["worst_s"] = worst;
         holds = worst <= property.bound;
-        if (!holds) story.push_back(fmt::format("an end was known to all only after {:.2f} s", worst));
+        if (!holds) failures.push_back(fmt::format("an end was known to all only after {:.2f} s", worst));
         break;
       }
       case PropertyKind::kNeverRemoved: {
-        holds = static_cast<double>(removals_.size()) <= property.bound;
-        result["times"] = removals_.size();
-        for (std::size_t i = 0; !holds && i < std::min<std::size_t>(10, removals_.size()); ++i)
-          story.push_back(fmt::format("{:.3f} s: {} took {} for dead, which lived", removals_[i].at,
-                                      MemberName(removals_[i].observer), MemberName(removals_[i].subject)));
+        holds = static_cast<double>(false_removals_.size()) <= property.bound;
+        result["times"] = false_removals_.size();
+        for (std::size_t i = 0; !holds && i < std::min<std::size_t>(10, false_removals_.size()); ++i)
+          failures.push_back(fmt::format("{:.3f} s: {} took {} for dead, which lived", false_removals_[i].at,
+                                         MemberName(false_removals_[i].observer),
+                                         MemberName(false_removals_[i].subject)));
         break;
       }
       case PropertyKind::kBytesAtMost:
         holds = bytes_out_ > 0 && bytes_out_ <= property.bound && bytes_in_ <= property.bound;
         result["out_per_s"] = bytes_out_;
         result["in_per_s"] = bytes_in_;
-        if (!holds) story.push_back(fmt::format("{:.0f} bytes/s out, {:.0f} in", bytes_out_, bytes_in_));
+        if (!holds) failures.push_back(fmt::format("{:.0f} bytes/s out, {:.0f} in", bytes_out_, bytes_in_));
         break;
       case PropertyKind::kServedAtLeast: {
-        const double share = asked_ ? static_cast<double>(served_) / static_cast<double>(asked_) : 0;
-        holds = asked_ > 0 && share >= property.bound;
+        const double share =
+            requests_ ? static_cast<double>(served_requests_) / static_cast<double>(requests_) : 0;
+        holds = requests_ > 0 && share >= property.bound;
         result["served"] = share;
-        result["asked"] = asked_;
-        if (!holds) story.push_back(fmt::format("{} of {} requests were served", served_, asked_));
+        result["asked"] = requests_;
+        if (!holds)
+          failures.push_back(fmt::format("{} of {} requests were served", served_requests_, requests_));
         break;
       }
       case PropertyKind::kRefusedSome:
-        holds = static_cast<double>(refusals_) >= property.bound;
-        result["refused"] = refusals_;
-        if (!holds) story.push_back(fmt::format("{} datagrams were refused", refusals_));
+        holds = static_cast<double>(rejected_datagrams_) >= property.bound;
+        result["refused"] = rejected_datagrams_;
+        if (!holds) failures.push_back(fmt::format("{} datagrams were refused", rejected_datagrams_));
         break;
       case PropertyKind::kRunsAtEnd: {
-        const auto others = std::count_if(versions_.begin(), versions_.end(), [&](const std::string& one) {
-          return !one.empty() && one != property.version;
-        });
-        holds = !versions_.empty() && others == 0;
+        const auto others =
+            std::count_if(final_versions_.begin(), final_versions_.end(),
+                          [&](const std::string& one) { return !one.empty() && one != property.version; });
+        holds = !final_versions_.empty() && others == 0;
         result["others"] = others;
-        for (std::size_t i = 0; !holds && i < versions_.size(); ++i)
-          if (!versions_[i].empty() && versions_[i] != property.version)
-            story.push_back(MemberName(static_cast<int>(i)) + " runs " + versions_[i] + " at the end");
+        for (std::size_t i = 0; !holds && i < final_versions_.size(); ++i)
+          if (!final_versions_[i].empty() && final_versions_[i] != property.version)
+            failures.push_back(MemberName(static_cast<int>(i)) + " runs " + final_versions_[i] +
+                               " at the end");
         break;
       }
       case PropertyKind::kEverRan: {
-        const auto ran = std::count_if(ever_.begin(), ever_.end(), [&](const std::set<std::string>& one) {
-          return one.contains(property.version);
-        });
+        const auto ran =
+            std::count_if(versions_run_.begin(), versions_run_.end(),
+                          [&](const std::set<std::string>& one) { return one.contains(property.version); });
         holds = static_cast<double>(ran) <= property.bound;
         result["ran"] = ran;
-        if (!holds) story.push_back(fmt::format("{} members began {}", ran, property.version));
+        if (!holds) failures.push_back(fmt::format("{} members began {}", ran, property.version));
         break;
       }
       case PropertyKind::kTrafficShare: {
-        std::uint64_t all = 0, theirs = 0;
-        for (const std::uint64_t runs : runs_) all += runs;
-        for (const int backend : ChosenBackends(plan_, property.who, seed_))
-          if (backend >= 0) theirs += runs_[static_cast<std::size_t>(backend)];
-        const double share = all ? static_cast<double>(theirs) / static_cast<double>(all) : 1;
-        holds = all > 0 && share <= property.bound;
+        std::uint64_t total = 0, selected = 0;
+        for (const std::uint64_t executions : executions_) total += executions;
+        for (const int backend : SelectBackends(plan_, property.who, seed_))
+          if (backend >= 0) selected += executions_[static_cast<std::size_t>(backend)];
+        const double share = total ? static_cast<double>(selected) / static_cast<double>(total) : 1;
+        holds = total > 0 && share <= property.bound;
         result["share"] = share;
-        result["runs"] = all;
-        if (!holds) story.push_back(fmt::format("{} of {} requests ran there", theirs, all));
+        result["runs"] = total;
+        if (!holds) failures.push_back(fmt::format("{} of {} requests ran there", selected, total));
         break;
       }
       case PropertyKind::kHoldersEven: {
         double sum = 0, squares = 0;
-        for (const int n : holders_) sum += n, squares += static_cast<double>(n) * n;
-        const double mean = sum / static_cast<double>(std::max<std::size_t>(1, holders_.size()));
-        const double mean_square = squares / static_cast<double>(std::max<std::size_t>(1, holders_.size()));
+        for (const int n : connected_proxies_) sum += n, squares += static_cast<double>(n) * n;
+        const double mean = sum / static_cast<double>(std::max<std::size_t>(1, connected_proxies_.size()));
+        const double mean_square =
+            squares / static_cast<double>(std::max<std::size_t>(1, connected_proxies_.size()));
         const double deviation = std::sqrt(std::max(0.0, mean_square - mean * mean));
         holds = sum > 0 && deviation <= property.bound * mean;
         result["mean"] = mean;
         result["deviation"] = deviation;
-        result["by_backend"] = holders_;
+        result["by_backend"] = connected_proxies_;
         if (!holds)
-          story.push_back(
+          failures.push_back(
               fmt::format("proxies with a connection {:.1f} in the mean, {:.2f} deviation", mean, deviation));
         break;
       }
     }
     result["holds"] = holds;
-    verdict.holds &= holds;
-    for (std::string& line : story)
-      if (!holds) verdict.story.push_back(NameOf(property.kind) + ": " + line);
+    evaluation.holds &= holds;
+    for (std::string& line : failures)
+      if (!holds) evaluation.failures.push_back(NameOf(property.kind) + ": " + line);
     results.push_back(std::move(result));
   }
-  for (const std::string& rule : broken_) verdict.story.push_back("broken rule: " + rule);
-  verdict.holds &= broken_.empty();
-  for (const std::string& when : unmet_)
-    verdict.story.push_back("no fault began when " + when + ": it never came");
-  verdict.holds &= unmet_.empty();
-  verdict.json["rules_broken"] = broken_.size();
-  return verdict;
+  for (const std::string& rule : rule_violations_) evaluation.failures.push_back("broken rule: " + rule);
+  evaluation.holds &= rule_violations_.empty();
+  for (const std::string& when : untriggered_)
+    evaluation.failures.push_back("no fault began when " + when + ": it never came");
+  evaluation.holds &= untriggered_.empty();
+  evaluation.json["rules_broken"] = rule_violations_.size();
+  return evaluation;
 }
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/judge.h
+++ b/src/fault_testing/judge.h
@@ -17,88 +17,93 @@
 namespace copperpoint::fault_testing {
 
 // Seconds since the start of the run.
-class Judge {
+class RunEvaluator {
  public:
-  Judge(const Plan& plan, std::uint64_t seed, double silence_s);
+  RunEvaluator(const Plan& plan, std::uint64_t seed, double contact_timeout_s);
 
   // ---- what was done ----
-  void Started(double at, int member);
-  void Ended(double at, int member, bool with_a_word);
-  void Stopped(double at, int member);
-  void Continued(double at, int member);
+  void OnStarted(double at, int member);
+  void OnEnded(double at, int member, bool graceful);
+  void OnPaused(double at, int member);
+  void OnResumed(double at, int member);
   // A fault that waited for something, begun only now.
-  void Begun(double at, const Fault& fault);
+  void OnFaultTriggered(double at, const Fault& fault);
   // What a fault waited for never came: the run has not shown what it is for.
-  void Unmet(const std::string& when) { unmet_.push_back(when); }
+  void OnFaultNotTriggered(const std::string& when) { untriggered_.push_back(when); }
 
   // ---- what was seen ----
-  void SaidDead(double at, int observer, int subject);
+  void OnDeclaredDead(double at, int observer, int subject);
   // Whether all living members have one view, the true one. Only changes need be told.
-  void Agreed(double at, bool agreed);
-  void Bytes(double per_s_out, double per_s_in);  // of the busiest member, from its property's time on
-  void Refusals(std::uint64_t datagrams) { refusals_ += datagrams; }
-  void Served(std::uint64_t served, std::uint64_t asked);
-  void Runs(std::vector<std::uint64_t> by_backend) { runs_ = std::move(by_backend); }  // traffic_share
+  void OnAgreement(double at, bool agreed);
+  void AddByteRates(double per_s_out, double per_s_in);  // of the busiest member, from its property's time on
+  void AddRejectedDatagrams(std::uint64_t datagrams) { rejected_datagrams_ += datagrams; }
+  void AddRequests(std::uint64_t served, std::uint64_t requests);
+  void SetExecutions(std::vector<std::uint64_t> by_backend) {
+    executions_ = std::move(by_backend);
+  }  // traffic_share
   // Of each member at the end, empty if it is down; and which each ever began.
-  void Versions(std::vector<std::string> at_end, std::vector<std::set<std::string>> ever) {
-    versions_ = std::move(at_end);
-    ever_ = std::move(ever);
+  void SetVersions(std::vector<std::string> at_end, std::vector<std::set<std::string>> versions_run) {
+    final_versions_ = std::move(at_end);
+    versions_run_ = std::move(versions_run);
   }
-  void Holders(std::vector<int> by_backend) { holders_ = std::move(by_backend); }
-  void Broke(const std::string& rule) { broken_.push_back(rule); }  // one of the rules of service
+  void SetConnectedProxies(std::vector<int> by_backend) { connected_proxies_ = std::move(by_backend); }
+  void AddRuleViolation(const std::string& rule) {
+    rule_violations_.push_back(rule);
+  }  // one of the rules of service
 
   // When each that learnt of it knew of the first end without a word, in seconds after it.
-  std::vector<double> Spread() const;
+  std::vector<double> DetectionDelays() const;
 
-  struct Verdict {
+  struct Evaluation {
     bool holds = true;
     nlohmann::ordered_json json;
-    std::vector<std::string> story;  // a line each, of what did not hold
+    std::vector<std::string> failures;  // a line each, of what did not hold
   };
   // `with_service`: properties of requests are judged too.
-  Verdict Close(double at, bool with_service);
+  Evaluation Evaluate(double at, bool with_service_properties);
 
  private:
-  struct Life {
+  struct Period {
     double from = 0, to = -1;  // to < 0: it goes on
-    bool with_a_word = false;
+    bool graceful = false;
   };
-  struct Removal {
+  struct FalseRemoval {
     double at = 0;
     int observer = 0, subject = 0;
   };
-  struct Death {
+  struct Crash {
     double at = 0;
     int subject = 0;
-    std::map<int, double> known;  // by observer
+    std::map<int, double> detected_at;  // by observer
   };
-  bool LivedThrough(int member, double from, double to) const;
-  bool CutOff(int a, int b, double at) const;
-  nlohmann::ordered_json Known(double end, double* worst, std::vector<std::string>* story) const;
+  bool RanThroughout(int member, double from, double to) const;
+  bool WasPartitioned(int a, int b, double at) const;
+  nlohmann::ordered_json EvaluateDetection(double end, double* worst,
+                                           std::vector<std::string>* failures) const;
 
-  void AddCut(const Fault& fault, double from);
+  void AddPartition(const Fault& fault, double from);
 
   const Plan& plan_;
   const std::uint64_t seed_;
-  const double silence_;
-  std::vector<std::vector<Life>> lives_;
-  std::vector<std::vector<Life>> stops_;
-  std::vector<Removal> removals_;  // of the living
-  std::vector<Death> deaths_;
+  const double contact_timeout_s_;
+  std::vector<std::vector<Period>> run_periods_;
+  std::vector<std::vector<Period>> pause_periods_;
+  std::vector<FalseRemoval> false_removals_;  // of the living
+  std::vector<Crash> crashes_;
   std::vector<std::pair<double, bool>> agreement_;
   double bytes_out_ = 0, bytes_in_ = 0;
-  std::uint64_t served_ = 0, asked_ = 0, refusals_ = 0;
-  std::vector<int> holders_;         // proxies, by backend
-  std::vector<std::uint64_t> runs_;  // in the time of traffic_share, by backend
-  double last_fault_over_;
-  std::vector<std::string> versions_;
-  std::vector<std::set<std::string>> ever_;
-  std::vector<std::string> broken_, unmet_;
-  struct Cut {
+  std::uint64_t served_requests_ = 0, requests_ = 0, rejected_datagrams_ = 0;
+  std::vector<int> connected_proxies_;     // proxies, by backend
+  std::vector<std::uint64_t> executions_;  // in the time of traffic_share, by backend
+  double last_fault_end_s_;
+  std::vector<std::string> final_versions_;
+  std::vector<std::set<std::string>> versions_run_;
+  std::vector<std::string> rule_violations_, untriggered_;
+  struct Partition {
     double from = 0, to = 0;
-    std::vector<bool> who, whom;
+    std::vector<bool> senders, receivers;
   };
-  std::vector<Cut> cuts_;
+  std::vector<Partition> partitions_;
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/links.cpp
+++ b/src/fault_testing/links.cpp
@@ -6,59 +6,62 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-constexpr double kMostQueuedS = 0.5;  // on a link with a bandwidth, before datagrams are dropped
+constexpr double kMaxQueueDelayS = 0.5;  // on a link with a bandwidth, before datagrams are dropped
 
 }  // namespace
 
 // Without receivers, the others; where all are senders, each with each.
-void Links::Begin(const Fault& fault) {
-  const std::vector<int> who = Chosen(plan_, fault.who, seed_);
+void Links::AddFault(const Fault& fault) {
+  const std::vector<int> who = SelectMembers(plan_, fault.who, seed_);
   const auto members = static_cast<std::size_t>(plan_.members);
-  Link link{&fault, std::vector<bool>(members), std::vector<bool>(members, fault.to.empty())};
+  ActiveFault active{&fault, std::vector<bool>(members), std::vector<bool>(members, fault.to.empty())};
   for (const int member : who) {
-    link.who[static_cast<std::size_t>(member)] = true;
-    link.whom[static_cast<std::size_t>(member)] = fault.to.empty() && who.size() == members;
+    active.senders[static_cast<std::size_t>(member)] = true;
+    active.receivers[static_cast<std::size_t>(member)] = fault.to.empty() && who.size() == members;
   }
-  for (const int member : Chosen(plan_, fault.to, seed_)) link.whom[static_cast<std::size_t>(member)] = true;
-  links_.push_back(std::move(link));
+  for (const int member : SelectMembers(plan_, fault.to, seed_))
+    active.receivers[static_cast<std::size_t>(member)] = true;
+  active_.push_back(std::move(active));
 }
 
-void Links::End(const Fault& fault) {
-  std::erase_if(links_, [&](const Link& link) { return link.fault == &fault; });
+void Links::RemoveFault(const Fault& fault) {
+  std::erase_if(active_, [&](const ActiveFault& active) { return active.fault == &fault; });
 }
 
-Links::Passage Links::Pass(double now_s, int from, int to, bool stream, std::string* bytes) {
-  Passage passage;
+Links::Delivery Links::Transmit(double now_s, int from, int to, bool stream, std::string* bytes) {
+  Delivery delivery;
   const auto x = static_cast<std::size_t>(from), y = static_cast<std::size_t>(to);
-  for (const Link& link : links_) {
-    if (!(link.who[x] && link.whom[y]) && !(link.fault->both && link.who[y] && link.whom[x])) continue;
-    const double amount = link.fault->amount;
-    switch (link.fault->kind) {
+  for (const ActiveFault& active : active_) {
+    if (!(active.senders[x] && active.receivers[y]) &&
+        !(active.fault->both && active.senders[y] && active.receivers[x]))
+      continue;
+    const double amount = active.fault->amount;
+    switch (active.fault->kind) {
       case FaultKind::kBandwidth: {
         double& busy = busy_until_s_[{from, to}];
-        const double waits = std::max(0.0, busy - now_s);
-        if (!stream && waits > kMostQueuedS) {
-          passage.passes = false;
+        const double queue_delay_s = std::max(0.0, busy - now_s);
+        if (!stream && queue_delay_s > kMaxQueueDelayS) {
+          delivery.delivered = false;
           break;
         }
-        busy = now_s + waits + static_cast<double>(bytes->size()) / std::max(1.0, amount);
-        passage.more_ms += 1000 * (busy - now_s);
+        busy = now_s + queue_delay_s + static_cast<double>(bytes->size()) / std::max(1.0, amount);
+        delivery.extra_delay_ms += 1000 * (busy - now_s);
         break;
       }
       case FaultKind::kCut:
-        passage.passes = false;
+        delivery.delivered = false;
         break;
       case FaultKind::kLoss:
-        if (amount >= 1 || (!stream && random_.Chance(amount))) passage.passes = false;
+        if (amount >= 1 || (!stream && random_.Chance(amount))) delivery.delivered = false;
         break;
       case FaultKind::kDelay:
-        passage.more_ms += amount * (1 + random_.Unit());
+        delivery.extra_delay_ms += amount * (1 + random_.Unit());
         break;
       case FaultKind::kDuplicate:
-        if (!stream && random_.Chance(amount)) ++passage.copies;
+        if (!stream && random_.Chance(amount)) ++delivery.copies;
         break;
       case FaultKind::kReorder:
-        if (!stream && random_.Chance(amount)) passage.more_ms += random_.Between(1, 50);
+        if (!stream && random_.Chance(amount)) delivery.extra_delay_ms += random_.Between(1, 50);
         break;
       case FaultKind::kCorrupt:
         if (!stream && !bytes->empty() && random_.Chance(amount))
@@ -68,7 +71,7 @@
         break;
     }
   }
-  return passage;
+  return delivery;
 }
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/links.h
+++ b/src/fault_testing/links.h
@@ -20,27 +20,27 @@
  public:
   Links(const Plan& plan, std::uint64_t seed) : plan_(plan), seed_(seed), random_(seed, "links") {}
 
-  void Begin(const Fault& fault);  // one on links
-  void End(const Fault& fault);
+  void AddFault(const Fault& fault);  // one on links
+  void RemoveFault(const Fault& fault);
 
-  struct Passage {
-    bool passes = true;
-    double more_ms = 0;  // than without a fault
+  struct Delivery {
+    bool delivered = true;
+    double extra_delay_ms = 0;  // than without a fault
     int copies = 1;
   };
   // `bytes` may be changed on its way; `stream`: a connection or a piece of one, of which nothing is lost or
   // spoilt but by a cut.
-  Passage Pass(double now_s, int from, int to, bool stream, std::string* bytes);
+  Delivery Transmit(double now_s, int from, int to, bool stream, std::string* bytes);
 
  private:
-  struct Link {
+  struct ActiveFault {
     const Fault* fault;
-    std::vector<bool> who, whom;
+    std::vector<bool> senders, receivers;
   };
   const Plan& plan_;
   const std::uint64_t seed_;
   simulation::Random random_;
-  std::vector<Link> links_;
+  std::vector<ActiveFault> active_;
   std::map<std::pair<int, int>, double> busy_until_s_;  // of links with a bandwidth
 };
 
--- a/src/fault_testing/plan.cpp
+++ b/src/fault_testing/plan.cpp
@@ -15,31 +15,31 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-const std::vector<std::pair<std::string, FaultKind>> kFaults{{"loss", FaultKind::kLoss},
-                                                             {"delay", FaultKind::kDelay},
-                                                             {"duplicate", FaultKind::kDuplicate},
-                                                             {"reorder", FaultKind::kReorder},
-                                                             {"corrupt", FaultKind::kCorrupt},
-                                                             {"bandwidth", FaultKind::kBandwidth},
-                                                             {"cut", FaultKind::kCut},
-                                                             {"stop", FaultKind::kStop},
-                                                             {"starve", FaultKind::kStarve},
-                                                             {"kill", FaultKind::kKill},
-                                                             {"leave", FaultKind::kLeave},
-                                                             {"replace", FaultKind::kReplace},
-                                                             {"start", FaultKind::kStart},
-                                                             {"slow_start", FaultKind::kSlowStart},
-                                                             {"change", FaultKind::kChange},
-                                                             {"abort", FaultKind::kAbort},
-                                                             {"jump", FaultKind::kJump},
-                                                             {"freeze", FaultKind::kFreeze},
-                                                             {"fail", FaultKind::kFail},
-                                                             {"slow", FaultKind::kSlow},
-                                                             {"reset", FaultKind::kReset},
-                                                             {"drain", FaultKind::kDrain},
-                                                             {"restart", FaultKind::kRestart},
-                                                             {"cut_service", FaultKind::kCutService}};
-const std::vector<std::pair<std::string, PropertyKind>> kProperties{
+const std::vector<std::pair<std::string, FaultKind>> kFaultKinds{{"loss", FaultKind::kLoss},
+                                                                 {"delay", FaultKind::kDelay},
+                                                                 {"duplicate", FaultKind::kDuplicate},
+                                                                 {"reorder", FaultKind::kReorder},
+                                                                 {"corrupt", FaultKind::kCorrupt},
+                                                                 {"bandwidth", FaultKind::kBandwidth},
+                                                                 {"cut", FaultKind::kCut},
+                                                                 {"stop", FaultKind::kStop},
+                                                                 {"starve", FaultKind::kStarve},
+                                                                 {"kill", FaultKind::kKill},
+                                                                 {"leave", FaultKind::kLeave},
+                                                                 {"replace", FaultKind::kReplace},
+                                                                 {"start", FaultKind::kStart},
+                                                                 {"slow_start", FaultKind::kSlowStart},
+                                                                 {"change", FaultKind::kChange},
+                                                                 {"abort", FaultKind::kAbort},
+                                                                 {"jump", FaultKind::kJump},
+                                                                 {"freeze", FaultKind::kFreeze},
+                                                                 {"fail", FaultKind::kFail},
+                                                                 {"slow", FaultKind::kSlow},
+                                                                 {"reset", FaultKind::kReset},
+                                                                 {"drain", FaultKind::kDrain},
+                                                                 {"restart", FaultKind::kRestart},
+                                                                 {"cut_service", FaultKind::kCutService}};
+const std::vector<std::pair<std::string, PropertyKind>> kPropertyKinds{
     {"settles_within", PropertyKind::kSettlesWithin},  {"known_within", PropertyKind::kKnownWithin},
     {"never_removed", PropertyKind::kNeverRemoved},    {"bytes_at_most", PropertyKind::kBytesAtMost},
     {"served_at_least", PropertyKind::kServedAtLeast}, {"refused_some", PropertyKind::kRefusedSome},
@@ -47,24 +47,24 @@
     {"runs_at_end", PropertyKind::kRunsAtEnd},         {"ever_ran", PropertyKind::kEverRan}};
 
 template <typename Kind>
-std::string Word(const std::vector<std::pair<std::string, Kind>>& names, Kind kind) {
+std::string NameIn(const std::vector<std::pair<std::string, Kind>>& names, Kind kind) {
   for (const auto& [name, one] : names)
     if (one == kind) return name;
   return "unknown";
 }
 
 // "p7" is 6 where `letter` is 'p'; below 0 where it is none of `count`.
-int NumberOf(char letter, int count, std::string_view word) {
+int ParseIndex(char prefix, int count, std::string_view word) {
   int number = 0;
-  if (word.size() < 2 || word.front() != letter) return -1;
+  if (word.size() < 2 || word.front() != prefix) return -1;
   const auto [end, failed] = std::from_chars(word.data() + 1, word.data() + word.size(), number);
   if (failed != std::errc() || end != word.data() + word.size() || number < 1 || number > count) return -1;
   return number - 1;
 }
 
 // Those of `count` that a word names, as far as numbers, ranges and shares go.
-std::vector<int> Named(char letter, int count, const std::string& word, std::uint64_t seed) {
-  std::vector<int> named;
+std::vector<int> ParseSelector(char prefix, int count, const std::string& word, std::uint64_t seed) {
+  std::vector<int> selected;
   const std::size_t dash = word.find('-');
   if (word.starts_with("share:")) {
     const double share = std::strtod(word.c_str() + 6, nullptr);
@@ -74,31 +74,31 @@
     const auto wanted = std::min(static_cast<double>(count), share * count + 0.5);
     for (int n = 0; share > 0 && n < static_cast<int>(wanted); ++n) {
       const std::size_t pick = random.Below(all.size());
-      named.push_back(all[pick]);
+      selected.push_back(all[pick]);
       all[pick] = all.back();
       all.pop_back();
     }
   } else if (dash != std::string::npos) {
-    const int first = NumberOf(letter, count, std::string_view(word).substr(0, dash));
-    const int last = NumberOf(letter, count, std::string_view(word).substr(dash + 1));
-    for (int i = first; first >= 0 && i <= last; ++i) named.push_back(i);
-  } else if (const int one = NumberOf(letter, count, word); one >= 0) {
-    named.push_back(one);
+    const int first = ParseIndex(prefix, count, std::string_view(word).substr(0, dash));
+    const int last = ParseIndex(prefix, count, std::string_view(word).substr(dash + 1));
+    for (int i = first; first >= 0 && i <= last; ++i) selected.push_back(i);
+  } else if (const int one = ParseIndex(prefix, count, word); one >= 0) {
+    selected.push_back(one);
   }
-  return named;
+  return selected;
 }
 
 }  // namespace
 
-std::string NameOf(FaultKind kind) { return Word(kFaults, kind); }
-std::string NameOf(PropertyKind kind) { return Word(kProperties, kind); }
+std::string NameOf(FaultKind kind) { return NameIn(kFaultKinds, kind); }
+std::string NameOf(PropertyKind kind) { return NameIn(kPropertyKinds, kind); }
 std::string MemberName(int number) { return fmt::format("p{}", number + 1); }
 std::string ZoneName(const Plan& plan, int number) {
   return std::string(1, static_cast<char>('a' + number % plan.zones));
 }
 
 void Fault::Describe(config::FieldVisitor& v) {
-  v.Enum("kind", kind, kFaults, {.text = "what happens"});
+  v.Enum("kind", kind, kFaultKinds, {.text = "what happens"});
   v.Number("at_s", at_s, {.text = "after the start", .unit = "s", .max = 86400});
   v.Number("for_s", for_s, {.text = "0: to the end", .unit = "s", .max = 86400});
   v.Text(
@@ -124,7 +124,7 @@
 }
 
 void Property::Describe(config::FieldVisitor& v) {
-  v.Enum("kind", kind, kProperties, {.text = "what has to hold"});
+  v.Enum("kind", kind, kPropertyKinds, {.text = "what has to hold"});
   v.Number("bound", bound, {.text = "seconds, times, bytes a second or share, as the kind says", .max = 1e9});
   v.Number("after_s", after_s, {.text = "from when on; -1: as the kind says", .unit = "s", .min = -1});
   v.Number("until_s", until_s, {.text = "traffic_share: until when; -1: the end", .unit = "s", .min = -1});
@@ -168,16 +168,16 @@
   for (const Property& property : properties) {
     if (property.kind != PropertyKind::kTrafficShare) continue;
     try {
-      ChosenBackends(*this, property.who, 1);
+      SelectBackends(*this, property.who, 1);
     } catch (const std::invalid_argument& error) {
       v.Require("property", false, error.what());
     }
   }
   for (const Fault& fault : faults) {
     try {
-      const bool of_backends = fault.OnService() && fault.kind != FaultKind::kCutService;
-      of_backends ? ChosenBackends(*this, fault.who, 1) : Chosen(*this, fault.who, 1);
-      fault.OnService() ? ChosenBackends(*this, fault.to, 1) : Chosen(*this, fault.to, 1);
+      const bool of_backends = fault.AffectsService() && fault.kind != FaultKind::kCutService;
+      of_backends ? SelectBackends(*this, fault.who, 1) : SelectMembers(*this, fault.who, 1);
+      fault.AffectsService() ? SelectBackends(*this, fault.to, 1) : SelectMembers(*this, fault.to, 1);
     } catch (const std::invalid_argument& error) {
       v.Require("fault", false, error.what());
     }
@@ -191,35 +191,35 @@
   return plan;
 }
 
-std::vector<int> Chosen(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed) {
-  std::set<int> chosen;
+std::vector<int> SelectMembers(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed) {
+  std::set<int> selected_set;
   for (const std::string& word : words) {
-    std::vector<int> named = Named('p', plan.members, word, seed);
+    std::vector<int> selected = ParseSelector('p', plan.members, word, seed);
     for (int i = 0; i < plan.members; ++i) {
       if (word == "all" || (word == "seeds" && i < plan.seeds) ||
           (word.starts_with("zone:") && ZoneName(plan, i) == word.substr(5)))
-        named.push_back(i);
+        selected.push_back(i);
     }
-    if (named.empty()) throw std::invalid_argument("'" + word + "' names no member");
-    chosen.insert(named.begin(), named.end());
+    if (selected.empty()) throw std::invalid_argument("'" + word + "' names no member");
+    selected_set.insert(selected.begin(), selected.end());
   }
-  return {chosen.begin(), chosen.end()};
+  return {selected_set.begin(), selected_set.end()};
 }
 
-std::vector<int> ChosenBackends(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed) {
-  std::set<int> chosen;
+std::vector<int> SelectBackends(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed) {
+  std::set<int> selected_set;
   for (const std::string& word : words) {
-    std::vector<int> named = Named('b', plan.service.backends, word, seed);
-    if (word == "discovery") named.push_back(kDiscovery);
-    for (int i = 0; word == "backends" && i < plan.service.backends; ++i) named.push_back(i);
-    if (named.empty()) throw std::invalid_argument("'" + word + "' names no backend");
-    chosen.insert(named.begin(), named.end());
+    std::vector<int> selected = ParseSelector('b', plan.service.backends, word, seed);
+    if (word == "discovery") selected.push_back(kDiscovery);
+    for (int i = 0; word == "backends" && i < plan.service.backends; ++i) selected.push_back(i);
+    if (selected.empty()) throw std::invalid_argument("'" + word + "' names no backend");
+    selected_set.insert(selected.begin(), selected.end());
   }
-  return {chosen.begin(), chosen.end()};
+  return {selected_set.begin(), selected_set.end()};
 }
 
-std::vector<std::pair<double, double>> StopsOf(const Plan& plan, const Fault& fault,
-                                               simulation::Random& random) {
+std::vector<std::pair<double, double>> PauseIntervals(const Plan& plan, const Fault& fault,
+                                                      simulation::Random& random) {
   std::vector<std::pair<double, double>> stops;
   const double until = fault.for_s > 0 ? fault.at_s + fault.for_s : plan.length_s;
   for (double at = fault.at_s + random.Between(0, fault.most_ms) / 1000; at < until;) {
@@ -230,7 +230,7 @@
   return stops;
 }
 
-double LastFaultOver(const Plan& plan) {
+double LastFaultEnd(const Plan& plan) {
   double over = plan.start_spread_s;
   for (const Fault& fault : plan.faults)
     if (fault.when.empty()) over = std::max(over, fault.at_s + fault.for_s);
--- a/src/fault_testing/plan.h
+++ b/src/fault_testing/plan.h
@@ -56,8 +56,8 @@
   double least_ms = 200, most_ms = 2000;
   std::string file;  // change: a plan, beside this file
 
-  bool OnLinks() const { return kind <= FaultKind::kCut; }
-  bool OnService() const { return kind >= FaultKind::kFreeze; }
+  bool AffectsLinks() const { return kind <= FaultKind::kCut; }
+  bool AffectsService() const { return kind >= FaultKind::kFreeze; }
   void Describe(config::FieldVisitor& v);
 };
 
@@ -128,19 +128,19 @@
 
 // The members that words name: "all", "p3", "p3-p9", "zone:a", "seeds", "share:0.1" (drawn by the seed).
 // Throws std::invalid_argument on a word that names none.
-std::vector<int> Chosen(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed);
+std::vector<int> SelectMembers(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed);
 
 // The same of backends: "backends" (all), "b3", "b3-b5", "share:0.5"; and "discovery", which is kDiscovery.
 constexpr int kDiscovery = -1;
-std::vector<int> ChosenBackends(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed);
+std::vector<int> SelectBackends(const Plan& plan, const std::vector<std::string>& words, std::uint64_t seed);
 
 // From when to when one member stands still under a `starve`, in seconds: stops and pauses as long as each
 // other in the mean.
-std::vector<std::pair<double, double>> StopsOf(const Plan& plan, const Fault& fault,
-                                               simulation::Random& random);
+std::vector<std::pair<double, double>> PauseIntervals(const Plan& plan, const Fault& fault,
+                                                      simulation::Random& random);
 
 // When the last fault is over, of those that wait for nothing.
-double LastFaultOver(const Plan& plan);
+double LastFaultEnd(const Plan& plan);
 
 }  // namespace copperpoint::fault_testing
 
--- a/src/fault_testing/processes/child.cpp
+++ b/src/fault_testing/processes/child.cpp
@@ -27,7 +27,7 @@
     boost::asio::async_read_until(
         pipe, buffer, '\n',
         [self = shared_from_this()](const boost::system::error_code& failed, std::size_t) {
-          if (failed) return self->Ended();
+          if (failed) return self->OnStderrClosed();
           std::istream in(&self->buffer);
           std::string line;
           std::getline(in, line);
@@ -37,8 +37,8 @@
   }
 
   // Its standard error is closed: it has ended, or is about to.
-  void Ended() {
-    if (std::exchange(over, true)) return;
+  void OnStderrClosed() {
+    if (std::exchange(has_ended, true)) return;
     std::error_code ignored;
     child.wait(ignored);
     const int status = child.native_exit_code();
@@ -50,44 +50,45 @@
   bp::child child;
   OnLine on_line;
   OnEnd on_end;
-  bool over = false;
+  bool has_ended = false;
 };
 
 Child::Child(boost::asio::io_context& io, const std::string& program,
-             const std::vector<std::string>& arguments, const std::map<std::string, std::string>& more,
-             OnLine on_line, OnEnd on_end)
+             const std::vector<std::string>& arguments,
+             const std::map<std::string, std::string>& extra_environment, OnLine on_line, OnEnd on_end)
     : impl_(std::make_shared<Impl>(io, std::move(on_line), std::move(on_end))) {
-  bp::environment env = boost::this_process::environment();
-  for (const auto& [name, value] : more) env[name] = value;
+  bp::environment environment = boost::this_process::environment();
+  for (const auto& [name, value] : extra_environment) environment[name] = value;
   // A signal that the rig catches must not stay blocked or ignored in what it starts.
-  const auto before = bp::extend::on_exec_setup([](auto&) {
+  const auto child_setup = bp::extend::on_exec_setup([](auto&) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     // It must not hold the rig's listeners open, nor another's pipe.
     ::close_range(3, ~0u, CLOSE_RANGE_CLOEXEC);
   });
-  impl_->child = bp::child(bp::exe = program, bp::args = arguments, env,
-                           bp::std_in<bp::null, bp::std_out> bp::null, bp::std_err > impl_->pipe, before);
+  impl_->child =
+      bp::child(bp::exe = program, bp::args = arguments, environment,
+                bp::std_in<bp::null, bp::std_out> bp::null, bp::std_err > impl_->pipe, child_setup);
   impl_->Read();
 }
 
 Child::~Child() {
   impl_->on_line = nullptr;
   impl_->on_end = nullptr;
-  if (!impl_->over) {
+  if (!impl_->has_ended) {
     Signal(SIGKILL);
     std::error_code ignored;
     impl_->child.wait(ignored);
-    impl_->over = true;
+    impl_->has_ended = true;
   }
   boost::system::error_code ignored;
   impl_->pipe.close(ignored);
 }
 
 void Child::Signal(int signal) {
-  if (!impl_->over) ::kill(impl_->child.id(), signal);
+  if (!impl_->has_ended) ::kill(impl_->child.id(), signal);
 }
 
-bool Child::running() const { return !impl_->over; }
+bool Child::running() const { return !impl_->has_ended; }
 
 int Child::pid() const { return impl_->child.id(); }
 
--- a/src/fault_testing/processes/child.h
+++ b/src/fault_testing/processes/child.h
@@ -22,7 +22,7 @@
   // Starts `program` with the environment of this process and `more` of it. Throws std::system_error. Called
   // from the main thread alone: the child ends with the thread that started it.
   Child(boost::asio::io_context& io, const std::string& program, const std::vector<std::string>& arguments,
-        const std::map<std::string, std::string>& more, OnLine on_line, OnEnd on_end);
+        const std::map<std::string, std::string>& extra_environment, OnLine on_line, OnEnd on_end);
   ~Child();  // ends it with SIGKILL if it still runs, and waits for it
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
--- a/src/fault_testing/processes/control.cpp
+++ b/src/fault_testing/processes/control.cpp
@@ -19,31 +19,31 @@
 using Error = boost::system::error_code;
 using Tcp = boost::asio::ip::tcp;
 
-constexpr std::chrono::seconds kPatience{5};
+constexpr std::chrono::seconds kRequestTimeout{5};
 
 }  // namespace
 
-class Control::Call : public std::enable_shared_from_this<Call> {
+class Control::Session : public std::enable_shared_from_this<Session> {
  public:
-  Call(Control& owner, Tcp::socket socket) : owner_(owner), stream_(std::move(socket)) {}
+  Session(Control& owner, Tcp::socket socket) : owner_(owner), stream_(std::move(socket)) {}
 
   void Start() {
-    stream_.expires_after(kPatience);
+    stream_.expires_after(kRequestTimeout);
     http::async_read(stream_, buffer_, request_,
                      [self = shared_from_this()](const Error& failed, std::size_t) {
-                       if (!failed) self->Answer();
+                       if (!failed) self->Respond();
                      });
   }
 
  private:
-  void Answer() {
+  void Respond() {
     const std::string target(request_.target());
     const std::size_t slash = target.find('/', 1);
     response_.result(http::status::ok);
     try {
       if (request_.method() != http::verb::post) throw std::invalid_argument("use POST /WHAT/WHO");
       if (slash == std::string::npos) throw std::invalid_argument("there is no WHO in " + target);
-      response_.body() = owner_.carry_(target.substr(1, slash - 1), target.substr(slash + 1)) + '\n';
+      response_.body() = owner_.handler_(target.substr(1, slash - 1), target.substr(slash + 1)) + '\n';
     } catch (const std::invalid_argument& error) {
       response_.result(http::status::bad_request);
       response_.body() = std::string(error.what()) + '\n';
@@ -60,15 +60,15 @@
   http::response<http::string_body> response_;
 };
 
-Control::Control(boost::asio::io_context& io, const boost::asio::ip::address& address, Carry carry)
-    : io_(io), acceptor_(io, {address, 0}), carry_(std::move(carry)) {
+Control::Control(boost::asio::io_context& io, const boost::asio::ip::address& address, CommandHandler handler)
+    : io_(io), acceptor_(io, {address, 0}), handler_(std::move(handler)) {
   Accept();
 }
 
 void Control::Accept() {
   acceptor_.async_accept([this](const Error& failed, Tcp::socket socket) {
     if (failed == boost::asio::error::operation_aborted) return;
-    if (!failed) std::make_shared<Call>(*this, std::move(socket))->Start();
+    if (!failed) std::make_shared<Session>(*this, std::move(socket))->Start();
     Accept();
   });
 }
--- a/src/fault_testing/processes/control.h
+++ b/src/fault_testing/processes/control.h
@@ -14,18 +14,18 @@
 class Control {
  public:
   // Says what was done; throws std::invalid_argument where it cannot be.
-  using Carry = std::function<std::string(const std::string& what, const std::string& who)>;
+  using CommandHandler = std::function<std::string(const std::string& what, const std::string& who)>;
 
-  Control(boost::asio::io_context& io, const boost::asio::ip::address& address, Carry carry);
+  Control(boost::asio::io_context& io, const boost::asio::ip::address& address, CommandHandler handler);
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Call;
+  class Session;
   void Accept();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  Carry carry_;
+  CommandHandler handler_;
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/directory.cpp
+++ b/src/fault_testing/processes/directory.cpp
@@ -22,7 +22,7 @@
 using Error = boost::system::error_code;
 
 constexpr std::chrono::milliseconds kHeartbeat{2000};
-constexpr std::chrono::milliseconds kLookAgain{10};  // whether a cut is over
+constexpr std::chrono::milliseconds kRecheckInterval{10};  // whether a cut is over
 
 std::int64_t UnixMs() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -30,7 +30,7 @@
       .count();
 }
 
-const char* Word(Directory::Phase phase) {
+const char* PhaseName(Directory::Phase phase) {
   switch (phase) {
     case Directory::Phase::kInService:
       return "in_service";
@@ -54,17 +54,17 @@
     http::async_read(socket_, buffer_, request_,
                      [self = shared_from_this()](const Error& failed, std::size_t) {
                        if (failed || !self->owner_) return;
-                       self->stream_ = self->request_.target().find("stream=1") != beast::string_view::npos;
-                       self->head_ = true;
-                       self->sent_ = 0;
-                       self->Go();
+                       self->streams_ = self->request_.target().find("stream=1") != beast::string_view::npos;
+                       self->head_pending_ = true;
+                       self->sent_revision_ = 0;
+                       self->SendUpdate();
                      });
   }
   // Something has changed.
-  void Poke() {
-    if (waits_) timer_.cancel();
+  void NotifyChange() {
+    if (is_waiting_) timer_.cancel();
   }
-  void Orphan() {
+  void Detach() {
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
@@ -73,35 +73,37 @@
 
  private:
   void Wait(std::chrono::milliseconds at_most) {
-    waits_ = true;
+    is_waiting_ = true;
     timer_.expires_after(at_most);
     timer_.async_wait([self = shared_from_this()](const Error&) {
-      self->waits_ = false;
-      if (self->owner_) self->Go();
+      self->is_waiting_ = false;
+      if (self->owner_) self->SendUpdate();
     });
   }
 
-  void Go() {
-    if (owner_->troubles_.Cut(proxy_, kDiscovery)) return Wait(kLookAgain);
-    std::vector<int> told;
+  void SendUpdate() {
+    if (owner_->service_faults_.IsCut(proxy_, kDiscovery)) return Wait(kRecheckInterval);
+    std::vector<int> delivered;
     const std::uint64_t revision = owner_->revision_;
     // Woken by the timer without news: a sign of life.
-    std::string line = !head_ && sent_ == revision ? "" : owner_->LineSince(proxy_, sent_, &told);
-    if (stream_) {
+    std::string line = !head_pending_ && sent_revision_ == revision
+                           ? ""
+                           : owner_->ChangesSince(proxy_, sent_revision_, &delivered);
+    if (streams_) {
       line += '\n';
-      out_ = head_ ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" : "";
+      out_ = head_pending_ ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" : "";
       out_ += fmt::format("{:x}\r\n{}\r\n", line.size(), line);
     } else {
       out_ = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", line.size(), line);
     }
-    head_ = false;
+    head_pending_ = false;
     asio::async_write(socket_, asio::buffer(out_),
-                      [self = shared_from_this(), revision, told](const Error& failed, std::size_t) {
+                      [self = shared_from_this(), revision, delivered](const Error& failed, std::size_t) {
                         if (failed || !self->owner_) return;
-                        self->owner_->Told(self->proxy_, told);
-                        self->sent_ = revision;
-                        if (!self->stream_) return self->Start();
-                        self->owner_->revision_ > revision ? self->Go() : self->Wait(kHeartbeat);
+                        self->owner_->OnDelivered(self->proxy_, delivered);
+                        self->sent_revision_ = revision;
+                        if (!self->streams_) return self->Start();
+                        self->owner_->revision_ > revision ? self->SendUpdate() : self->Wait(kHeartbeat);
                       });
   }
 
@@ -112,39 +114,39 @@
   beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
   std::string out_;
-  std::uint64_t sent_ = 0;  // the revision that it has
-  bool stream_ = false, head_ = true, waits_ = false;
+  std::uint64_t sent_revision_ = 0;  // the revision that it has
+  bool streams_ = false, head_pending_ = true, is_waiting_ = false;
 };
 
 Directory::Directory(asio::io_context& io, const Plan& plan, const asio::ip::address& address,
-                     std::vector<std::vector<Tcp::endpoint>> addresses, const Troubles& troubles,
+                     std::vector<std::vector<Tcp::endpoint>> addresses, const ServiceFaults& service_faults,
                      simulation::RuleChecker& rules, std::function<simulation::Micros()> now)
     : io_(io),
       plan_(plan),
       addresses_(std::move(addresses)),
-      troubles_(troubles),
+      service_faults_(service_faults),
       rules_(rules),
       now_(std::move(now)),
       entries_(static_cast<std::size_t>(plan.service.backends)) {
   for (int proxy = 0; proxy < plan.members; ++proxy) {
-    auto door = std::make_unique<Door>(io);
-    door->acceptor.open(Tcp::v4());
-    door->acceptor.bind({address, 0});
-    door->acceptor.listen();
-    door->known.resize(entries_.size());
-    doors_.push_back(std::move(door));
+    auto listener = std::make_unique<Listener>(io);
+    listener->acceptor.open(Tcp::v4());
+    listener->acceptor.bind({address, 0});
+    listener->acceptor.listen();
+    listener->known.resize(entries_.size());
+    listeners_.push_back(std::move(listener));
     Accept(proxy);
   }
 }
 
 Directory::~Directory() {
-  for (const auto& door : doors_)
-    for (const auto& watch : door->watches)
-      if (const auto open = watch.lock()) open->Orphan();
+  for (const auto& listener : listeners_)
+    for (const auto& watch : listener->watches)
+      if (const auto open = watch.lock()) open->Detach();
 }
 
 Directory::Tcp::endpoint Directory::address(int proxy) const {
-  return doors_[static_cast<std::size_t>(proxy)]->acceptor.local_endpoint();
+  return listeners_[static_cast<std::size_t>(proxy)]->acceptor.local_endpoint();
 }
 
 void Directory::Accept(int proxy) {
@@ -161,24 +163,24 @@
   });
 }
 
-void Directory::Set(int backend, Phase phase, bool started) {
+void Directory::SetState(int backend, Phase phase, bool started) {
   Entry& entry = entries_[static_cast<std::size_t>(backend)];
   entry.phase = phase;
   if (started) entry.up_since_unix_ms = UnixMs();
-  entry.changed = ++revision_;
-  for (const auto& door : doors_)
-    for (const auto& watch : door->watches)
-      if (const auto open = watch.lock()) open->Poke();
+  entry.changed_in_revision = ++revision_;
+  for (const auto& listener : listeners_)
+    for (const auto& watch : listener->watches)
+      if (const auto open = watch.lock()) open->NotifyChange();
 }
 
-std::string Directory::LineSince(int proxy, std::uint64_t revision, std::vector<int>* told) const {
+std::string Directory::ChangesSince(int proxy, std::uint64_t revision, std::vector<int>* delivered) const {
   nlohmann::json line{
       {"revision", revision_}, {"complete", revision == 0}, {"members", nlohmann::json::array()}};
   const auto& addresses = addresses_[static_cast<std::size_t>(proxy)];
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     const Entry& entry = entries_[i];
-    if (entry.changed <= revision) continue;
-    told->push_back(static_cast<int>(i));
+    if (entry.changed_in_revision <= revision) continue;
+    delivered->push_back(static_cast<int>(i));
     if (revision == 0 && entry.phase == Phase::kTerminated) continue;
     line["members"].push_back(
         {{"id", fmt::format("b{}", i + 1)},
@@ -186,14 +188,14 @@
          {"locality", ZoneName(plan_, static_cast<int>(i))},
          {"flavor", "m"},
          {"cell", 0},
-         {"phase", Word(entry.phase)},
+         {"phase", PhaseName(entry.phase)},
          {"size", 1.0},
          {"up_since_ms", entry.up_since_unix_ms}});
   }
   return line.dump();
 }
 
-void Directory::Told(int proxy, const std::vector<int>& backends) {
+void Directory::OnDelivered(int proxy, const std::vector<int>& backends) {
   for (const int backend : backends) {
     const Entry& entry = entries_[static_cast<std::size_t>(backend)];
     At(proxy).known[static_cast<std::size_t>(backend)].up_since_unix_ms = entry.up_since_unix_ms;
@@ -202,21 +204,22 @@
   }
 }
 
-bool Directory::ToldOfStart(int proxy, int backend) const {
-  return doors_[static_cast<std::size_t>(proxy)]->known[static_cast<std::size_t>(backend)].up_since_unix_ms ==
-         entries_[static_cast<std::size_t>(backend)].up_since_unix_ms;
+bool Directory::KnowsCurrentProcess(int proxy, int backend) const {
+  return listeners_[static_cast<std::size_t>(proxy)]
+             ->known[static_cast<std::size_t>(backend)]
+             .up_since_unix_ms == entries_[static_cast<std::size_t>(backend)].up_since_unix_ms;
 }
 
-void Directory::Started(int proxy) {
+void Directory::OnProxyStarted(int proxy) {
   rules_.OnProxyStarted(static_cast<std::uint32_t>(proxy));
-  At(proxy).known.assign(entries_.size(), Known());
+  At(proxy).known.assign(entries_.size(), KnownBackend());
 }
 
-void Directory::Continued(int proxy) {
+void Directory::OnProxyResumed(int proxy) {
   rules_.OnProxyStarted(static_cast<std::uint32_t>(proxy));
   std::vector<int> all;
   for (std::size_t i = 0; i < entries_.size(); ++i) all.push_back(static_cast<int>(i));
-  Told(proxy, all);
+  OnDelivered(proxy, all);
 }
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/directory.h
+++ b/src/fault_testing/processes/directory.h
@@ -28,52 +28,52 @@
 
   // `addresses`: of each backend, as each proxy reaches it.
   Directory(boost::asio::io_context& io, const Plan& plan, const boost::asio::ip::address& address,
-            std::vector<std::vector<Tcp::endpoint>> addresses, const Troubles& troubles,
+            std::vector<std::vector<Tcp::endpoint>> addresses, const ServiceFaults& service_faults,
             simulation::RuleChecker& rules, std::function<simulation::Micros()> now);
   ~Directory();
 
   Tcp::endpoint address(int proxy) const;
   // `started`: its process is a new one, cold from now on.
-  void Set(int backend, Phase phase, bool started);
+  void SetState(int backend, Phase phase, bool started);
   // Whether that proxy was told of the backend's present process.
-  bool ToldOfStart(int proxy, int backend) const;
+  bool KnowsCurrentProcess(int proxy, int backend) const;
   // A new process of a proxy knows nothing; one that stood still has read nothing.
-  void Started(int proxy);
-  void Continued(int proxy);
+  void OnProxyStarted(int proxy);
+  void OnProxyResumed(int proxy);
 
  private:
   class Watch;
   friend class Watch;
   struct Entry {
     Phase phase = Phase::kInService;
-    std::int64_t up_since_unix_ms = 0;  // 0: long ago
-    std::uint64_t changed = 1;          // the revision
+    std::int64_t up_since_unix_ms = 0;      // 0: long ago
+    std::uint64_t changed_in_revision = 1;  // the revision
   };
-  struct Known {  // by one proxy of one backend
+  struct KnownBackend {  // by one proxy of one backend
     std::int64_t up_since_unix_ms = -1;
   };
-  struct Door {
-    explicit Door(boost::asio::io_context& io) : acceptor(io) {}
+  struct Listener {
+    explicit Listener(boost::asio::io_context& io) : acceptor(io) {}
     Tcp::acceptor acceptor;
     std::vector<std::weak_ptr<Watch>> watches;
-    std::vector<Known> known;
+    std::vector<KnownBackend> known;
   };
 
   void Accept(int proxy);
   // The entries that changed after a revision, as a line; `told` gets their numbers.
-  std::string LineSince(int proxy, std::uint64_t revision, std::vector<int>* told) const;
-  void Told(int proxy, const std::vector<int>& backends);
-  Door& At(int proxy) { return *doors_[static_cast<std::size_t>(proxy)]; }
+  std::string ChangesSince(int proxy, std::uint64_t revision, std::vector<int>* delivered) const;
+  void OnDelivered(int proxy, const std::vector<int>& backends);
+  Listener& At(int proxy) { return *listeners_[static_cast<std::size_t>(proxy)]; }
 
   boost::asio::io_context& io_;
   const Plan& plan_;
   const std::vector<std::vector<Tcp::endpoint>> addresses_;
-  const Troubles& troubles_;
+  const ServiceFaults& service_faults_;
   simulation::RuleChecker& rules_;
   std::function<simulation::Micros()> now_;
   std::vector<Entry> entries_;
   std::uint64_t revision_ = 1;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<std::unique_ptr<Listener>> listeners_;
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/faults.cpp
+++ b/src/fault_testing/processes/faults.cpp
@@ -4,56 +4,59 @@
 namespace copperpoint::fault_testing {
 
 void ProcessFleet::SetBackend(int backend, Directory::Phase phase, bool up) {
-  const bool was = !down_.contains(backend);
+  const bool was = !down_backends_.contains(backend);
   if (was && !up) backends_->Down(backend);
   if (!was && up) backends_->Up(backend);
-  if (up) down_.erase(backend);
-  if (!up) down_.insert(backend);
-  directory_->Set(backend, phase, /*started=*/!was && up);
+  if (up) down_backends_.erase(backend);
+  if (!up) down_backends_.insert(backend);
+  directory_->SetState(backend, phase, /*started=*/!was && up);
 }
 
-void ProcessFleet::BeginBetween(const Fault& fault) {
-  if (fault.OnLinks()) return links_.Begin(fault);
-  if (fault.kind != FaultKind::kDrain && fault.kind != FaultKind::kRestart) return troubles_.Begin(fault);
+void ProcessFleet::StartSharedFault(const Fault& fault) {
+  if (fault.AffectsLinks()) return links_.AddFault(fault);
+  if (fault.kind != FaultKind::kDrain && fault.kind != FaultKind::kRestart)
+    return service_faults_.AddFault(fault);
   const bool drain = fault.kind == FaultKind::kDrain;
-  for (const int backend : ChosenBackends(plan_, fault.who, options_.seed))
+  for (const int backend : SelectBackends(plan_, fault.who, options_.seed))
     SetBackend(backend, drain ? Directory::Phase::kTerminating : Directory::Phase::kTerminated, drain);
 }
 
-void ProcessFleet::EndBetween(const Fault& fault) {
-  if (fault.OnLinks()) return links_.End(fault);
-  if (fault.kind != FaultKind::kDrain && fault.kind != FaultKind::kRestart) return troubles_.End(fault);
-  for (const int backend : ChosenBackends(plan_, fault.who, options_.seed))
+void ProcessFleet::EndSharedFault(const Fault& fault) {
+  if (fault.AffectsLinks()) return links_.RemoveFault(fault);
+  if (fault.kind != FaultKind::kDrain && fault.kind != FaultKind::kRestart)
+    return service_faults_.RemoveFault(fault);
+  for (const int backend : SelectBackends(plan_, fault.who, options_.seed))
     SetBackend(backend, Directory::Phase::kInService, /*up=*/true);
 }
 
-void ProcessFleet::Meet(std::string_view event, std::string_view member) {
-  for (const std::size_t index : conditions_.Met(event, member)) {
-    Fault& fault = begun_.emplace_back(plan_.faults[index]);
+void ProcessFleet::TriggerFaults(std::string_view event, std::string_view member) {
+  for (const std::size_t index : conditions_.TakeTriggered(event, member)) {
+    Fault& fault = triggered_faults_.emplace_back(plan_.faults[index]);
     fault.at_s += Now();
-    judge_.Begun(fault.at_s, fault);
+    evaluator_.OnFaultTriggered(fault.at_s, fault);
     ScheduleFault(fault);
   }
 }
 
 void ProcessFleet::Schedule(double at_s, std::function<void()> what) {
-  const auto due = began_ + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(at_s));
+  const auto due =
+      started_at_ + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(at_s));
   timers_.push_back(std::make_unique<asio::steady_timer>(io_, due));
   timers_.back()->async_wait([this, due, what = std::move(what)](const Error& cancelled) {
     if (cancelled || over_) return;
-    latest_ = std::max(latest_, Clock::now() - due);
+    max_lateness_ = std::max(max_lateness_, Clock::now() - due);
     what();
   });
 }
 
 void ProcessFleet::ScheduleFault(const Fault& fault) {
   const double until = fault.for_s > 0 ? fault.at_s + fault.for_s : plan_.length_s;
-  if (fault.OnLinks() || fault.OnService()) {
-    Schedule(fault.at_s, [&] { BeginBetween(fault); });
-    if (fault.for_s > 0) Schedule(until, [&] { EndBetween(fault); });
+  if (fault.AffectsLinks() || fault.AffectsService()) {
+    Schedule(fault.at_s, [&] { StartSharedFault(fault); });
+    if (fault.for_s > 0) Schedule(until, [&] { EndSharedFault(fault); });
     return;
   }
-  const std::vector<int> members = Chosen(plan_, fault.who, options_.seed);
+  const std::vector<int> members = SelectMembers(plan_, fault.who, options_.seed);
   if (fault.kind == FaultKind::kSlowStart) {
     Schedule(fault.at_s, [this, &fault, members] { slow_starts_.emplace_back(fault, members); });
     if (fault.for_s > 0)
@@ -75,7 +78,7 @@
           Schedule(fault.at_s, [this, member] { CallOperator(member, "/rollout/abort", ""); });
         break;
       case FaultKind::kJump:
-        Schedule(fault.at_s, [this, member, &fault] { Jump(member, fault.amount); });
+        Schedule(fault.at_s, [this, member, &fault] { JumpClock(member, fault.amount); });
         break;
       case FaultKind::kKill:
       case FaultKind::kLeave:
@@ -84,7 +87,7 @@
         break;
       case FaultKind::kReplace:
         if (fault.at_s <= 0) {
-          At(member).other = true;
+          At(member).runs_other_program = true;
         } else {
           Schedule(fault.at_s, [this, member] { Replace(member, true); });
         }
@@ -94,13 +97,13 @@
         Schedule(fault.at_s, [this, member] { Start(member); });
         break;
       case FaultKind::kStop:
-        Schedule(fault.at_s, [this, member] { Stop(member, true); });
-        if (fault.for_s > 0) Schedule(until, [this, member] { Stop(member, false); });
+        Schedule(fault.at_s, [this, member] { SetPaused(member, true); });
+        if (fault.for_s > 0) Schedule(until, [this, member] { SetPaused(member, false); });
         break;
       default:  // starve
-        for (const auto& [from, to] : StopsOf(plan_, fault, random_)) {
-          Schedule(from, [this, member] { Stop(member, true); });
-          Schedule(to, [this, member] { Stop(member, false); });
+        for (const auto& [from, to] : PauseIntervals(plan_, fault, random_)) {
+          Schedule(from, [this, member] { SetPaused(member, true); });
+          Schedule(to, [this, member] { SetPaused(member, false); });
         }
     }
   }
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -40,21 +40,23 @@
 
 namespace asio = boost::asio;
 
-constexpr double kDrainGraceMs = 550;                  // the rule's, and what sockets take
-constexpr std::chrono::milliseconds kLookAnswer{400};  // for one proxy's answer
-constexpr std::chrono::milliseconds kMostLate{300};    // of the rig's own timers
+constexpr double kDrainGraceMs = 550;                    // the rule's, and what sockets take
+constexpr std::chrono::milliseconds kQueryTimeout{400};  // for one proxy's answer
+constexpr std::chrono::milliseconds kMaxLateness{300};   // of the rig's own timers
 
-inline std::string TextOf(const Tcp::endpoint& e) { return peers::FormatAddress({e.address(), e.port()}); }
+inline std::string FormatEndpoint(const Tcp::endpoint& e) {
+  return peers::FormatAddress({e.address(), e.port()});
+}
 
 // A folder that goes with the run.
-class Folder {
+class RunFolder {
  public:
-  Folder() {
+  RunFolder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "copperpoint-rig-XXXXXX").string();
     if (!::mkdtemp(pattern.data())) throw std::runtime_error("no folder for the rig");
     path = pattern;
   }
-  ~Folder() {
+  ~RunFolder() {
     std::error_code ignored;
     std::filesystem::remove_all(path, ignored);
   }
@@ -69,10 +71,11 @@
         random_(options.seed, "processes"),
         links_(plan, options.seed),
         conditions_(plan),
-        troubles_(plan, options.seed),
-        judge_(plan, options.seed, static_cast<double>(membership::Options().contact_timeout.count()) / 1e6),
+        service_faults_(plan, options.seed),
+        evaluator_(plan, options.seed,
+                   static_cast<double>(membership::Options().contact_timeout.count()) / 1e6),
         rules_(kDrainGraceMs),
-        look_(io_),
+        poll_timer_(io_),
         signals_(io_, SIGINT, SIGTERM),
         members_(static_cast<std::size_t>(plan.members)) {}
 
@@ -84,66 +87,68 @@
   using Udp = asio::ip::udp;
   struct Member {
     std::unique_ptr<Child> child;
-    std::uint64_t life = 0;
-    bool up = false, stopped = false;
-    bool ending = false, killed = false;  // the rig has ended this process
-    bool other = false;                   // it runs the other program
-    Clock::time_point ready{};            // when it said so last, or was continued
-    Tcp::endpoint listen, op, op_other;   // two processes of a member may serve side by side
-    std::string version = "v1";           // that serves, by its keeper
-    std::set<std::string> ever;
-    int serve_pid = 0;  // under a keeper
-    Udp::endpoint inside, outside;
+    std::uint64_t incarnation = 0;
+    bool up = false, paused = false;
+    bool exit_expected = false, killed = false;  // the rig has ended this process
+    bool runs_other_program = false;             // it runs the other program
+    Clock::time_point last_ready{};              // when it said so last, or was continued
+    Tcp::endpoint listen_address, operator_address,
+        other_operator_address;  // two processes of a member may serve side by side
+    std::string version = "v1";  // that serves, by its keeper
+    std::set<std::string> versions_run;
+    int proxy_pid = 0;  // under a keeper
+    Udp::endpoint bind_address, advertised_address;
     std::string view;  // its answer in the present look
-    std::size_t living = 0;
-    double out = 0, in = 0, asked_at = 0;    // bytes so far, with headers, and when it said so
-    double refused = 0, refused_before = 0;  // datagrams, of this life and of those before
-    double out_before = 0, in_before = 0, before_at = -1;
+    std::size_t living_members = 0;
+    double bytes_out = 0, bytes_in = 0, polled_at_s = 0;  // bytes so far, with headers, and when it said so
+    double rejected = 0, rejected_before = 0;             // datagrams, of this life and of those before
+    double bytes_out_before = 0, bytes_in_before = 0, before_at_s = -1;
     std::ofstream log;
   };
-  class Look;
-  friend class Look;
+  class ViewQuery;
+  friend class ViewQuery;
 
   Member& At(int member) { return members_[static_cast<std::size_t>(member)]; }
-  double Now() const { return std::chrono::duration<double>(Clock::now() - began_).count(); }
+  double Now() const { return std::chrono::duration<double>(Clock::now() - started_at_).count(); }
   asio::ip::address Address(int net, int member) const {
-    return asio::ip::make_address(fmt::format("127.{}.{}.{}", block_, net + member / 200, 1 + member % 200));
+    return asio::ip::make_address(
+        fmt::format("127.{}.{}.{}", address_block_, net + member / 200, 1 + member % 200));
   }
   void Prepare();
-  void WriteFiles(int member);
-  void WriteKeeper(int member);
+  void WriteConfigFiles(int member);
+  void WriteSupervisorConfig(int member);
   void CallOperator(int member, const std::string& target, const std::string& body);
   void Start(int member);
-  void End(int member, bool with_a_word);
-  void Stop(int member, bool stop);
+  void End(int member, bool graceful);
+  void SetPaused(int member, bool paused);
   void Replace(int member, bool other);
-  void StartOnceOver(int member);
-  void OnLine(int member, const std::string& line);
-  void OnEnd(int member, std::uint64_t life, int status);
+  void StartAfterExit(int member);
+  void OnLogLine(int member, const std::string& line);
+  void OnExit(int member, std::uint64_t incarnation, int status);
   void Schedule(double at_s, std::function<void()> what);
   void ScheduleFault(const Fault& fault);
-  void Meet(std::string_view event, std::string_view member = {});
+  void TriggerFaults(std::string_view event, std::string_view member = {});
   // Of those that befall no process: on links between members, or on the service.
-  void BeginBetween(const Fault& fault);
-  void EndBetween(const Fault& fault);
+  void StartSharedFault(const Fault& fault);
+  void EndSharedFault(const Fault& fault);
   void SetBackend(int backend, Directory::Phase phase, bool up);
-  void Jump(int member, double seconds);
-  void Watch();
-  std::string Carry(const std::string& what, const std::string& who);
-  void LookAtAll();
-  void OnLooked();
+  void JumpClock(int member, double seconds);
+  void ReportStatus();
+  std::string RunCommand(const std::string& what, const std::string& who);
+  void PollViews();
+  void OnViewsPolled();
 
   const Plan& plan_;
   const ProcessOptions& options_;
   asio::io_context io_;
-  Folder folder_;
+  RunFolder folder_;
   simulation::Random random_;
   Links links_;
   Conditions conditions_;
-  Troubles troubles_;
-  Judge judge_;
+  ServiceFaults service_faults_;
+  RunEvaluator evaluator_;
   simulation::RuleChecker rules_;
-  asio::steady_timer look_;
+  asio::steady_timer poll_timer_;
   asio::signal_set signals_;
   std::vector<Member> members_;
   std::vector<std::unique_ptr<asio::steady_timer>> timers_;
@@ -152,21 +157,21 @@
   std::unique_ptr<Directory> directory_;
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Control> control_;
-  std::list<Fault> commanded_;  // that are in force
-  std::list<Fault> begun_;      // that waited for something
+  std::list<Fault> commanded_faults_;  // that are in force
+  std::list<Fault> triggered_faults_;  // that waited for something
   std::list<std::pair<Fault, std::vector<int>>> slow_starts_;
-  std::set<int> down_;                      // backends
-  std::vector<std::uint64_t> runs_before_;  // traffic_share: from when it counts on
-  std::vector<std::uint64_t> runs_;
+  std::set<int> down_backends_;                   // backends
+  std::vector<std::uint64_t> executions_before_;  // traffic_share: from when it counts on
+  std::vector<std::uint64_t> executions_;
   std::size_t views_ = 0;
   std::uint64_t ejections_ = 0;
-  FleetStatus before_;  // sums up to the last second
-  Clock::time_point began_{};
-  int block_ = 0, looking_ = 0;
-  std::uint64_t looks_ = 0;
+  FleetStatus last_totals_;  // sums up to the last second
+  Clock::time_point started_at_{};
+  int address_block_ = 0, pending_queries_ = 0;
+  std::uint64_t polls_ = 0;
   bool over_ = false, interrupted_ = false;
-  double rest_from_ = 0;
-  Clock::duration latest_{};
+  double measure_from_s_ = 0;
+  Clock::duration max_lateness_{};
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -4,45 +4,46 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-constexpr std::chrono::milliseconds kLookAtEnd{20};  // whether a process has ended
-constexpr std::chrono::milliseconds kFrontNotices{
+constexpr std::chrono::milliseconds kExitCheckInterval{20};  // whether a process has ended
+constexpr std::chrono::milliseconds kFrontEndNoticeDelay{
     100};  // until no client is sent to a process that has ended
 
 }  // namespace
 
-void ProcessFleet::WriteFiles(int number) {
+void ProcessFleet::WriteConfigFiles(int number) {
   const Member& member = At(number);
   const std::string base = folder_.path + "/" + MemberName(number);
   std::filesystem::create_directory(base);
   std::ofstream(base + "/clock") << std::string(sizeof(std::int64_t), '\0');
   const nlohmann::json config{
       {"name", MemberName(number)},
-      {"listen", TextOf(member.listen)},
-      {"operator", TextOf(member.op)},
-      {"discovery", TextOf(directory_->address(number))},
+      {"listen", FormatEndpoint(member.listen_address)},
+      {"operator", FormatEndpoint(member.operator_address)},
+      {"discovery", FormatEndpoint(directory_->address(number))},
       {"seed", fmt::format("{:x}", options_.seed * 1000 + static_cast<std::uint64_t>(number))},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
       {"settings", ProxySettings(plan_, number)}};
   std::ofstream(base + "/config.json") << config.dump();
   std::string seeds;
   for (int i = 0; i < std::min(plan_.seeds, plan_.members); ++i)
-    seeds += fmt::format("{}\"{}\"", i ? ", " : "", peers::FormatAddress(At(i).outside));
+    seeds += fmt::format("{}\"{}\"", i ? ", " : "", peers::FormatAddress(At(i).advertised_address));
   std::ofstream file(base + "/operator.toml");
   file << "[log]\nformat = \"json\"\nlines_per_s = 1000000\n";
   if (options_.with_membership)
     file << fmt::format(
         "[fleet]\ncluster = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = "
         "\"{}/key\"\n",
-        peers::FormatAddress(member.inside), peers::FormatAddress(member.outside), seeds, folder_.path);
+        peers::FormatAddress(member.bind_address), peers::FormatAddress(member.advertised_address), seeds,
+        folder_.path);
 }
 
-void ProcessFleet::WriteKeeper(int number) {
+void ProcessFleet::WriteSupervisorConfig(int number) {
   const Member& member = At(number);
   const std::string base = folder_.path + "/" + MemberName(number);
   std::ofstream file(base + "/keep.toml");
   file << fmt::format(
       "first = \"v1\"\noperators = [\"{}\", \"{}\"]\nready_ms = 6000\nheard_ms = 6000\njson_log = true\n",
-      TextOf(member.op_other), TextOf(member.op));
+      FormatEndpoint(member.other_operator_address), FormatEndpoint(member.operator_address));
   for (const char* version : {"v1", "v2"}) {
     const bool other = version == std::string("v2");
     const std::string settings =
@@ -67,32 +68,32 @@
     std::filesystem::create_directories(options_.log_folder);
     member.log.open(options_.log_folder + "/" + MemberName(number) + ".log");
   }
-  const std::uint64_t life = ++member.life;
-  member.refused_before += std::exchange(member.refused, 0);
-  member.stopped = member.ending = member.killed = false;
-  judge_.Started(Now(), number);
-  directory_->Started(number);
+  const std::uint64_t incarnation = ++member.incarnation;
+  member.rejected_before += std::exchange(member.rejected, 0);
+  member.paused = member.exit_expected = member.killed = false;
+  evaluator_.OnStarted(Now(), number);
+  directory_->OnProxyStarted(number);
   member.child = std::make_unique<Child>(
       io_,
-      member.other && !plan_.keep && !options_.other_program.empty() ? options_.other_program
-                                                                     : options_.program,
+      member.runs_other_program && !plan_.keep && !options_.other_program.empty() ? options_.other_program
+                                                                                  : options_.program,
       plan_.keep ? std::vector<std::string>{"supervise", base + "/keep.toml"}
                  : std::vector<std::string>{"serve", "--config", base + "/operator.toml"},
       std::map<std::string, std::string>{{"ROUTER_CONFIG", base + "/config.json"},
                                          {"TMPDIR", base + "/tmp"},
                                          {"COPPERPOINT_CLOCK", base + "/clock"}},
-      [this, number](const std::string& line) { OnLine(number, line); },
-      [this, number, life](int status) { OnEnd(number, life, status); });
+      [this, number](const std::string& line) { OnLogLine(number, line); },
+      [this, number, incarnation](int status) { OnExit(number, incarnation, status); });
   for (const auto& [fault, whom] : slow_starts_) {
     if (std::find(whom.begin(), whom.end(), number) == whom.end()) continue;
-    Stop(number, true);
-    Schedule(Now() + fault.amount, [this, number, life] {
-      if (At(number).life == life) Stop(number, false);
+    SetPaused(number, true);
+    Schedule(Now() + fault.amount, [this, number, incarnation] {
+      if (At(number).incarnation == incarnation) SetPaused(number, false);
     });
   }
 }
 
-void ProcessFleet::Jump(int number, double seconds) {
+void ProcessFleet::JumpClock(int number, double seconds) {
   std::fstream clock(folder_.path + "/" + MemberName(number) + "/clock",
                      std::ios::in | std::ios::out | std::ios::binary);
   std::int64_t ahead_us = 0;
@@ -102,78 +103,79 @@
   clock.write(reinterpret_cast<const char*>(&ahead_us), sizeof ahead_us);
 }
 
-void ProcessFleet::OnLine(int number, const std::string& line) {
+void ProcessFleet::OnLogLine(int number, const std::string& line) {
   Member& member = At(number);
   if (member.log.is_open()) member.log << line << '\n';
   const auto json = nlohmann::json::parse(line, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object()) return;
   const std::string event = json.value("event", "");
   if (event == "decision") ejections_ += json.value("text", "").find(" ejected: ") != std::string::npos;
-  if (event == "keep_ended") member.ready = Clock::now();  // its requests are lost with it
+  if (event == "keep_ended") member.last_ready = Clock::now();  // its requests are lost with it
   if (event == "keep_serves") member.version = json.value("version", "");
   if (event == "keep_began") {
-    member.serve_pid = static_cast<int>(json.value("pid", 0.0));
-    member.ever.insert(json.value("version", ""));
+    member.proxy_pid = static_cast<int>(json.value("pid", 0.0));
+    member.versions_run.insert(json.value("version", ""));
   }
   if (event == "state_changed" && json.value("to", "") == "ready") {
     member.up = true;
-    member.ready = Clock::now();
+    member.last_ready = Clock::now();
   } else if (event == "fleet_dead") {
     const std::string subject = json.value("member", "");
     for (int i = 0; i < plan_.members; ++i)
-      if (MemberName(i) == subject) judge_.SaidDead(Now(), number, i);
+      if (MemberName(i) == subject) evaluator_.OnDeclaredDead(Now(), number, i);
   }
-  Meet(event, json.value("member", ""));
+  TriggerFaults(event, json.value("member", ""));
 }
 
-void ProcessFleet::OnEnd(int number, std::uint64_t life, int status) {
+void ProcessFleet::OnExit(int number, std::uint64_t incarnation, int status) {
   Member& member = At(number);
-  if (member.life != life || over_) return;
-  if (!member.ending || (!member.killed && status != 0))
-    judge_.Broke(fmt::format("{} ended by itself at {:.2f} s, status {}", MemberName(number), Now(), status));
+  if (member.incarnation != incarnation || over_) return;
+  if (!member.exit_expected || (!member.killed && status != 0))
+    evaluator_.AddRuleViolation(
+        fmt::format("{} ended by itself at {:.2f} s, status {}", MemberName(number), Now(), status));
   member.up = false;
 }
 
-void ProcessFleet::End(int number, bool with_a_word) {
+void ProcessFleet::End(int number, bool graceful) {
   Member& member = At(number);
   if (!member.child || !member.child->running()) return;
-  judge_.Ended(Now(), number, with_a_word);
-  member.ending = true;
-  member.killed = !with_a_word;
-  member.child->Signal(with_a_word ? SIGTERM : SIGKILL);
-  if (member.stopped) member.child->Signal(SIGCONT);
+  evaluator_.OnEnded(Now(), number, graceful);
+  member.exit_expected = true;
+  member.killed = !graceful;
+  member.child->Signal(graceful ? SIGTERM : SIGKILL);
+  if (member.paused) member.child->Signal(SIGCONT);
   // Clients go on to come until the front has noticed.
-  const std::uint64_t life = member.life;
-  Schedule(Now() + std::chrono::duration<double>(kFrontNotices).count(), [this, number, life] {
-    if (At(number).life == life) At(number).up = false;
+  const std::uint64_t incarnation = member.incarnation;
+  Schedule(Now() + std::chrono::duration<double>(kFrontEndNoticeDelay).count(), [this, number, incarnation] {
+    if (At(number).incarnation == incarnation) At(number).up = false;
   });
 }
 
-void ProcessFleet::Stop(int number, bool stop) {
+void ProcessFleet::SetPaused(int number, bool paused) {
   Member& member = At(number);
-  if (!member.child || !member.child->running() || member.stopped == stop) return;
-  if (plan_.keep && member.serve_pid > 0) {
-    ::kill(member.serve_pid, stop ? SIGSTOP : SIGCONT);
+  if (!member.child || !member.child->running() || member.paused == paused) return;
+  if (plan_.keep && member.proxy_pid > 0) {
+    ::kill(member.proxy_pid, paused ? SIGSTOP : SIGCONT);
   } else {
-    member.child->Signal(stop ? SIGSTOP : SIGCONT);
+    member.child->Signal(paused ? SIGSTOP : SIGCONT);
   }
-  member.stopped = stop;
-  member.ready = Clock::now();
-  stop ? judge_.Stopped(Now(), number) : judge_.Continued(Now(), number);
-  if (!stop) directory_->Continued(number);
+  member.paused = paused;
+  member.last_ready = Clock::now();
+  paused ? evaluator_.OnPaused(Now(), number) : evaluator_.OnResumed(Now(), number);
+  if (!paused) directory_->OnProxyResumed(number);
 }
 
 void ProcessFleet::Replace(int number, bool other) {
-  At(number).other = other;
+  At(number).runs_other_program = other;
   if (!At(number).child) return;  // it begins so
-  End(number, /*with_a_word=*/true);
-  StartOnceOver(number);
+  End(number, /*graceful=*/true);
+  StartAfterExit(number);
 }
 
-void ProcessFleet::StartOnceOver(int number) {
+void ProcessFleet::StartAfterExit(int number) {
   if (!At(number).child->running()) return Start(number);
-  Schedule(Now() + std::chrono::duration<double>(kLookAtEnd).count(),
-           [this, number] { StartOnceOver(number); });
+  Schedule(Now() + std::chrono::duration<double>(kExitCheckInterval).count(),
+           [this, number] { StartAfterExit(number); });
 }
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/relay.h
+++ b/src/fault_testing/processes/relay.h
@@ -26,18 +26,18 @@
 
   // `inside`: where each member binds; `outside`: what it advertises; `now`: seconds of the run. Throws
   // boost::system::system_error if an address cannot be had.
-  Relay(boost::asio::io_context& io, Links& links, std::vector<Udp::endpoint> inside,
-        const std::vector<Udp::endpoint>& outside, std::function<double()> now);
+  Relay(boost::asio::io_context& io, Links& links, std::vector<Udp::endpoint> bind_addresses,
+        const std::vector<Udp::endpoint>& advertised_addresses, std::function<double()> now);
   ~Relay();
 
-  std::uint64_t passed() const { return passed_; }
+  std::uint64_t forwarded() const { return forwarded_; }
   std::uint64_t dropped() const { return dropped_; }
 
  private:
   class Stream;
   friend class Stream;
-  struct Door {  // to one member
-    explicit Door(boost::asio::io_context& io) : udp(io), tcp(io) {}
+  struct MemberPort {  // to one member
+    explicit MemberPort(boost::asio::io_context& io) : udp(io), tcp(io) {}
     Udp::socket udp;
     boost::asio::ip::tcp::acceptor tcp;
     Udp::endpoint from;
@@ -46,17 +46,17 @@
 
   void Receive(int to);
   void OnDatagram(int to, std::size_t size);
-  void Pass(int from, int to, std::string bytes);
+  void Send(int from, int to, std::string bytes);
   void Accept(int to);
   int MemberAt(const boost::asio::ip::address& address) const;
 
   boost::asio::io_context& io_;
   Links& links_;
   std::function<double()> now_;
-  std::vector<Udp::endpoint> inside_;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<Udp::endpoint> bind_addresses_;
+  std::vector<std::unique_ptr<MemberPort>> ports_;
   std::unordered_set<std::shared_ptr<Stream>> streams_;
-  std::uint64_t passed_ = 0, dropped_ = 0;
+  std::uint64_t forwarded_ = 0, dropped_ = 0;
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/service.cpp
+++ b/src/fault_testing/processes/service.cpp
@@ -22,10 +22,10 @@
 namespace http = beast::http;
 using Error = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kDeadline{2000};   // of a request
-constexpr std::chrono::milliseconds kLookAgain{10};    // whether a silence is over
-constexpr std::chrono::milliseconds kEndIsKnown{300};  // of a process, after its connections broke
-constexpr std::chrono::milliseconds kSlack{1000};      // before one that has no answer is lost
+constexpr std::chrono::milliseconds kDeadline{2000};        // of a request
+constexpr std::chrono::milliseconds kRecheckInterval{10};   // whether a silence is over
+constexpr std::chrono::milliseconds kExitNoticeDelay{300};  // of a process, after its connections broke
+constexpr std::chrono::milliseconds kResponseSlack{1000};   // before one that has no answer is lost
 
 void Listen(Tcp::acceptor& acceptor, const Tcp::endpoint& address) {
   acceptor.open(Tcp::v4());
@@ -55,20 +55,20 @@
         proxy_(proxy),
         backend_(backend),
         socket_(std::move(socket)),
-        work_(owner.io_),
-        life_(Here().model.incarnation()),
-        open_(Here().connections) {
-    ++(*open_)[static_cast<std::size_t>(proxy_)];
+        execution_timer_(owner.io_),
+        incarnation_(BackendState().model.incarnation()),
+        connections_by_proxy_(BackendState().connections) {
+    ++(*connections_by_proxy_)[static_cast<std::size_t>(proxy_)];
   }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
-  ~Connection() { --(*open_)[static_cast<std::size_t>(proxy_)]; }
+  ~Connection() { --(*connections_by_proxy_)[static_cast<std::size_t>(proxy_)]; }
 
   void Read() {
     request_ = {};
     http::async_read(socket_, buffer_, request_,
                      [self = shared_from_this()](const Error& failed, std::size_t) {
-                       if (!failed) self->Arrived();
+                       if (!failed) self->OnRequest();
                      });
   }
 
@@ -79,8 +79,8 @@
   }
 
  private:
-  Backend& Here() { return owner_.backends_[static_cast<std::size_t>(backend_)]; }
-  void Arrived() {
+  Backend& BackendState() { return owner_.backends_[static_cast<std::size_t>(backend_)]; }
+  void OnRequest() {
     unsafe_ = request_.method() != http::verb::get;
     id_ = std::strtoull(std::string(request_["Req-Id"]).c_str(), nullptr, 16);
     int* unproven = unsafe_ ? &owner_.unproven_[id_] : nullptr;
@@ -90,55 +90,58 @@
                                    /*has_response=*/false);
     if (unproven) ++*unproven;
     const double work = owner_.service_.work_ms;
-    double told_share = 0;
-    if (Here().model.RecordSlowStartWork(owner_.now_(), work, owner_.told_ && owner_.told_(proxy_, backend_),
-                                         &told_share)) {
-      owner_.rules_.OnOverload(owner_.now_(), static_cast<std::uint32_t>(backend_), told_share);
-      ++owner_.falls_;
-      return owner_.fell_(backend_);
+    double informed_share = 0;
+    if (BackendState().model.RecordSlowStartWork(owner_.now_(), work,
+                                                 owner_.is_informed_ && owner_.is_informed_(proxy_, backend_),
+                                                 &informed_share)) {
+      owner_.rules_.OnOverload(owner_.now_(), static_cast<std::uint32_t>(backend_), informed_share);
+      ++owner_.overloads_;
+      return owner_.on_overload_(backend_);
     }
-    Work();
+    Execute();
   }
 
-  bool Silent() const { return owner_.troubles_.Cut(proxy_, backend_) || owner_.troubles_.Frozen(backend_); }
+  bool IsBlocked() const {
+    return owner_.service_faults_.IsCut(proxy_, backend_) || owner_.service_faults_.IsFrozen(backend_);
+  }
 
   // Once something passes here again.
-  void Later(void (Connection::*what)()) {
-    work_.expires_after(kLookAgain);
-    work_.async_wait([self = shared_from_this(), what](const Error& cancelled) {
-      if (!cancelled) ((*self).*what)();
+  void RetryAfterRecheck(void (Connection::*step)()) {
+    execution_timer_.expires_after(kRecheckInterval);
+    execution_timer_.async_wait([self = shared_from_this(), step](const Error& cancelled) {
+      if (!cancelled) ((*self).*step)();
     });
   }
 
-  void Work() {
-    if (Silent()) return Later(&Connection::Work);
-    const double resets = owner_.troubles_.Resetting(backend_);
+  void Execute() {
+    if (IsBlocked()) return RetryAfterRecheck(&Connection::Execute);
+    const double resets = owner_.service_faults_.ResetShare(backend_);
     if (owner_.random_.Chance(resets / 2)) return Reset();
     reset_after_ = owner_.random_.Chance(resets / 2);
     status_ = http::status::ok;
-    if (Here().busy >= owner_.service_.slots) {
+    if (BackendState().busy >= owner_.service_.slots) {
       status_ = http::status::service_unavailable;
       if (unsafe_) --owner_.unproven_[id_];
-      return Answer();
+      return Respond();
     }
-    owner_.Ran(id_, unsafe_, backend_);
-    if (owner_.random_.Chance(owner_.troubles_.Failing(backend_))) {
+    owner_.RecordExecution(id_, unsafe_, backend_);
+    if (owner_.random_.Chance(owner_.service_faults_.FailureShare(backend_))) {
       status_ = http::status::internal_server_error;
-      return Answer();
+      return Respond();
     }
-    ++Here().busy;
-    const double ms = owner_.service_.work_ms * owner_.troubles_.Slowness(backend_) /
-                      Here().model.CapacityFraction(owner_.now_());
-    work_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(ms * 1000)));
-    work_.async_wait([self = shared_from_this()](const Error& cancelled) {
-      if (cancelled || self->life_ != self->Here().model.incarnation()) return;
-      --self->Here().busy;
-      self->Answer();
+    ++BackendState().busy;
+    const double ms = owner_.service_.work_ms * owner_.service_faults_.SlowdownFactor(backend_) /
+                      BackendState().model.CapacityFraction(owner_.now_());
+    execution_timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(ms * 1000)));
+    execution_timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
+      if (cancelled || self->incarnation_ != self->BackendState().model.incarnation()) return;
+      --self->BackendState().busy;
+      self->Respond();
     });
   }
 
-  void Answer() {
-    if (Silent()) return Later(&Connection::Answer);
+  void Respond() {
+    if (IsBlocked()) return RetryAfterRecheck(&Connection::Respond);
     if (reset_after_) return Reset();
     response_ = {status_, 11};
     if (status_ == http::status::service_unavailable) response_.set("Srv-Declined", "1");
@@ -152,9 +155,9 @@
   StandInBackends& owner_;
   const int proxy_, backend_;
   Tcp::socket socket_;
-  asio::steady_timer work_;
-  const std::uint32_t life_;  // of the backend's process
-  const std::shared_ptr<std::vector<int>> open_;
+  asio::steady_timer execution_timer_;
+  const std::uint32_t incarnation_;  // of the backend's process
+  const std::shared_ptr<std::vector<int>> connections_by_proxy_;
   beast::flat_buffer buffer_;
   http::request<http::string_body> request_;
   http::response<http::string_body> response_;
@@ -164,11 +167,11 @@
 };
 
 StandInBackends::StandInBackends(asio::io_context& io, const Plan& plan, std::uint64_t seed,
-                                 const asio::ip::address& address, const Troubles& troubles,
+                                 const asio::ip::address& address, const ServiceFaults& service_faults,
                                  simulation::RuleChecker& rules, std::function<simulation::Micros()> now)
     : io_(io),
       service_(plan.service),
-      troubles_(troubles),
+      service_faults_(service_faults),
       random_(seed, "backends"),
       rules_(rules),
       now_(std::move(now)),
@@ -187,9 +190,10 @@
   }
 }
 
-void StandInBackends::Watch(std::function<bool(int, int)> told, std::function<void(int)> fell) {
-  told_ = std::move(told);
-  fell_ = std::move(fell);
+void StandInBackends::SetCallbacks(std::function<bool(int, int)> is_informed,
+                                   std::function<void(int)> on_overload) {
+  is_informed_ = std::move(is_informed);
+  on_overload_ = std::move(on_overload);
 }
 
 void StandInBackends::Accept(int proxy, int backend) {
@@ -234,31 +238,37 @@
   return found != unproven_.end() && found->second > 0;
 }
 
-std::vector<int> StandInBackends::holders() const {
-  std::vector<int> holders;
+std::vector<int> StandInBackends::connected_proxies() const {
+  std::vector<int> connected_proxies;
   for (const Backend& backend : backends_)
-    holders.push_back(static_cast<int>(std::count_if(backend.connections->begin(), backend.connections->end(),
-                                                     [](int n) { return n > 0; })));
-  return holders;
+    connected_proxies.push_back(static_cast<int>(std::count_if(
+        backend.connections->begin(), backend.connections->end(), [](int n) { return n > 0; })));
+  return connected_proxies;
 }
 
 std::uint64_t StandInBackends::executions() const {
-  std::uint64_t all = 0;
-  for (const Backend& backend : backends_) all += backend.runs;
-  return all;
+  std::uint64_t total = 0;
+  for (const Backend& backend : backends_) total += backend.executions;
+  return total;
 }
 
-void StandInBackends::Ran(std::uint64_t request, bool unsafe, int backend) {
-  ++backends_[static_cast<std::size_t>(backend)].runs;
-  if (unsafe) rules_.OnExecution(now_(), request, static_cast<std::uint32_t>(backend), ++runs_[request]);
+void StandInBackends::RecordExecution(std::uint64_t request, bool unsafe, int backend) {
+  ++backends_[static_cast<std::size_t>(backend)].executions;
+  if (unsafe)
+    rules_.OnExecution(now_(), request, static_cast<std::uint32_t>(backend), ++unsafe_executions_[request]);
 }
 
 // ---- clients --------------------------------------------------------------------------------------------
 
 class Clients::Request : public std::enable_shared_from_this<Request> {
  public:
-  Request(Clients& owner, Target target, std::uint64_t id, bool counts)
-      : owner_(owner), target_(target), id_(id), counts_(counts), stream_(owner.io_), late_(owner.io_) {}
+  Request(Clients& owner, Target target, std::uint64_t id, bool is_counted)
+      : owner_(owner),
+        target_(target),
+        id_(id),
+        is_counted_(is_counted),
+        stream_(owner.io_),
+        overdue_timer_(owner.io_) {}
 
   void Start(bool unsafe) {
     unsafe_ = unsafe;
@@ -269,7 +279,7 @@
     request_.set("Req-Deadline-Ms", std::to_string(kDeadline.count()));
     request_.set(http::field::connection, "close");
     request_.prepare_payload();
-    stream_.expires_after(kDeadline + kSlack);
+    stream_.expires_after(kDeadline + kResponseSlack);
     stream_.async_connect(target_.address, [self = shared_from_this()](const Error& failed) {
       if (failed) return;  // never taken
       http::async_write(self->stream_, self->request_, [self](const Error& broken, std::size_t) {
@@ -286,48 +296,48 @@
                        if (failed) {
                          // A process that was ended or stood still meanwhile owes nothing. That it ended by
                          // itself is known here a little later than its connections are.
-                         self->late_.expires_after(kEndIsKnown);
-                         self->late_.async_wait([self](const Error& cancelled) {
-                           Clients& asked = self->owner_;
-                           if (!cancelled && !asked.stopped_ && asked.owed_(self->target_))
-                             asked.rules_.OnResponseOverdue(asked.now_(), self->id_,
-                                                            static_cast<std::uint32_t>(self->target_.member));
+                         self->overdue_timer_.expires_after(kExitNoticeDelay);
+                         self->overdue_timer_.async_wait([self](const Error& cancelled) {
+                           Clients& clients = self->owner_;
+                           if (!cancelled && !clients.stopped_ && clients.owes_response_(self->target_))
+                             clients.rules_.OnResponseOverdue(
+                                 clients.now_(), self->id_, static_cast<std::uint32_t>(self->target_.member));
                          });
                          return;
                        }
                        const unsigned status = self->response_.result_int();
-                       const bool refused = status == 429 || status == 503;
-                       if (refused)
+                       const bool rejected = status == 429 || status == 503;
+                       if (rejected)
                          owner.rules_.OnRejected(
                              owner.now_(), self->id_, static_cast<std::uint32_t>(self->target_.member),
                              {.idempotent = !self->unsafe_, .may_have_run = owner.may_have_run_(self->id_)});
-                       if (!self->counts_) return;
+                       if (!self->is_counted_) return;
                        owner.served_ += status == 200;
-                       owner.refused_ += refused;
+                       owner.rejected_ += rejected;
                      });
   }
 
   Clients& owner_;
   const Target target_;
   const std::uint64_t id_;
-  const bool counts_;
+  const bool is_counted_;
   bool unsafe_ = false;
   beast::tcp_stream stream_;
-  asio::steady_timer late_;
+  asio::steady_timer overdue_timer_;
   beast::flat_buffer buffer_;
   http::request<http::string_body> request_;
   http::response<http::string_body> response_;
 };
 
 Clients::Clients(asio::io_context& io, const Service& service, std::uint64_t seed,
-                 simulation::RuleChecker& rules, Choose choose, Owed owed, MayHaveRun may_have_run,
-                 std::function<simulation::Micros()> now)
+                 simulation::RuleChecker& rules, SelectTarget select_target, OwesResponse owes_response,
+                 MayHaveRun may_have_run, std::function<simulation::Micros()> now)
     : io_(io),
       service_(service),
       random_(seed, "clients"),
       rules_(rules),
-      choose_(std::move(choose)),
-      owed_(std::move(owed)),
+      select_target_(std::move(select_target)),
+      owes_response_(std::move(owes_response)),
       may_have_run_(std::move(may_have_run)),
       now_(std::move(now)),
       timer_(io) {}
@@ -335,8 +345,8 @@
 void Clients::Start(double count_from_s) {
   if (service_.rate <= 0) return;
   count_from_ = simulation::FromMs(count_from_s * 1000);
-  due_ = std::chrono::steady_clock::now();
-  Next();
+  next_send_ = std::chrono::steady_clock::now();
+  ScheduleNext();
 }
 
 void Clients::Stop() {
@@ -344,18 +354,19 @@
   timer_.cancel();
 }
 
-void Clients::Next() {
-  due_ += std::chrono::microseconds(static_cast<std::int64_t>(random_.Exponential(1e6 / service_.rate)));
-  timer_.expires_at(due_);
+void Clients::ScheduleNext() {
+  next_send_ +=
+      std::chrono::microseconds(static_cast<std::int64_t>(random_.Exponential(1e6 / service_.rate)));
+  timer_.expires_at(next_send_);
   timer_.async_wait([this](const Error& cancelled) {
     if (cancelled || stopped_) return;
-    const bool counts = now_() >= count_from_;
+    const bool is_counted = now_() >= count_from_;
     const bool unsafe = random_.Chance(0.2);
-    if (const auto target = choose_(random_)) {
-      asked_ += counts;
-      std::make_shared<Request>(*this, *target, ++all_, counts)->Start(unsafe);
+    if (const auto target = select_target_(random_)) {
+      requests_ += is_counted;
+      std::make_shared<Request>(*this, *target, ++total_requests_, is_counted)->Start(unsafe);
     }
-    Next();
+    ScheduleNext();
   });
 }
 
--- a/src/fault_testing/processes/service.h
+++ b/src/fault_testing/processes/service.h
@@ -34,19 +34,22 @@
 class StandInBackends {
  public:
   StandInBackends(boost::asio::io_context& io, const Plan& plan, std::uint64_t seed,
-                  const boost::asio::ip::address& address, const Troubles& troubles,
+                  const boost::asio::ip::address& address, const ServiceFaults& service_faults,
                   simulation::RuleChecker& rules, std::function<simulation::Micros()> now);
   const std::vector<std::vector<Tcp::endpoint>>& addresses() const { return addresses_; }  // by proxy
   // `told`: whether a proxy knows of a backend's present start; `fell`: one was pushed over, and is down.
-  void Watch(std::function<bool(int proxy, int backend)> told, std::function<void(int backend)> fell);
+  void SetCallbacks(std::function<bool(int proxy, int backend)> is_informed,
+                    std::function<void(int backend)> on_overload);
   void Down(int backend);  // its process ends; connections are reset, new ones refused
   void Up(int backend);    // a new one, cold
   // Whether an attempt of an unsafe request is out or has no proof that it did not run.
   bool MayHaveRun(std::uint64_t request) const;
-  std::uint64_t falls() const { return falls_; }
-  std::uint64_t executions() const;  // at all backends
-  std::vector<int> holders() const;  // by backend: proxies with a connection to it
-  std::uint64_t executions(int backend) const { return backends_[static_cast<std::size_t>(backend)].runs; }
+  std::uint64_t overloads() const { return overloads_; }
+  std::uint64_t executions() const;            // at all backends
+  std::vector<int> connected_proxies() const;  // by backend: proxies with a connection to it
+  std::uint64_t executions(int backend) const {
+    return backends_[static_cast<std::size_t>(backend)].executions;
+  }
 
  private:
   class Connection;
@@ -54,12 +57,12 @@
     explicit Backend(const simulation::BackendType& type) : model(type, 0, 0, 1) {}
     simulation::Backend model;  // for cold starts; the queue is the stand-in's own
     int busy = 0;
-    std::uint64_t runs = 0;
+    std::uint64_t executions = 0;
     std::vector<std::weak_ptr<Connection>> open;
     std::shared_ptr<std::vector<int>> connections;  // by proxy; they may end after the owner
   };
   void Accept(int proxy, int backend);
-  void Ran(std::uint64_t request, bool unsafe, int backend);
+  void RecordExecution(std::uint64_t request, bool unsafe, int backend);
   Tcp::acceptor& AcceptorOf(int proxy, int backend) {
     return *acceptors_[static_cast<std::size_t>(proxy) * backends_.size() +
                        static_cast<std::size_t>(backend)];
@@ -67,19 +70,19 @@
 
   boost::asio::io_context& io_;
   const Service& service_;
-  const Troubles& troubles_;
+  const ServiceFaults& service_faults_;
   simulation::Random random_;
   simulation::RuleChecker& rules_;
   std::function<simulation::Micros()> now_;
-  std::function<bool(int, int)> told_;
-  std::function<void(int)> fell_;
+  std::function<bool(int, int)> is_informed_;
+  std::function<void(int)> on_overload_;
   simulation::BackendType backend_type_;
   std::vector<Backend> backends_;
   std::vector<std::vector<Tcp::endpoint>> addresses_;
   std::vector<std::unique_ptr<Tcp::acceptor>> acceptors_;
-  std::unordered_map<std::uint64_t, int> runs_;      // of unsafe requests
-  std::unordered_map<std::uint64_t, int> unproven_;  // their attempts that may have run
-  std::uint64_t falls_ = 0;
+  std::unordered_map<std::uint64_t, int> unsafe_executions_;  // of unsafe requests
+  std::unordered_map<std::uint64_t, int> unproven_;           // their attempts that may have run
+  std::uint64_t overloads_ = 0;
 };
 
 class Clients {
@@ -89,41 +92,42 @@
   struct Target {
     Tcp::endpoint address;
     int member = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
-  using Choose = std::function<std::optional<Target>(simulation::Random&)>;
-  using Owed = std::function<bool(const Target&)>;
+  using SelectTarget = std::function<std::optional<Target>(simulation::Random&)>;
+  using OwesResponse = std::function<bool(const Target&)>;
 
   using MayHaveRun = std::function<bool(std::uint64_t request)>;
 
   Clients(boost::asio::io_context& io, const Service& service, std::uint64_t seed,
-          simulation::RuleChecker& rules, Choose choose, Owed owed, MayHaveRun may_have_run,
-          std::function<simulation::Micros()> now);
+          simulation::RuleChecker& rules, SelectTarget select_target, OwesResponse owes_response,
+          MayHaveRun may_have_run, std::function<simulation::Micros()> now);
   void Start(double count_from_s);
   void Stop();
 
-  std::uint64_t asked() const { return asked_; }
+  std::uint64_t requests() const { return requests_; }
   std::uint64_t served() const { return served_; }
-  std::uint64_t refused() const { return refused_; }
-  std::uint64_t all() const { return all_; }
+  std::uint64_t rejected() const { return rejected_; }
+  std::uint64_t total_requests() const { return total_requests_; }
 
  private:
   class Request;
-  void Next();
+  void ScheduleNext();
 
   boost::asio::io_context& io_;
   const Service& service_;
   simulation::Random random_;
   simulation::RuleChecker& rules_;
-  Choose choose_;
-  Owed owed_;
+  SelectTarget select_target_;
+  OwesResponse owes_response_;
   MayHaveRun may_have_run_;
   std::function<simulation::Micros()> now_;
   boost::asio::steady_timer timer_;
-  std::chrono::steady_clock::time_point due_;
+  std::chrono::steady_clock::time_point next_send_;
   simulation::Micros count_from_ = 0;
   bool stopped_ = false;
-  std::uint64_t all_ = 0, asked_ = 0, served_ = 0, refused_ = 0;  // the latter three from `count_from_` on
+  std::uint64_t total_requests_ = 0, requests_ = 0, served_ = 0,
+                rejected_ = 0;  // the latter three from `count_from_` on
 };
 
 // The `settings` of a proxy's configuration that fit these stand-ins.
--- a/src/fault_testing/processes/troubles.cpp
+++ b/src/fault_testing/processes/troubles.cpp
@@ -5,28 +5,29 @@
 
 namespace copperpoint::fault_testing {
 
-void Troubles::Begin(const Fault& fault) {
+void ServiceFaults::AddFault(const Fault& fault) {
   const bool cut = fault.kind == FaultKind::kCutService;
-  const std::vector<int> backends = ChosenBackends(plan_, cut ? fault.to : fault.who, seed_);
-  const std::vector<int> proxies = cut ? Chosen(plan_, fault.who, seed_) : std::vector<int>();
-  in_force_.push_back({&fault, {proxies.begin(), proxies.end()}, {backends.begin(), backends.end()}});
+  const std::vector<int> backends = SelectBackends(plan_, cut ? fault.to : fault.who, seed_);
+  const std::vector<int> proxies = cut ? SelectMembers(plan_, fault.who, seed_) : std::vector<int>();
+  active_.push_back({&fault, {proxies.begin(), proxies.end()}, {backends.begin(), backends.end()}});
 }
 
-void Troubles::End(const Fault& fault) {
-  std::erase_if(in_force_, [&](const InForce& of) { return of.fault == &fault; });
+void ServiceFaults::RemoveFault(const Fault& fault) {
+  std::erase_if(active_, [&](const ActiveFault& active) { return active.fault == &fault; });
 }
 
-double Troubles::Of(FaultKind kind, int backend, double without) const {
-  double most = without;
-  for (const InForce& of : in_force_)
-    if (of.fault->kind == kind && of.backends.contains(backend)) most = std::max(most, of.fault->amount);
-  return most;
+double ServiceFaults::MaxAmount(FaultKind kind, int backend, double default_amount) const {
+  double highest = default_amount;
+  for (const ActiveFault& active : active_)
+    if (active.fault->kind == kind && active.backends.contains(backend))
+      highest = std::max(highest, active.fault->amount);
+  return highest;
 }
 
-bool Troubles::Cut(int proxy, int backend) const {
-  return std::any_of(in_force_.begin(), in_force_.end(), [&](const InForce& of) {
-    return of.fault->kind == FaultKind::kCutService && of.proxies.contains(proxy) &&
-           of.backends.contains(backend);
+bool ServiceFaults::IsCut(int proxy, int backend) const {
+  return std::any_of(active_.begin(), active_.end(), [&](const ActiveFault& active) {
+    return active.fault->kind == FaultKind::kCutService && active.proxies.contains(proxy) &&
+           active.backends.contains(backend);
   });
 }
 
--- a/src/fault_testing/processes/troubles.h
+++ b/src/fault_testing/processes/troubles.h
@@ -12,29 +12,33 @@
 
 namespace copperpoint::fault_testing {
 
-class Troubles {
+class ServiceFaults {
  public:
-  Troubles(const Plan& plan, std::uint64_t seed) : plan_(plan), seed_(seed) {}
+  ServiceFaults(const Plan& plan, std::uint64_t seed) : plan_(plan), seed_(seed) {}
 
-  void Begin(const Fault& fault);  // one on the service
-  void End(const Fault& fault);
+  void AddFault(const Fault& fault);  // one on the service
+  void RemoveFault(const Fault& fault);
 
-  bool Frozen(int backend) const { return Of(FaultKind::kFreeze, backend, 0) > 0; }
-  double Failing(int backend) const { return Of(FaultKind::kFail, backend, 0); }  // share of requests
-  double Resetting(int backend) const { return Of(FaultKind::kReset, backend, 0); }
-  double Slowness(int backend) const { return Of(FaultKind::kSlow, backend, 1); }  // times as long
-  bool Cut(int proxy, int backend) const;  // kDiscovery is a backend here
+  bool IsFrozen(int backend) const { return MaxAmount(FaultKind::kFreeze, backend, 0) > 0; }
+  double FailureShare(int backend) const {
+    return MaxAmount(FaultKind::kFail, backend, 0);
+  }  // share of requests
+  double ResetShare(int backend) const { return MaxAmount(FaultKind::kReset, backend, 0); }
+  double SlowdownFactor(int backend) const {
+    return MaxAmount(FaultKind::kSlow, backend, 1);
+  }                                          // times as long
+  bool IsCut(int proxy, int backend) const;  // kDiscovery is a backend here
 
  private:
-  struct InForce {
+  struct ActiveFault {
     const Fault* fault;
     std::set<int> proxies, backends;
   };
-  double Of(FaultKind kind, int backend, double without) const;
+  double MaxAmount(FaultKind kind, int backend, double default_amount) const;
 
   const Plan& plan_;
   const std::uint64_t seed_;
-  std::vector<InForce> in_force_;
+  std::vector<ActiveFault> active_;
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/watch.cpp
+++ b/src/fault_testing/processes/watch.cpp
@@ -14,67 +14,68 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-constexpr double kHeaders = 28;                  // bytes of IP and UDP around a datagram
-constexpr std::chrono::milliseconds kLook{100};  // between looks at all views
+constexpr double kIpUdpHeaderBytes = 28;                 // bytes of IP and UDP around a datagram
+constexpr std::chrono::milliseconds kPollInterval{100};  // between looks at all views
 
 }  // namespace
 
 // Asks one proxy for its view.
-class ProcessFleet::Look : public std::enable_shared_from_this<Look> {
+class ProcessFleet::ViewQuery : public std::enable_shared_from_this<ViewQuery> {
  public:
-  Look(ProcessFleet& owner, int member) : owner_(owner), member_(member), stream_(owner.io_) {}
+  ViewQuery(ProcessFleet& owner, int member) : owner_(owner), member_(member), stream_(owner.io_) {}
   void Start() {
-    stream_.expires_after(kLookAnswer);
-    stream_.async_connect(owner_.At(member_).op, [self = shared_from_this()](const Error& failed) {
-      if (failed) {
-        if (self->owner_.plan_.keep) {
-          Member& of = self->owner_.At(self->member_);
-          std::swap(of.op, of.op_other);
-        }
-        return self->Over();
-      }
-      self->request_ = {http::verb::get, "/fleet", 11};
-      self->request_.set(http::field::host, "rig");
-      http::async_write(self->stream_, self->request_, [self](const Error& broken, std::size_t) {
-        if (broken) return self->Over();
-        http::async_read(self->stream_, self->buffer_, self->response_,
-                         [self](const Error& error, std::size_t) {
-                           if (!error) self->Take();
-                           self->Over();
-                         });
-      });
-    });
+    stream_.expires_after(kQueryTimeout);
+    stream_.async_connect(
+        owner_.At(member_).operator_address, [self = shared_from_this()](const Error& failed) {
+          if (failed) {
+            if (self->owner_.plan_.keep) {
+              Member& of = self->owner_.At(self->member_);
+              std::swap(of.operator_address, of.other_operator_address);
+            }
+            return self->OnDone();
+          }
+          self->request_ = {http::verb::get, "/fleet", 11};
+          self->request_.set(http::field::host, "rig");
+          http::async_write(self->stream_, self->request_, [self](const Error& broken, std::size_t) {
+            if (broken) return self->OnDone();
+            http::async_read(self->stream_, self->buffer_, self->response_,
+                             [self](const Error& error, std::size_t) {
+                               if (!error) self->OnResponse();
+                               self->OnDone();
+                             });
+          });
+        });
   }
 
  private:
-  void Take() {
+  void OnResponse() {
     const auto json = nlohmann::json::parse(response_.body(), nullptr, /*allow_exceptions=*/false);
     Member& of = owner_.At(member_);
     // Of two processes, the one that takes part.
     if (owner_.plan_.keep && (!json.is_object() || !json.value("speaks", false)))
-      std::swap(of.op, of.op_other);
+      std::swap(of.operator_address, of.other_operator_address);
     if (!json.is_object()) return;
     of.view = json.value("view", "");
-    of.living = 0;
+    of.living_members = 0;
     const auto& counters = json["counters"];
-    of.out = counters.value("sent_bytes", 0.0) + kHeaders * counters.value("sent", 0.0);
-    of.in = counters.value("received_bytes", 0.0) + kHeaders * counters.value("received", 0.0);
-    of.asked_at = owner_.Now();
-    of.refused = 0;
+    of.bytes_out = counters.value("sent_bytes", 0.0) + kIpUdpHeaderBytes * counters.value("sent", 0.0);
+    of.bytes_in = counters.value("received_bytes", 0.0) + kIpUdpHeaderBytes * counters.value("received", 0.0);
+    of.polled_at_s = owner_.Now();
+    of.rejected = 0;
     for (const auto& [name, value] : counters.items())
-      if (name.starts_with("refused_")) of.refused += value.get<double>();
-    if (of.before_at < 0 && of.asked_at >= owner_.rest_from_) {
-      of.out_before = of.out;
-      of.in_before = of.in;
-      of.before_at = of.asked_at;
+      if (name.starts_with("refused_")) of.rejected += value.get<double>();
+    if (of.before_at_s < 0 && of.polled_at_s >= owner_.measure_from_s_) {
+      of.bytes_out_before = of.bytes_out;
+      of.bytes_in_before = of.bytes_in;
+      of.before_at_s = of.polled_at_s;
     }
     for (const auto& member : json["members"]) {
       const std::string status = member.value("status", "");
-      of.living += status == "alive" || status == "suspect";
+      of.living_members += status == "alive" || status == "suspect";
     }
   }
-  void Over() {
-    if (--owner_.looking_ == 0) owner_.OnLooked();
+  void OnDone() {
+    if (--owner_.pending_queries_ == 0) owner_.OnViewsPolled();
   }
 
   ProcessFleet& owner_;
@@ -98,13 +99,13 @@
   call->request = {http::verb::post, target, 11, body};
   call->request.set(http::field::host, "rig");
   call->request.prepare_payload();
-  call->stream.expires_after(kLookAnswer);
+  call->stream.expires_after(kQueryTimeout);
   const auto over = [this, number, target, call](const Error& failed) {
     if (failed || call->response.result() != http::status::ok)
-      judge_.Broke(fmt::format("POST {} at {}: {} {}", target, MemberName(number), failed.message(),
-                               call->response.body()));
+      evaluator_.AddRuleViolation(fmt::format("POST {} at {}: {} {}", target, MemberName(number),
+                                              failed.message(), call->response.body()));
   };
-  call->stream.async_connect(At(number).op, [call, over](const Error& failed) {
+  call->stream.async_connect(At(number).operator_address, [call, over](const Error& failed) {
     if (failed) return over(failed);
     http::async_write(call->stream, call->request, [call, over](const Error& broken, std::size_t) {
       if (broken) return over(broken);
@@ -114,45 +115,46 @@
   });
 }
 
-void ProcessFleet::Watch() {
+void ProcessFleet::ReportStatus() {
   FleetStatus status;
   status.at_s = Now();
-  status.control = TextOf(control_->address());
+  status.control = FormatEndpoint(control_->address());
   for (int i = 0; i < plan_.members; ++i) {
     const Member& member = At(i);
-    status.members.push_back({MemberName(i), TextOf(member.listen), TextOf(member.op),
+    status.members.push_back({MemberName(i), FormatEndpoint(member.listen_address),
+                              FormatEndpoint(member.operator_address),
                               member.child && member.child->running() ? member.child->pid() : 0,
-                              member.up && !member.stopped, member.living});
+                              member.up && !member.paused, member.living_members});
   }
   status.views = views_;
   FleetStatus totals;
-  totals.requests = clients_->asked();
+  totals.requests = clients_->requests();
   totals.served = clients_->served();
-  totals.rejected = clients_->refused();
+  totals.rejected = clients_->rejected();
   totals.ejections = ejections_;
   for (int b = 0; b < plan_.service.backends; ++b) totals.executions.push_back(backends_->executions(b));
-  before_.executions.resize(totals.executions.size());
-  status.requests = totals.requests - before_.requests;
-  status.served = totals.served - before_.served;
-  status.rejected = totals.rejected - before_.rejected;
-  status.ejections = totals.ejections - before_.ejections;
+  last_totals_.executions.resize(totals.executions.size());
+  status.requests = totals.requests - last_totals_.requests;
+  status.served = totals.served - last_totals_.served;
+  status.rejected = totals.rejected - last_totals_.rejected;
+  status.ejections = totals.ejections - last_totals_.ejections;
   for (std::size_t b = 0; b < totals.executions.size(); ++b)
-    status.executions.push_back(totals.executions[b] - before_.executions[b]);
-  before_ = std::move(totals);
+    status.executions.push_back(totals.executions[b] - last_totals_.executions[b]);
+  last_totals_ = std::move(totals);
   options_.on_status(status);
-  Schedule(status.at_s + 1, [this] { Watch(); });
+  Schedule(status.at_s + 1, [this] { ReportStatus(); });
 }
 
-std::string ProcessFleet::Carry(const std::string& what, const std::string& who) {
+std::string ProcessFleet::RunCommand(const std::string& what, const std::string& who) {
   static const std::map<std::string, std::pair<FaultKind, bool>> kCommands{
       {"cut", {FaultKind::kCut, true}},       {"heal", {FaultKind::kCut, false}},
       {"freeze", {FaultKind::kFreeze, true}}, {"thaw", {FaultKind::kFreeze, false}},
       {"fail", {FaultKind::kFail, true}},     {"mend", {FaultKind::kFail, false}}};
   if (what == "kill" || what == "start" || what == "stop" || what == "go") {
-    for (const int member : Chosen(plan_, {who}, options_.seed)) {
-      if (what == "kill") End(member, /*with_a_word=*/false);
+    for (const int member : SelectMembers(plan_, {who}, options_.seed)) {
+      if (what == "kill") End(member, /*graceful=*/false);
       if (what == "start") Start(member);
-      if (what == "stop" || what == "go") Stop(member, what == "stop");
+      if (what == "stop" || what == "go") SetPaused(member, what == "stop");
     }
     return what + " " + who;
   }
@@ -164,35 +166,36 @@
   fault.who = {who};
   // Faults on links are known by their address.
   const auto same = [&](const Fault& f) { return f.kind == kind && f.who == fault.who; };
-  const auto found = std::find_if(commanded_.begin(), commanded_.end(), same);
-  if (begins == (found != commanded_.end())) return who + " is so already";
+  const auto found = std::find_if(commanded_faults_.begin(), commanded_faults_.end(), same);
+  if (begins == (found != commanded_faults_.end())) return who + " is so already";
   if (begins) {
-    fault.OnService() ? ChosenBackends(plan_, {who}, 1) : Chosen(plan_, {who}, 1);  // throws if it is none
-    const Fault& kept = commanded_.emplace_back(fault);
-    BeginBetween(kept);
+    fault.AffectsService() ? SelectBackends(plan_, {who}, 1)
+                           : SelectMembers(plan_, {who}, 1);  // throws if it is none
+    const Fault& active = commanded_faults_.emplace_back(fault);
+    StartSharedFault(active);
   } else {
-    EndBetween(*found);
-    commanded_.erase(found);
+    EndSharedFault(*found);
+    commanded_faults_.erase(found);
   }
   return what + " " + who;
 }
 
-void ProcessFleet::LookAtAll() {
-  look_.expires_after(kLook);
-  look_.async_wait([this](const Error& cancelled) {
+void ProcessFleet::PollViews() {
+  poll_timer_.expires_after(kPollInterval);
+  poll_timer_.async_wait([this](const Error& cancelled) {
     if (cancelled || over_) return;
-    ++looks_;
+    ++polls_;
     for (int i = 0; i < plan_.members; ++i) {
       At(i).view.clear();
-      if (At(i).up) ++looking_;
+      if (At(i).up) ++pending_queries_;
     }
-    if (looking_ == 0) return LookAtAll();
+    if (pending_queries_ == 0) return PollViews();
     for (int i = 0; i < plan_.members; ++i)
-      if (At(i).up) std::make_shared<Look>(*this, i)->Start();
+      if (At(i).up) std::make_shared<ViewQuery>(*this, i)->Start();
   });
 }
 
-void ProcessFleet::OnLooked() {
+void ProcessFleet::OnViewsPolled() {
   if (over_) return;
   std::size_t up = 0;
   const Member* first = nullptr;
@@ -206,10 +209,10 @@
     agreed &= !member.view.empty() && member.view == first->view;
   }
   views_ = views.size();
-  const bool one = agreed && first && first->living == up;
-  judge_.Agreed(Now(), one);
-  if (one && up == members_.size()) Meet("settled");
-  LookAtAll();
+  const bool one = agreed && first && first->living_members == up;
+  evaluator_.OnAgreement(Now(), one);
+  if (one && up == members_.size()) TriggerFaults("settled");
+  PollViews();
 }
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -30,10 +30,10 @@
 using simulation::Micros;
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kDelay = 1'000;            // of a letter
-constexpr Micros kPull = 200'000;           // between looks at another member's versions
-constexpr Micros kLearnsOfEnd = 2'600'000;  // until the view holds one that ended for dead
-constexpr double kMajoritySlackS = 4;       // of a leader's last word from a majority
+constexpr Micros kMessageDelay = 1'000;               // of a letter
+constexpr Micros kPullInterval = 200'000;             // between looks at another member's versions
+constexpr Micros kFailureDetectionDelay = 2'600'000;  // until the view holds one that ended for dead
+constexpr double kMajorityContactTimeoutS = 4;        // of a leader's last word from a majority
 constexpr const char* kFaultNames[] = {"cut",   "one way", "kill",        "pause",        "loss",
                                        "abort", "plan",    "kill leader", "pause leader", "cut leader"};
 
@@ -50,55 +50,55 @@
     std::string name, zone;
     std::string version;  // that its process is
     std::unique_ptr<Agent> agent;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Micros ready_at = 0;  // its process serves from then on
     Micros up_since = 0;
-    Micros stopped_until = 0;  // stands still
-    Micros down_until = 0;     // killed
+    Micros paused_until = 0;  // stands still
+    Micros down_until = 0;    // killed
     Micros down_since = 0;
-    std::string target;  // of a change under way
+    std::string target_version;  // of a change under way
     std::uint32_t crashes = 0;
-    bool deaf = false;
-    std::map<std::uint32_t, std::pair<std::uint64_t, std::string>> held;  // documents, by topic
+    bool isolated = false;
+    std::map<std::uint32_t, std::pair<std::uint64_t, std::string>> documents;  // by topic
     std::vector<rollout::wire::Stratum> strata;  // by class, then by class and account
     double cpu_us = 0, memory_kb = 30000;
-    double rate = 0, missed = 0;
-    std::deque<std::pair<int, std::string>> letters;  // that wait for one that stands still
-    bool ever_new = false;
-    std::set<std::uint64_t> knew_ended;  // changes
-    std::uint64_t mark = 0;              // that its keeper remembers
-    std::string failed, failure;
-    Micros back = 0;
+    double rate = 0, missed_share = 0;
+    std::deque<std::pair<int, std::string>> queued_messages;  // that wait for one that stands still
+    bool ran_new_version = false;
+    std::set<std::uint64_t> known_ended_rollouts;  // changes
+    std::uint64_t stored_progress = 0;             // that its keeper remembers
+    std::string failed_version, failure_reason;
+    Micros rolled_back_at = 0;
   };
-  struct Letter {
+  struct Message {
     Micros at = 0;
     int from = 0, to = 0;
     std::string body;
-    bool operator<(const Letter& other) const { return at > other.at; }
+    bool operator<(const Message& other) const { return at > other.at; }
   };
-  struct Cut {
+  struct Partition {
     Micros from = 0, to = 0;
-    std::vector<bool> side;
+    std::vector<bool> on_first_side;
     bool one_way = false;
   };
 
   Node& At(int i) { return nodes_[static_cast<std::size_t>(i)]; }
-  bool Up(const Node& node) const { return now_ >= node.down_until && node.agent != nullptr; }
-  bool Still(const Node& node) const { return now_ < node.stopped_until; }
-  bool Reaches(int from, int to) const;
-  bool Lives(int observer, const std::string& name) const;
-  void Begin(int i, const std::string& version);
-  void Take(int i);
-  void Keep(int i, const std::string& version);
+  bool IsUp(const Node& node) const { return now_ >= node.down_until && node.agent != nullptr; }
+  bool IsPaused(const Node& node) const { return now_ < node.paused_until; }
+  bool CanReach(int from, int to) const;
+  bool IsConsideredAlive(int observer, const std::string& name) const;
+  void StartProcess(int i, const std::string& version);
+  void ProcessOutput(int i);
+  void SwitchVersion(int i, const std::string& version);
   void Tick(int i);
-  void Pull(int i);
-  void Serve();
+  void PullDocuments(int i);
+  void SimulateTraffic();
   void DrawFaults();
-  void Fault(int kind);
-  int LeaderNow() const;
-  void Break(const std::string& what);
-  bool Settled() const;
-  rollout::wire::MemberReport Report(const Node& node) const;
+  void InjectFault(int kind);
+  int CurrentLeader() const;
+  void ReportViolation(const std::string& what);
+  bool IsSettled() const;
+  rollout::wire::MemberReport MakeReport(const Node& node) const;
 
   const rollout::Plan& plan_;
   const TrialOptions& options_;
@@ -106,40 +106,43 @@
   Micros now_ = 0;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, int> by_name_;
-  std::vector<Letter> letters_;  // a heap
-  std::vector<Cut> cuts_;
-  std::vector<std::pair<Micros, int>> faults_;  // when and which
-  std::vector<std::string> told_;
-  Micros last_fault_over_ = 0, lossy_until_ = 0;
-  std::set<std::uint64_t> aborted_;  // changes
+  std::vector<Message> messages_;  // a heap
+  std::vector<Partition> partitions_;
+  std::vector<std::pair<Micros, int>> pending_faults_;  // when and which
+  std::vector<std::string> event_log_;
+  Micros last_fault_end_ = 0, lossy_until_ = 0;
+  std::set<std::uint64_t> aborted_rollouts_;  // changes
   TrialResult result_;
 };
 
-bool Trial::Reaches(int from, int to) const {
-  for (const Cut& cut : cuts_) {
-    if (now_ < cut.from || now_ >= cut.to) continue;
-    const bool a = cut.side[static_cast<std::size_t>(from)], b = cut.side[static_cast<std::size_t>(to)];
-    if (a != b && (!cut.one_way || a)) return false;
+bool Trial::CanReach(int from, int to) const {
+  for (const Partition& partition : partitions_) {
+    if (now_ < partition.from || now_ >= partition.to) continue;
+    const bool a = partition.on_first_side[static_cast<std::size_t>(from)],
+               b = partition.on_first_side[static_cast<std::size_t>(to)];
+    if (a != b && (!partition.one_way || a)) return false;
   }
-  return !nodes_[static_cast<std::size_t>(from)].deaf ||
+  return !nodes_[static_cast<std::size_t>(from)].isolated ||
          nodes_[static_cast<std::size_t>(from)].version != plan_.new_version;
 }
 
-bool Trial::Lives(int observer, const std::string& name) const {
+bool Trial::IsConsideredAlive(int observer, const std::string& name) const {
   const int i = by_name_.at(name);
   const Node& of = nodes_[static_cast<std::size_t>(i)];
-  if (now_ < of.down_until) return now_ < of.down_since + kLearnsOfEnd;
-  for (const Cut& cut : cuts_) {
-    if (now_ < cut.from + kLearnsOfEnd || now_ >= cut.to) continue;
-    if (cut.side[static_cast<std::size_t>(observer)] != cut.side[static_cast<std::size_t>(i)] && !cut.one_way)
+  if (now_ < of.down_until) return now_ < of.down_since + kFailureDetectionDelay;
+  for (const Partition& partition : partitions_) {
+    if (now_ < partition.from + kFailureDetectionDelay || now_ >= partition.to) continue;
+    if (partition.on_first_side[static_cast<std::size_t>(observer)] !=
+            partition.on_first_side[static_cast<std::size_t>(i)] &&
+        !partition.one_way)
       return false;
   }
-  return !(of.deaf && of.version == plan_.new_version);
+  return !(of.isolated && of.version == plan_.new_version);
 }
 
-rollout::wire::MemberReport Trial::Report(const Node& node) const {
+rollout::wire::MemberReport Trial::MakeReport(const Node& node) const {
   rollout::wire::MemberReport report;
-  report.set_ready(now_ >= node.ready_at && node.target.empty());
+  report.set_ready(now_ >= node.ready_at && node.target_version.empty());
   report.set_crashes(node.crashes);
   for (const auto& stratum : node.strata) *report.add_strata() = stratum;
   report.set_cpu_us(static_cast<std::uint64_t>(node.cpu_us));
@@ -148,15 +151,15 @@
 }
 
 // A new process of that version.
-void Trial::Begin(int i, const std::string& version) {
+void Trial::StartProcess(int i, const std::string& version) {
   Node& node = At(i);
   if (node.version != version) node.crashes = 0;
   node.version = version;
-  ++node.life;
+  ++node.incarnation;
   node.up_since = now_;
-  node.held.clear();
-  node.letters.clear();
-  node.deaf = options_.regression == Regression::kIsolated;
+  node.documents.clear();
+  node.queued_messages.clear();
+  node.isolated = options_.regression == Regression::kIsolated;
   node.cpu_us = 0;
   node.memory_kb = 30000;
   for (auto& stratum : node.strata) {
@@ -166,66 +169,69 @@
     stratum = fresh;
   }
   node.agent = std::make_unique<Agent>(
-      Agent::Identity{node.name, version, static_cast<std::uint64_t>(i) << 20 | node.life, node.mark,
-                      node.failed, node.failure},
-      [this, i](const std::string& name) { return Lives(i, name); }, [this, i] { return Report(At(i)); });
+      Agent::Identity{node.name, version, static_cast<std::uint64_t>(i) << 20 | node.incarnation,
+                      node.stored_progress, node.failed_version, node.failure_reason},
+      [this, i](const std::string& name) { return IsConsideredAlive(i, name); },
+      [this, i] { return MakeReport(At(i)); });
   if (version == plan_.new_version) {
-    node.ever_new = true;
+    node.ran_new_version = true;
     if (result_.first_s == 0) result_.first_s = Seconds(now_);
   }
 }
 
 // What a keeper does when its process asks for another version.
-void Trial::Keep(int i, const std::string& version) {
+void Trial::SwitchVersion(int i, const std::string& version) {
   Node& node = At(i);
-  const Micros takes = FromMs(random_.Between(800, 2000));
-  if (version == plan_.new_version && node.knew_ended.contains(node.agent->progress().rollout_id))
-    Break(node.name + " changes after it knew of the end");
+  const Micros duration = FromMs(random_.Between(800, 2000));
+  if (version == plan_.new_version && node.known_ended_rollouts.contains(node.agent->progress().rollout_id))
+    ReportViolation(node.name + " changes after it knew of the end");
   if (version == plan_.new_version && options_.regression == Regression::kDoesNotStart) {
     if (result_.first_s == 0) result_.first_s = Seconds(now_);
-    node.ever_new = true;
-    node.failed = version;
-    node.failure = "it did not come up";
-    node.agent->OnVersionFailed(version, node.failure);
-    return Take(i);
+    node.ran_new_version = true;
+    node.failed_version = version;
+    node.failure_reason = "it did not come up";
+    node.agent->OnVersionFailed(version, node.failure_reason);
+    return ProcessOutput(i);
   }
-  node.target = version;
-  node.ready_at = now_ + takes;
+  node.target_version = version;
+  node.ready_at = now_ + duration;
 }
 
-void Trial::Take(int i) {
+void Trial::ProcessOutput(int i) {
   Node& node = At(i);
   Agent::Output output = node.agent->TakeOutput();
-  for (auto& letter : output.messages) {
-    const auto to = by_name_.find(letter.to);
-    if (to == by_name_.end() || !Reaches(i, to->second)) continue;
+  for (auto& message : output.messages) {
+    const auto to = by_name_.find(message.to);
+    if (to == by_name_.end() || !CanReach(i, to->second)) continue;
     if (now_ < lossy_until_ && random_.Chance(0.3)) continue;
-    letters_.push_back({now_ + kDelay, i, to->second, std::move(letter.body)});
-    std::push_heap(letters_.begin(), letters_.end());
+    messages_.push_back({now_ + kMessageDelay, i, to->second, std::move(message.body)});
+    std::push_heap(messages_.begin(), messages_.end());
   }
   for (auto& document : output.documents) {
-    auto& held = node.held[document.topic];
-    if (document.version > held.first) held = {document.version, document.body};
+    auto& stored = node.documents[document.topic];
+    if (document.version > stored.first) stored = {document.version, document.body};
   }
   for (const rollout::Event& event : output.events) {
     if (options_.record_events)
-      told_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} may have changed", Seconds(now_), node.name,
-                                  event.rollout_name, rollout::NameOf(event.kind), event.reason,
-                                  event.admitted_members));
+      event_log_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} may have changed", Seconds(now_),
+                                       node.name, event.rollout_name, rollout::NameOf(event.kind),
+                                       event.reason, event.admitted_members));
     if (event.kind == rollout::EventKind::kStageStarted) {
       // No stage goes on unless its leader hears a majority.
-      int heard = 0;
+      int reachable = 0;
       for (int j = 0; j < options_.members; ++j) {
-        bool could = j == i;
-        if (!could && Up(At(j))) could = Reaches(i, j) && Reaches(j, i);
+        bool is_reachable = j == i;
+        if (!is_reachable && IsUp(At(j))) is_reachable = CanReach(i, j) && CanReach(j, i);
         // What it heard may be a little old.
-        for (const Cut& cut : cuts_)
-          could |= Up(At(j)) && now_ >= cut.from &&
-                   now_ < cut.from + static_cast<Micros>(kMajoritySlackS * kSecond);
-        heard += could || (At(j).down_since > 0 &&
-                           now_ < At(j).down_since + static_cast<Micros>(kMajoritySlackS * kSecond));
+        for (const Partition& partition : partitions_)
+          is_reachable |= IsUp(At(j)) && now_ >= partition.from &&
+                          now_ < partition.from + static_cast<Micros>(kMajorityContactTimeoutS * kSecond);
+        reachable += is_reachable ||
+                     (At(j).down_since > 0 &&
+                      now_ < At(j).down_since + static_cast<Micros>(kMajorityContactTimeoutS * kSecond));
       }
-      if (2 * heard <= options_.members) Break(node.name + " goes on with a stage without a majority");
+      if (2 * reachable <= options_.members)
+        ReportViolation(node.name + " goes on with a stage without a majority");
     }
     if (event.kind == rollout::EventKind::kStopped && result_.why.empty()) result_.why = event.reason;
     if ((event.kind == rollout::EventKind::kCompleted || event.kind == rollout::EventKind::kEnded ||
@@ -233,112 +239,121 @@
         result_.ended_s == 0)
       result_.ended_s = Seconds(now_);
   }
-  if (output.progress != 0) node.mark = output.progress;
-  if (node.agent->progress().requires_rollback()) node.knew_ended.insert(node.agent->progress().rollout_id);
-  if (output.requested_version) Keep(i, *output.requested_version);
+  if (output.progress != 0) node.stored_progress = output.progress;
+  if (node.agent->progress().requires_rollback())
+    node.known_ended_rollouts.insert(node.agent->progress().rollout_id);
+  if (output.requested_version) SwitchVersion(i, *output.requested_version);
 }
 
 void Trial::Tick(int i) {
   Node& node = At(i);
-  if (!node.agent && now_ >= node.down_until) Begin(i, node.version);
-  if (!Up(node) || Still(node)) return;
-  if (!node.target.empty() && now_ >= node.ready_at) {
-    const std::string version = std::exchange(node.target, "");
-    Begin(i, version);
-    if (version == plan_.old_version) node.back = now_;
+  if (!node.agent && now_ >= node.down_until) StartProcess(i, node.version);
+  if (!IsUp(node) || IsPaused(node)) return;
+  if (!node.target_version.empty() && now_ >= node.ready_at) {
+    const std::string version = std::exchange(node.target_version, "");
+    StartProcess(i, version);
+    if (version == plan_.old_version) node.rolled_back_at = now_;
   }
   if (options_.regression == Regression::kCrashes && node.version == plan_.new_version &&
       now_ > node.up_since + FromMs(options_.amount * 1000)) {
     ++node.crashes;  // its keeper starts it again
-    Begin(i, node.version);
+    StartProcess(i, node.version);
     node.ready_at = now_ + kSecond;
   }
-  if (!node.letters.empty()) {
-    for (auto& [from, body] : std::exchange(node.letters, {})) {
+  if (!node.queued_messages.empty()) {
+    for (auto& [from, body] : std::exchange(node.queued_messages, {})) {
       node.agent->OnMessage(Time(now_), At(from).name, body);
-      Take(i);
+      ProcessOutput(i);
       if (!node.agent) return;
     }
   }
   if (node.agent->next_tick_at() <= Time(now_)) {
     node.agent->OnTick(Time(now_));
-    Take(i);
+    ProcessOutput(i);
   }
 }
 
 // Looks at the versions that another holds, and takes what is later (view/documents.h).
-void Trial::Pull(int i) {
+void Trial::PullDocuments(int i) {
   const int j = static_cast<int>(random_.Below(nodes_.size()));
-  if (i == j || !Up(At(i)) || !Up(At(j)) || Still(At(i)) || Still(At(j)) || !Reaches(i, j) || !Reaches(j, i))
+  if (i == j || !IsUp(At(i)) || !IsUp(At(j)) || IsPaused(At(i)) || IsPaused(At(j)) || !CanReach(i, j) ||
+      !CanReach(j, i))
     return;
-  for (const auto& [topic, document] : At(j).held) {
-    auto& mine = At(i).held[topic];
-    if (document.first <= mine.first || !At(i).agent->AcceptsDocument(topic, document.first)) continue;
-    mine = document;
+  for (const auto& [topic, document] : At(j).documents) {
+    auto& own = At(i).documents[topic];
+    if (document.first <= own.first || !At(i).agent->AcceptsDocument(topic, document.first)) continue;
+    own = document;
     At(i).agent->OnDocument(Time(now_), topic, document.first, document.second);
-    Take(i);
+    ProcessOutput(i);
     if (!At(i).agent) return;
   }
 }
 
 // A second of traffic at every member that serves.
-void Trial::Serve() {
-  int changed = 0;
-  for (const Node& node : nodes_) changed += node.version == plan_.new_version;
-  const bool crowd = 3 * changed >= options_.members;
+void Trial::SimulateTraffic() {
+  int updated_members = 0;
+  for (const Node& node : nodes_) updated_members += node.version == plan_.new_version;
+  const bool at_scale = 3 * updated_members >= options_.members;
   const double t = Seconds(now_);
   // Troubles come back every two minutes, so that some meet every stage.
-  const bool trouble =
+  const bool disturbed =
       options_.environment != Environment::kCalm && std::fmod(t, 120) > 40 && std::fmod(t, 120) < 70;
   for (int i = 0; i < options_.members; ++i) {
     Node& node = At(i);
-    if (!Up(node) || Still(node) || now_ < node.ready_at - 2 * kSecond) continue;
+    if (!IsUp(node) || IsPaused(node) || now_ < node.ready_at - 2 * kSecond) continue;
     const bool is_new = node.version == plan_.new_version;
-    double factor = 1, load = 1;
-    if (trouble && options_.environment == Environment::kTrafficSurge) factor = 4, load = 2;
+    double miss_factor = 1, rate_factor = 1;
+    if (disturbed && options_.environment == Environment::kTrafficSurge) miss_factor = 4, rate_factor = 2;
     // A third of the members have the backends that ail.
-    if (trouble && options_.environment == Environment::kFailingBackends &&
+    if (disturbed && options_.environment == Environment::kFailingBackends &&
         (i * 7 + static_cast<int>(t / 120)) % 3 == 0)
-      factor = 8;
-    if (trouble && options_.environment == Environment::kZoneLost && node.zone == "a") factor = 30;
-    const double young = Seconds(now_ - node.up_since);
+      miss_factor = 8;
+    if (disturbed && options_.environment == Environment::kZoneLost && node.zone == "a") miss_factor = 30;
+    const double uptime_s = Seconds(now_ - node.up_since);
     for (int c = 0; c < options_.classes; ++c) {
       const double share = c == 0 ? 0.6 : 0.4 / std::max(1, options_.classes - 1);
       for (int a = 0; a < options_.tenants; ++a) {
-        const double mean = node.rate * load * share / options_.tenants;
-        const int asked = boost::random::poisson_distribution<int>(std::max(1e-6, mean))(traffic_.engine());
-        if (asked == 0) continue;
-        double p = std::min(0.9, node.missed * factor * (c == 0 ? 1 : 1.5));
-        double more = 0;
+        const double mean = node.rate * rate_factor * share / options_.tenants;
+        const int requests =
+            boost::random::poisson_distribution<int>(std::max(1e-6, mean))(traffic_.engine());
+        if (requests == 0) continue;
+        double miss_probability = std::min(0.9, node.missed_share * miss_factor * (c == 0 ? 1 : 1.5));
+        double extra_miss_share = 0;
         if (is_new) {
-          const bool account = options_.regression == Regression::kFailsTenant && a == 1;
-          const bool cls = options_.regression == Regression::kFailsClass && c == 1;
+          const bool fails_tenant = options_.regression == Regression::kFailsTenant && a == 1;
+          const bool fails_class = options_.regression == Regression::kFailsClass && c == 1;
           const bool zone = options_.regression == Regression::kFailsZone && node.zone == "b";
-          if (options_.regression == Regression::kFails || account || cls || zone) more = options_.amount;
-          if (options_.regression == Regression::kFailsAtScale && crowd) more = options_.amount;
-          if (options_.regression == Regression::kFailsLater) more = young < 20 ? -p / 2 : options_.amount;
+          if (options_.regression == Regression::kFails || fails_tenant || fails_class || zone)
+            extra_miss_share = options_.amount;
+          if (options_.regression == Regression::kFailsAtScale && at_scale)
+            extra_miss_share = options_.amount;
+          if (options_.regression == Regression::kFailsLater)
+            extra_miss_share = uptime_s < 20 ? -miss_probability / 2 : options_.amount;
         }
-        p = std::clamp(p + more, 0.0, 1.0);
-        const int missed = boost::random::binomial_distribution<int>(asked, p)(traffic_.engine());
-        result_.harmed += std::max(0.0, more) * asked;
+        miss_probability = std::clamp(miss_probability + extra_miss_share, 0.0, 1.0);
+        const int missed =
+            boost::random::binomial_distribution<int>(requests, miss_probability)(traffic_.engine());
+        result_.harmed += std::max(0.0, extra_miss_share) * requests;
         auto& stratum = node.strata[static_cast<std::size_t>(c)];
-        auto& of_account = node.strata[static_cast<std::size_t>(options_.classes + c * options_.tenants + a)];
-        for (auto* one : {&stratum, &of_account}) {
-          one->set_requests(one->requests() + static_cast<std::uint64_t>(asked));
+        auto& tenant_stratum =
+            node.strata[static_cast<std::size_t>(options_.classes + c * options_.tenants + a)];
+        for (auto* one : {&stratum, &tenant_stratum}) {
+          one->set_requests(one->requests() + static_cast<std::uint64_t>(requests));
           one->set_missed(one->missed() + static_cast<std::uint64_t>(missed));
           one->set_failed(one->failed() + static_cast<std::uint64_t>(missed));
-          one->set_attempts(one->attempts() +
-                            static_cast<std::uint64_t>(asked + (traffic_.Chance(0.02 * asked) ? 1 : 0)));
+          one->set_attempts(one->attempts() + static_cast<std::uint64_t>(
+                                                  requests + (traffic_.Chance(0.02 * requests) ? 1 : 0)));
         }
         while (stratum.latency_buckets_size() < static_cast<int>(rollout::kLatencyBuckets))
           stratum.add_latency_buckets(0);
-        const double slow = is_new && options_.regression == Regression::kSlower ? 1 + options_.amount : 1;
-        for (int n = missed; n < asked; ++n) {
-          const double ms = 20 * (c + 1) * slow * traffic_.Lognormal(1, 0.7);
+        const double latency_factor =
+            is_new && options_.regression == Regression::kSlower ? 1 + options_.amount : 1;
+        for (int n = missed; n < requests; ++n) {
+          const double ms = 20 * (c + 1) * latency_factor * traffic_.Lognormal(1, 0.7);
           const int bucket = static_cast<int>(rollout::LatencyBucketOf(ms));
           stratum.set_latency_buckets(bucket, stratum.latency_buckets(bucket) + 1);
         }
-        node.cpu_us += asked * 300 *
+        node.cpu_us += requests * 300 *
                        (is_new && options_.regression == Regression::kUsesMoreCpu ? 1 + options_.amount : 1) *
                        traffic_.Lognormal(1, 0.2);
       }
@@ -348,7 +363,7 @@
   }
 }
 
-int Trial::LeaderNow() const {
+int Trial::CurrentLeader() const {
   for (int i = 0; i < options_.members; ++i)
     if (nodes_[static_cast<std::size_t>(i)].agent && nodes_[static_cast<std::size_t>(i)].agent->is_leader())
       return i;
@@ -358,36 +373,36 @@
 void Trial::DrawFaults() {
   const int count = 1 + static_cast<int>(random_.Below(5));
   for (int n = 0; n < count; ++n)
-    faults_.emplace_back(FromMs(random_.Between(500, 60000)),
-                         static_cast<int>(random_.Below(std::size(kFaultNames))));
-  std::sort(faults_.begin(), faults_.end());
+    pending_faults_.emplace_back(FromMs(random_.Between(500, 60000)),
+                                 static_cast<int>(random_.Below(std::size(kFaultNames))));
+  std::sort(pending_faults_.begin(), pending_faults_.end());
 }
 
-void Trial::Fault(int kind) {
+void Trial::InjectFault(int kind) {
   const int members = options_.members;
   const auto length = FromMs(random_.Between(1000, 20000));
   int victim = static_cast<int>(random_.Below(static_cast<std::uint64_t>(members)));
-  if (kind >= 7) victim = LeaderNow();
-  last_fault_over_ = std::max(last_fault_over_, now_ + length);
-  told_.push_back(fmt::format("{:.2f} s: {} {} for {:.1f} s", Seconds(now_), kFaultNames[kind],
-                              At(victim).name, Seconds(length)));
+  if (kind >= 7) victim = CurrentLeader();
+  last_fault_end_ = std::max(last_fault_end_, now_ + length);
+  event_log_.push_back(fmt::format("{:.2f} s: {} {} for {:.1f} s", Seconds(now_), kFaultNames[kind],
+                                   At(victim).name, Seconds(length)));
   switch (kind) {
     case 0:
     case 1:
     case 9: {
-      Cut cut{now_, now_ + length, std::vector<bool>(nodes_.size()), kind == 1};
+      Partition partition{now_, now_ + length, std::vector<bool>(nodes_.size()), kind == 1};
       for (std::size_t j = 0; j < nodes_.size(); ++j)
-        cut.side[j] = kind == 9 ? static_cast<int>(j) == victim : random_.Chance(0.5);
-      cuts_.push_back(std::move(cut));
+        partition.on_first_side[j] = kind == 9 ? static_cast<int>(j) == victim : random_.Chance(0.5);
+      partitions_.push_back(std::move(partition));
       break;
     }
     case 2:
     case 7: {
       Node& node = At(victim);
-      if (!Up(node)) break;
+      if (!IsUp(node)) break;
       node.agent.reset();
       ++node.crashes;
-      if (!node.target.empty()) node.version = std::exchange(node.target, "");
+      if (!node.target_version.empty()) node.version = std::exchange(node.target_version, "");
       node.down_since = now_;
       node.down_until = now_ + length;
       node.ready_at = now_ + length + kSecond;
@@ -395,41 +410,41 @@
     }
     case 3:
     case 8:
-      At(victim).stopped_until = std::max(At(victim).stopped_until, now_ + length);
+      At(victim).paused_until = std::max(At(victim).paused_until, now_ + length);
       break;
     case 4:
       lossy_until_ = now_ + length;
       break;
     case 5:
-      if (Up(At(victim)) && !Still(At(victim)) && !At(victim).agent->Abort(Time(now_))) {
-        aborted_.insert(At(victim).agent->progress().rollout_id);
-        Take(victim);
+      if (IsUp(At(victim)) && !IsPaused(At(victim)) && !At(victim).agent->Abort(Time(now_))) {
+        aborted_rollouts_.insert(At(victim).agent->progress().rollout_id);
+        ProcessOutput(victim);
       }
       break;
     default:
-      if (Up(At(victim)) && !Still(At(victim))) {
+      if (IsUp(At(victim)) && !IsPaused(At(victim))) {
         rollout::Plan second = plan_;
         second.name = "second";
         std::vector<rollout::MemberInfo> all;
         for (const Node& node : nodes_) all.push_back({node.name, node.zone});
         At(victim).agent->Start(Time(now_), second, all);
-        Take(victim);
+        ProcessOutput(victim);
       }
   }
 }
 
-void Trial::Break(const std::string& what) {
+void Trial::ReportViolation(const std::string& what) {
   result_.holds = false;
   if (result_.story.size() < 20) result_.story.push_back(fmt::format("{:.2f} s: {}", Seconds(now_), what));
 }
 
 // All that live hold the same mark, an end, and run what follows from it.
-bool Trial::Settled() const {
+bool Trial::IsSettled() const {
   std::set<std::string> versions;
   for (const Node& node : nodes_) {
-    if (now_ < node.down_until || now_ < node.stopped_until || !node.agent || !node.target.empty())
+    if (now_ < node.down_until || now_ < node.paused_until || !node.agent || !node.target_version.empty())
       return false;
-    if (node.deaf && node.version == plan_.new_version) return false;
+    if (node.isolated && node.version == plan_.new_version) return false;
     const rollout::Progress& held = node.agent->progress();
     if (held.rollout_id == 0) continue;  // it holds none, as where the only one that knew of it ended
     if (node.agent->busy()) return false;
@@ -447,7 +462,7 @@
     node.name = fmt::format("p{}", i + 1);
     node.zone = std::string(1, static_cast<char>('a' + i % options_.zones));
     node.rate = options_.rate * traffic_.Lognormal(1, options_.rate_cv);
-    node.missed = options_.missed_share * traffic_.Lognormal(1, options_.missed_cv);
+    node.missed_share = options_.missed_share * traffic_.Lognormal(1, options_.missed_cv);
     for (int c = 0; c < options_.classes; ++c) {
       rollout::wire::Stratum stratum;
       stratum.set_request_class(static_cast<std::uint32_t>(c));
@@ -464,42 +479,43 @@
     all.push_back({node.name, node.zone});
     nodes_.push_back(std::move(node));
   }
-  for (int i = 0; i < options_.members; ++i) Begin(i, plan_.old_version);
+  for (int i = 0; i < options_.members; ++i) StartProcess(i, plan_.old_version);
   if (options_.member_faults) DrawFaults();
   const int first = static_cast<int>(random_.Below(nodes_.size()));
-  if (const auto failure = At(first).agent->Start(Time(0), plan_, all)) Break(failure->text);
-  Take(first);
+  if (const auto failure = At(first).agent->Start(Time(0), plan_, all)) ReportViolation(failure->text);
+  ProcessOutput(first);
 
   constexpr Micros kStep = 50'000;
   Micros settled_at = 0, next_serve = kSecond;
   const Micros end = FromMs(options_.length_s * 1000);
   for (now_ = kStep; now_ <= end; now_ += kStep) {
-    while (!faults_.empty() && faults_.front().first <= now_) {
-      const int kind = faults_.front().second;
-      faults_.erase(faults_.begin());
-      Fault(kind);
+    while (!pending_faults_.empty() && pending_faults_.front().first <= now_) {
+      const int kind = pending_faults_.front().second;
+      pending_faults_.erase(pending_faults_.begin());
+      InjectFault(kind);
     }
-    while (!letters_.empty() && letters_.front().at <= now_) {
-      std::pop_heap(letters_.begin(), letters_.end());
-      Letter letter = std::move(letters_.back());
-      letters_.pop_back();
-      Node& to = At(letter.to);
-      if (!Up(to) || !Reaches(letter.from, letter.to)) continue;
-      if (Still(to)) {
-        if (to.letters.size() < 200) to.letters.emplace_back(letter.from, std::move(letter.body));
+    while (!messages_.empty() && messages_.front().at <= now_) {
+      std::pop_heap(messages_.begin(), messages_.end());
+      Message message = std::move(messages_.back());
+      messages_.pop_back();
+      Node& to = At(message.to);
+      if (!IsUp(to) || !CanReach(message.from, message.to)) continue;
+      if (IsPaused(to)) {
+        if (to.queued_messages.size() < 200)
+          to.queued_messages.emplace_back(message.from, std::move(message.body));
         continue;
       }
-      to.agent->OnMessage(Time(now_), At(letter.from).name, letter.body);
-      Take(letter.to);
+      to.agent->OnMessage(Time(now_), At(message.from).name, message.body);
+      ProcessOutput(message.to);
     }
     for (int i = 0; i < options_.members; ++i) {
       Tick(i);
-      if ((now_ / kStep + i) % (kPull / kStep) == 0) Pull(i);
+      if ((now_ / kStep + i) % (kPullInterval / kStep) == 0) PullDocuments(i);
     }
     if (now_ >= next_serve) {
       next_serve += kSecond;
-      Serve();
-      if (faults_.empty() && now_ >= last_fault_over_ && Settled()) {
+      SimulateTraffic();
+      if (pending_faults_.empty() && now_ >= last_fault_end_ && IsSettled()) {
         if (settled_at == 0) settled_at = now_;
         if (now_ - settled_at > 3 * kSecond) break;
       } else {
@@ -508,25 +524,25 @@
     }
   }
   for (const Node& node : nodes_) {
-    result_.ever += node.ever_new;
-    result_.last_back_s = std::max(result_.last_back_s, Seconds(node.back));
+    result_.ever += node.ran_new_version;
+    result_.last_back_s = std::max(result_.last_back_s, Seconds(node.rolled_back_at));
   }
   std::set<std::string> versions;
-  bool back = false;
+  bool any_rolled_back = false;
   for (const Node& node : nodes_) {
     if (!node.agent) continue;
     versions.insert(node.version);
     result_.done |= node.agent->progress().status == rollout::RolloutStatus::kCompleted;
     if (node.agent->progress().status == rollout::RolloutStatus::kCompleted &&
-        aborted_.contains(node.agent->progress().rollout_id))
-      Break(node.name + " holds it for done after an abort");
-    back |=
+        aborted_rollouts_.contains(node.agent->progress().rollout_id))
+      ReportViolation(node.name + " holds it for done after an abort");
+    any_rolled_back |=
         node.agent->progress().ended() && node.agent->progress().status != rollout::RolloutStatus::kCompleted;
   }
-  result_.stopped = back;
-  if (result_.done && back) Break("some hold the change for done, others for stopped");
-  if (options_.regression != Regression::kIsolated && !Settled()) {
-    Break("it has not ended, or not everywhere alike");
+  result_.stopped = any_rolled_back;
+  if (result_.done && any_rolled_back) ReportViolation("some hold the change for done, others for stopped");
+  if (options_.regression != Regression::kIsolated && !IsSettled()) {
+    ReportViolation("it has not ended, or not everywhere alike");
     for (const Node& node : nodes_)
       if (node.agent && result_.story.size() < 30)
         result_.story.push_back(
@@ -535,7 +551,7 @@
                         node.agent->progress().admitted_members, node.agent->is_leader() ? ", leads" : ""));
   }
   if (!result_.holds)
-    for (const std::string& line : told_) result_.story.push_back(line);
+    for (const std::string& line : event_log_) result_.story.push_back(line);
   return result_;
 }
 
