--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -24,10 +24,10 @@
 using simulation::Micros;
 
 constexpr char kCluster[] = "rig", kKey[] = "a key that only the rig has";
-constexpr double kExchangeRtts = 1.5;      // before the first frame is there
-constexpr Micros kReplaceTakes = 300'000;  // from one process's end to the next one's start
-constexpr std::size_t kSocketHolds = 200;  // datagrams that wait for a process that stands still
-constexpr int kSubset = 8;                 // backends that a proxy keeps to, as the module's least
+constexpr double kExchangeRtts = 1.5;            // before the first frame is there
+constexpr Micros kReplacementDelay = 300'000;    // from one process's end to the next one's start
+constexpr std::size_t kSocketQueueLength = 200;  // datagrams that wait for a process that stands still
+constexpr int kSubsetSize = 8;                   // backends that a proxy keeps to, as the module's least
 
 double Seconds(Micros at) { return static_cast<double>(at) / 1e6; }
 
@@ -39,68 +39,68 @@
         random_(options.seed, "network"),
         links_(plan, options.seed),
         conditions_(plan),
-        judge_(plan, options.seed,
-               static_cast<double>(options.membership_options.contact_timeout.count()) / 1e6),
+        evaluator_(plan, options.seed,
+                   static_cast<double>(options.membership_options.contact_timeout.count()) / 1e6),
         nodes_(static_cast<std::size_t>(plan.members)) {}
 
   Outcome Play();
 
  private:
   enum Kind : std::uint32_t {
-    kWake,
+    kWakeup,
     kDatagram,
-    kAsked,
-    kAnswered,
-    kBegin,
-    kEnd,
-    kStop,
-    kContinue,
-    kStart,
+    kExchangeRequest,
+    kExchangeReply,
+    kFaultStart,
+    kFaultEnd,
+    kPauseMember,
+    kResumeMember,
+    kStartMember,
     kSnapshot
   };
   struct Message {
     int from = 0, to = 0;
-    std::uint64_t life = 0;  // of the process that it is for, where it is an answer
+    std::uint64_t incarnation = 0;  // of the process that it is for, where it is an answer
     std::string bytes;
   };
   struct Node {
     std::unique_ptr<membership::Membership> view;
-    std::uint64_t life = 0;  // counts processes
-    bool stopped = false;
-    std::deque<std::pair<Kind, std::uint64_t>> waiting;  // what came while it stood still
-    Micros wake = simulation::kNeverMicros;
-    Micros ahead = 0;  // its clock, of virtual time
-    subsetting::RingPosition positions;
-    int first = -1;  // backend of its subset; below 0: not known yet
+    std::uint64_t incarnation = 0;  // counts processes
+    bool paused = false;
+    std::deque<std::pair<Kind, std::uint64_t>> queued;  // what came while it stood still
+    Micros wakeup_at = simulation::kNeverMicros;
+    Micros clock_offset = 0;  // its clock, of virtual time
+    subsetting::RingPosition ring_position;
+    int first_backend = -1;  // backend of its subset; below 0: not known yet
     std::uint64_t hash = 0;
     bool counted = false;  // in `hashes_`
-    std::uint64_t out_before = 0, in_before = 0;
+    std::uint64_t bytes_out_before = 0, bytes_in_before = 0;
     std::uint64_t sent = 0, received = 0, sent_bytes = 0, received_bytes = 0;  // of lives that are over
   };
 
   Node& At(int member) { return nodes_[static_cast<std::size_t>(member)]; }
-  Time Clock(const Node& node) const { return Time(queue_.now() + node.ahead); }
-  void Start(int member, bool at_once = false);
-  void End(int member, bool with_a_word);
+  Time Clock(const Node& node) const { return Time(queue_.now() + node.clock_offset); }
+  void Start(int member, bool skip_slow_start = false);
+  void End(int member, bool graceful);
   void Settle();
   void Replace(int member);
-  void Run(const simulation::ScheduledEvent& due);
+  void HandleEvent(const simulation::ScheduledEvent& due);
   void Deliver(Kind kind, std::uint64_t message);
-  void After(int member);
-  void Datagram(int from, const std::string& to, std::string bytes);
-  void Exchange(int from, const std::string& to, std::string bytes);
+  void ProcessOutput(int member);
+  void SendDatagram(int from, const std::string& to, std::string bytes);
+  void StartExchange(int from, const std::string& to, std::string bytes);
   Micros Delay() { return FromMs(plan_.network.delay_ms * random_.Lognormal(1, plan_.network.jitter)); }
-  std::uint64_t Keep(Message message);
+  std::uint64_t StoreMessage(Message message);
   int MemberAt(const std::string& address) const {
     const auto found = addresses_.find(address);
     return found == addresses_.end() ? -1 : found->second;
   }
-  void Recount(int member);
-  void Place(Node& node);
-  std::vector<int> Holders() const;  // by backend, how many keep to it
-  void BeginFault(std::size_t index);
+  void UpdateAgreement(int member);
+  void UpdateSubset(Node& node);
+  std::vector<int> ProxiesByBackend() const;  // by backend, how many keep to it
+  void StartFault(std::size_t index);
   void EndFault(std::size_t index);
-  void Meet(std::string_view event, std::string_view member = {});
+  void TriggerFaults(std::string_view event, std::string_view member = {});
   void Snapshot(bool close);
   std::vector<std::string> Differences() const;  // of views from the truth, a line each
 
@@ -111,64 +111,65 @@
   Conditions conditions_;
   std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // in force
   simulation::EventQueue queue_;
-  Judge judge_;
+  RunEvaluator evaluator_;
   membership::RecordPool records_;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, int> addresses_;
   std::vector<std::string> seeds_;
   std::vector<Message> messages_;
-  std::vector<std::uint64_t> free_;
-  std::vector<std::vector<int>> befalls_;  // by fault
-  std::unordered_map<std::uint64_t, int> hashes_;
-  int up_ = 0;
+  std::vector<std::uint64_t> free_messages_;
+  std::vector<std::vector<int>> fault_members_;  // by fault
+  std::unordered_map<std::uint64_t, int> members_by_hash_;
+  int running_ = 0;
   bool settling_ = false;
-  bool divides_ = false;            // the backends, by the view
-  std::uint64_t changed_over_ = 0;  // connections that members changed to other backends
-  double rest_from_ = 0;
+  bool uses_subsets_ = false;                 // the backends, by the view
+  std::uint64_t reassigned_connections_ = 0;  // connections that members changed to other backends
+  double measure_from_s_ = 0;
   std::uint64_t events_ = 0, suspicions_ = 0, refutations_ = 0, healed_ = 0;
   nlohmann::ordered_json timeline_ = nlohmann::ordered_json::array();
-  std::size_t last_views_ = 0;
+  std::size_t last_view_count_ = 0;
 };
 
-std::uint64_t VirtualFleet::Keep(Message message) {
-  if (free_.empty()) {
+std::uint64_t VirtualFleet::StoreMessage(Message message) {
+  if (free_messages_.empty()) {
     messages_.push_back(std::move(message));
     return messages_.size() - 1;
   }
-  const std::uint64_t at = free_.back();
-  free_.pop_back();
+  const std::uint64_t at = free_messages_.back();
+  free_messages_.pop_back();
   messages_[at] = std::move(message);
   return at;
 }
 
-void VirtualFleet::Start(int member, bool at_once) {
+void VirtualFleet::Start(int member, bool skip_slow_start) {
   Node& node = At(member);
   if (node.view) return;
-  for (const auto& [fault, whom] : slow_starts_) {
-    if (at_once || !whom[static_cast<std::size_t>(member)]) continue;
-    return queue_.Push(queue_.now() + FromMs(fault->amount * 1000), EventPriority::kControl, kStart,
+  for (const auto& [fault, members] : slow_starts_) {
+    if (skip_slow_start || !members[static_cast<std::size_t>(member)]) continue;
+    return queue_.Push(queue_.now() + FromMs(fault->amount * 1000), EventPriority::kControl, kStartMember,
                        static_cast<std::uint32_t>(member), 1);
   }
-  ++node.life;
+  ++node.incarnation;
   membership::Record self;
   self.set_name(MemberName(member));
   self.set_address(MemberName(member) + ":1");
   self.set_zone(ZoneName(plan_, member));
   self.set_program("0.1.0");
   self.set_state(static_cast<std::uint32_t>(membership::MemberState::kServing));
-  simulation::Random draw(options_.seed, "member", static_cast<std::uint64_t>(member) << 20 | node.life);
+  simulation::Random draw(options_.seed, "member",
+                          static_cast<std::uint64_t>(member) << 20 | node.incarnation);
   node.view =
       std::make_unique<membership::Membership>(options_.membership_options, peers::FrameCodec(kCluster, kKey),
                                                std::move(self), draw.Bits(), Clock(node), &records_);
-  node.stopped = false;
-  node.wake = simulation::kNeverMicros;
-  node.positions = subsetting::RingPosition();
-  node.first = -1;
-  ++up_;
-  judge_.Started(Seconds(queue_.now()), member);
+  node.paused = false;
+  node.wakeup_at = simulation::kNeverMicros;
+  node.ring_position = subsetting::RingPosition();
+  node.first_backend = -1;
+  ++running_;
+  evaluator_.OnStarted(Seconds(queue_.now()), member);
   if (settling_) return;
   node.view->Join(Clock(node), seeds_);
-  After(member);
+  ProcessOutput(member);
 }
 
 void VirtualFleet::Settle() {
@@ -181,166 +182,171 @@
     nodes_[i].view->Join(Time(0), seeds_);
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i].view) After(static_cast<int>(i));
+    if (nodes_[i].view) ProcessOutput(static_cast<int>(i));
 }
 
-void VirtualFleet::End(int member, bool with_a_word) {
+void VirtualFleet::End(int member, bool graceful) {
   Node& node = At(member);
   if (!node.view) return;
-  if (with_a_word) {
+  if (graceful) {
     node.view->Leave(Clock(node));
     for (auto& datagram : node.view->Take().datagrams)
-      Datagram(member, datagram.to, std::move(datagram.bytes));
+      SendDatagram(member, datagram.to, std::move(datagram.bytes));
   }
   const membership::Counters& counters = node.view->counters();
   node.sent += counters.sent;
   node.received += counters.received;
   node.sent_bytes += counters.sent_bytes;
   node.received_bytes += counters.received_bytes;
-  for (std::size_t i = 1; i < counters.rejected.size(); ++i) judge_.Refusals(counters.rejected[i]);
+  for (std::size_t i = 1; i < counters.rejected.size(); ++i)
+    evaluator_.AddRejectedDatagrams(counters.rejected[i]);
   node.view.reset();
-  for (const auto& [kind, message] : node.waiting) free_.push_back(message);
-  node.waiting.clear();
-  --up_;
-  Recount(member);
-  judge_.Ended(Seconds(queue_.now()), member, with_a_word);
+  for (const auto& [kind, message] : node.queued) free_messages_.push_back(message);
+  node.queued.clear();
+  --running_;
+  UpdateAgreement(member);
+  evaluator_.OnEnded(Seconds(queue_.now()), member, graceful);
 }
 
 // How many views there are among the living, and whether the one is true.
-void VirtualFleet::Recount(int member) {
+void VirtualFleet::UpdateAgreement(int member) {
   Node& node = At(member);
   const bool counts = node.view != nullptr;
   const std::uint64_t hash = counts ? node.view->members().hash() : 0;
   if (node.counted == counts && node.hash == hash) return;
-  if (node.counted && --hashes_[node.hash] == 0) hashes_.erase(node.hash);
-  if (counts) ++hashes_[hash];
+  if (node.counted && --members_by_hash_[node.hash] == 0) members_by_hash_.erase(node.hash);
+  if (counts) ++members_by_hash_[hash];
   node.counted = counts;
   node.hash = hash;
-  const bool one =
-      hashes_.size() == 1 && counts && node.view->members().living().size() == static_cast<std::size_t>(up_);
-  judge_.Agreed(Seconds(queue_.now()), one);
-  if (one && up_ == plan_.members) Meet("settled");
-  if (options_.record_timeline && hashes_.size() != last_views_) {
-    last_views_ = hashes_.size();
-    timeline_.push_back({Seconds(queue_.now()), last_views_});
+  const bool agreed = members_by_hash_.size() == 1 && counts &&
+                      node.view->members().living().size() == static_cast<std::size_t>(running_);
+  evaluator_.OnAgreement(Seconds(queue_.now()), agreed);
+  if (agreed && running_ == plan_.members) TriggerFaults("settled");
+  if (options_.record_timeline && members_by_hash_.size() != last_view_count_) {
+    last_view_count_ = members_by_hash_.size();
+    timeline_.push_back({Seconds(queue_.now()), last_view_count_});
   }
 }
 
-void VirtualFleet::After(int member) {
+void VirtualFleet::ProcessOutput(int member) {
   Node& node = At(member);
   membership::Output output = node.view->Take();
-  for (auto& datagram : output.datagrams) Datagram(member, datagram.to, std::move(datagram.bytes));
-  for (auto& exchange : output.exchanges) Exchange(member, exchange.to, std::move(exchange.bytes));
+  for (auto& datagram : output.datagrams) SendDatagram(member, datagram.to, std::move(datagram.bytes));
+  for (auto& exchange : output.exchanges) StartExchange(member, exchange.to, std::move(exchange.bytes));
   for (const membership::Event& event : output.events) {
     ++events_;
     suspicions_ += event.kind == membership::Event::Kind::kSuspected;
     refutations_ += event.kind == membership::Event::Kind::kRefuted;
     healed_ += event.kind == membership::Event::Kind::kHealed;
-    Meet(std::string("fleet_") + membership::NameOf(event.kind), event.name);
+    TriggerFaults(std::string("fleet_") + membership::NameOf(event.kind), event.name);
     if (event.kind == membership::Event::Kind::kDead)
-      judge_.SaidDead(Seconds(queue_.now()), member, MemberAt(event.name + ":1"));
+      evaluator_.OnDeclaredDead(Seconds(queue_.now()), member, MemberAt(event.name + ":1"));
   }
-  Recount(member);
-  if (divides_) Place(node);
-  const Time next = std::min(node.view->next(), node.positions.next());
-  if (next < Time(simulation::kNeverMicros / 4) && next.count() - node.ahead < node.wake) {
-    node.wake = std::max<Micros>(next.count() - node.ahead, queue_.now() + 1);
-    queue_.Push(node.wake, EventPriority::kTimeout, kWake, static_cast<std::uint32_t>(member), node.life);
+  UpdateAgreement(member);
+  if (uses_subsets_) UpdateSubset(node);
+  const Time next = std::min(node.view->next(), node.ring_position.next());
+  if (next < Time(simulation::kNeverMicros / 4) && next.count() - node.clock_offset < node.wakeup_at) {
+    node.wakeup_at = std::max<Micros>(next.count() - node.clock_offset, queue_.now() + 1);
+    queue_.Push(node.wakeup_at, EventPriority::kTimeout, kWakeup, static_cast<std::uint32_t>(member),
+                node.incarnation);
   }
 }
 
-void VirtualFleet::Place(Node& node) {
-  const std::optional<double> turn = node.positions.Update(*node.view, Clock(node));
-  if (!turn) return;
+void VirtualFleet::UpdateSubset(Node& node) {
+  const std::optional<double> position = node.ring_position.Update(*node.view, Clock(node));
+  if (!position) return;
   const int backends = plan_.service.backends;
-  const int before = std::exchange(node.first, static_cast<int>(*turn * backends));
+  const int before = std::exchange(node.first_backend, static_cast<int>(*position * backends));
   if (before < 0) return;
-  const int apart = std::abs(node.first - before);
-  changed_over_ += static_cast<std::uint64_t>(
-      std::min({kSubset, apart, backends - apart, std::max(0, backends - kSubset)}));
+  const int distance = std::abs(node.first_backend - before);
+  reassigned_connections_ += static_cast<std::uint64_t>(
+      std::min({kSubsetSize, distance, backends - distance, std::max(0, backends - kSubsetSize)}));
 }
 
-std::vector<int> VirtualFleet::Holders() const {
-  std::vector<int> holders(static_cast<std::size_t>(plan_.service.backends));
+std::vector<int> VirtualFleet::ProxiesByBackend() const {
+  std::vector<int> proxies(static_cast<std::size_t>(plan_.service.backends));
   for (const Node& node : nodes_) {
-    if (!node.view || node.first < 0) continue;
-    for (int k = 0; k < std::min(kSubset, plan_.service.backends); ++k)
-      ++holders[static_cast<std::size_t>(node.first + k) % holders.size()];
+    if (!node.view || node.first_backend < 0) continue;
+    for (int k = 0; k < std::min(kSubsetSize, plan_.service.backends); ++k)
+      ++proxies[static_cast<std::size_t>(node.first_backend + k) % proxies.size()];
   }
-  return holders;
+  return proxies;
 }
 
-void VirtualFleet::Datagram(int from, const std::string& to, std::string bytes) {
+void VirtualFleet::SendDatagram(int from, const std::string& to, std::string bytes) {
   const int target = MemberAt(to);
   if (target < 0 || random_.Chance(plan_.network.loss)) return;
-  const Links::Passage passage = links_.Pass(Seconds(queue_.now()), from, target, /*stream=*/false, &bytes);
-  if (!passage.passes) return;
-  for (int i = 0; i < passage.copies; ++i)
-    queue_.Push(queue_.now() + Delay() + FromMs(passage.more_ms), EventPriority::kClient, kDatagram, 0,
-                Keep({from, target, 0, bytes}));
+  const Links::Delivery delivery =
+      links_.Transmit(Seconds(queue_.now()), from, target, /*stream=*/false, &bytes);
+  if (!delivery.delivered) return;
+  for (int i = 0; i < delivery.copies; ++i)
+    queue_.Push(queue_.now() + Delay() + FromMs(delivery.extra_delay_ms), EventPriority::kClient, kDatagram,
+                0, StoreMessage({from, target, 0, bytes}));
 }
 
-void VirtualFleet::Exchange(int from, const std::string& to, std::string bytes) {
+void VirtualFleet::StartExchange(int from, const std::string& to, std::string bytes) {
   const int target = MemberAt(to);
   if (target < 0) return;
-  const Links::Passage there = links_.Pass(Seconds(queue_.now()), from, target, /*stream=*/true, &bytes);
-  const Links::Passage back = links_.Pass(Seconds(queue_.now()), target, from, /*stream=*/true, &bytes);
-  if (!there.passes || !back.passes) return;
+  const Links::Delivery request =
+      links_.Transmit(Seconds(queue_.now()), from, target, /*stream=*/true, &bytes);
+  const Links::Delivery reply = links_.Transmit(Seconds(queue_.now()), target, from, /*stream=*/true, &bytes);
+  if (!request.delivered || !reply.delivered) return;
   const auto delay = static_cast<Micros>(2 * kExchangeRtts * static_cast<double>(Delay()));
-  queue_.Push(queue_.now() + delay + FromMs(there.more_ms + back.more_ms), EventPriority::kClient, kAsked, 0,
-              Keep({from, target, At(from).life, std::move(bytes)}));
+  queue_.Push(queue_.now() + delay + FromMs(request.extra_delay_ms + reply.extra_delay_ms),
+              EventPriority::kClient, kExchangeRequest, 0,
+              StoreMessage({from, target, At(from).incarnation, std::move(bytes)}));
 }
 
 void VirtualFleet::Deliver(Kind kind, std::uint64_t at) {
   Message& message = messages_[at];
   const int member = message.to;
   Node& node = At(member);
-  if (!node.view) return free_.push_back(at);
-  if (node.stopped) {
-    if (kind == kDatagram && node.waiting.size() >= kSocketHolds) return free_.push_back(at);
-    node.waiting.emplace_back(kind, at);
+  if (!node.view) return free_messages_.push_back(at);
+  if (node.paused) {
+    if (kind == kDatagram && node.queued.size() >= kSocketQueueLength) return free_messages_.push_back(at);
+    node.queued.emplace_back(kind, at);
     return;
   }
   const Time now = Clock(node);
   if (kind == kDatagram) {
     node.view->OnDatagram(now, MemberName(message.from) + ":1", message.bytes);
-  } else if (kind == kAsked) {
+  } else if (kind == kExchangeRequest) {
     std::string answer = node.view->OnExchange(now, message.bytes);
-    const int asker = message.from;
-    const std::uint64_t life = message.life;
+    const int requester = message.from;
+    const std::uint64_t incarnation = message.incarnation;
     if (!answer.empty())
-      queue_.Push(queue_.now() + Delay(), EventPriority::kClient, kAnswered, 0,
-                  Keep({member, asker, life, std::move(answer)}));
-  } else if (message.life == node.life) {
+      queue_.Push(queue_.now() + Delay(), EventPriority::kClient, kExchangeReply, 0,
+                  StoreMessage({member, requester, incarnation, std::move(answer)}));
+  } else if (message.incarnation == node.incarnation) {
     node.view->OnReply(now, message.bytes);
   }
   messages_[at].bytes.clear();
-  free_.push_back(at);
-  After(member);
+  free_messages_.push_back(at);
+  ProcessOutput(member);
 }
 
 void VirtualFleet::Replace(int member) {
-  End(member, /*with_a_word=*/true);
-  queue_.Push(queue_.now() + kReplaceTakes, EventPriority::kControl, kStart,
+  End(member, /*graceful=*/true);
+  queue_.Push(queue_.now() + kReplacementDelay, EventPriority::kControl, kStartMember,
               static_cast<std::uint32_t>(member), 0);
 }
 
-void VirtualFleet::BeginFault(std::size_t index) {
+void VirtualFleet::StartFault(std::size_t index) {
   const Fault& fault = plan_.faults[index];
-  const std::vector<int>& members = befalls_[index];
+  const std::vector<int>& members = fault_members_[index];
   if (!fault.when.empty()) {
-    judge_.Begun(Seconds(queue_.now()), fault);
+    evaluator_.OnFaultTriggered(Seconds(queue_.now()), fault);
     if (fault.for_s > 0 && fault.kind != FaultKind::kStop && fault.kind != FaultKind::kStarve)
-      queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), EventPriority::kControl, kEnd, 0, index);
+      queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), EventPriority::kControl, kFaultEnd, 0, index);
   }
   if (fault.kind == FaultKind::kSlowStart) {
-    std::vector<bool> whom(nodes_.size());
-    for (const int member : members) whom[static_cast<std::size_t>(member)] = true;
-    slow_starts_.emplace_back(&fault, std::move(whom));
+    std::vector<bool> selected(nodes_.size());
+    for (const int member : members) selected[static_cast<std::size_t>(member)] = true;
+    slow_starts_.emplace_back(&fault, std::move(selected));
     return;
   }
-  if (fault.OnLinks()) return links_.Begin(fault);
-  if (fault.OnService()) return;  // there are no backends in virtual time
+  if (fault.AffectsLinks()) return links_.AddFault(fault);
+  if (fault.AffectsService()) return;  // there are no backends in virtual time
   for (const int member : members) {
     switch (fault.kind) {
       case FaultKind::kKill:
@@ -357,15 +363,16 @@
         Start(member);
         break;
       case FaultKind::kStop:
-        queue_.Push(queue_.now(), EventPriority::kControl, kStop, static_cast<std::uint32_t>(member), 0);
+        queue_.Push(queue_.now(), EventPriority::kControl, kPauseMember, static_cast<std::uint32_t>(member),
+                    0);
         if (fault.for_s > 0)
-          queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), EventPriority::kControl, kContinue,
+          queue_.Push(queue_.now() + FromMs(fault.for_s * 1000), EventPriority::kControl, kResumeMember,
                       static_cast<std::uint32_t>(member), 0);
         break;
       case FaultKind::kJump:
-        At(member).ahead += FromMs(fault.amount * 1000);
-        At(member).wake = simulation::kNeverMicros;
-        if (At(member).view && !At(member).stopped) After(member);
+        At(member).clock_offset += FromMs(fault.amount * 1000);
+        At(member).wakeup_at = simulation::kNeverMicros;
+        if (At(member).view && !At(member).paused) ProcessOutput(member);
         break;
       case FaultKind::kChange:
       case FaultKind::kAbort:
@@ -373,10 +380,10 @@
       default:  // starve
         Fault from_now = fault;
         from_now.at_s = Seconds(queue_.now());
-        for (const auto& [from, to] : StopsOf(plan_, from_now, random_)) {
-          queue_.Push(FromMs(from * 1000), EventPriority::kControl, kStop, static_cast<std::uint32_t>(member),
-                      0);
-          queue_.Push(FromMs(to * 1000), EventPriority::kControl, kContinue,
+        for (const auto& [from, to] : PauseIntervals(plan_, from_now, random_)) {
+          queue_.Push(FromMs(from * 1000), EventPriority::kControl, kPauseMember,
+                      static_cast<std::uint32_t>(member), 0);
+          queue_.Push(FromMs(to * 1000), EventPriority::kControl, kResumeMember,
                       static_cast<std::uint32_t>(member), 0);
         }
     }
@@ -385,20 +392,20 @@
 
 void VirtualFleet::EndFault(std::size_t index) {
   const Fault& fault = plan_.faults[index];
-  if (fault.OnLinks()) return links_.End(fault);
+  if (fault.AffectsLinks()) return links_.RemoveFault(fault);
   if (fault.kind == FaultKind::kSlowStart)
     std::erase_if(slow_starts_, [&](const auto& one) { return one.first == &fault; });
   if (fault.kind == FaultKind::kReplace) {
-    for (const int member : befalls_[index]) Replace(member);
+    for (const int member : fault_members_[index]) Replace(member);
   }
   if (fault.kind == FaultKind::kKill || fault.kind == FaultKind::kLeave)
-    for (const int member : befalls_[index]) Start(member);
+    for (const int member : fault_members_[index]) Start(member);
 }
 
-void VirtualFleet::Meet(std::string_view event, std::string_view member) {
-  for (const std::size_t index : conditions_.Met(event, member))
-    queue_.Push(queue_.now() + FromMs(plan_.faults[index].at_s * 1000), EventPriority::kControl, kBegin, 0,
-                index);
+void VirtualFleet::TriggerFaults(std::string_view event, std::string_view member) {
+  for (const std::size_t index : conditions_.TakeTriggered(event, member))
+    queue_.Push(queue_.now() + FromMs(plan_.faults[index].at_s * 1000), EventPriority::kControl, kFaultStart,
+                0, index);
 }
 
 void VirtualFleet::Snapshot(bool close) {
@@ -407,57 +414,57 @@
     const std::uint64_t out = node.sent_bytes + now.sent_bytes + 28 * (node.sent + now.sent);
     const std::uint64_t in = node.received_bytes + now.received_bytes + 28 * (node.received + now.received);
     if (!close) {
-      node.out_before = out;
-      node.in_before = in;
-    } else if (const double span = plan_.length_s - rest_from_; span > 0) {
-      judge_.Bytes(static_cast<double>(out - node.out_before) / span,
-                   static_cast<double>(in - node.in_before) / span);
+      node.bytes_out_before = out;
+      node.bytes_in_before = in;
+    } else if (const double span = plan_.length_s - measure_from_s_; span > 0) {
+      evaluator_.AddByteRates(static_cast<double>(out - node.bytes_out_before) / span,
+                              static_cast<double>(in - node.bytes_in_before) / span);
     }
   }
 }
 
-void VirtualFleet::Run(const simulation::ScheduledEvent& due) {
+void VirtualFleet::HandleEvent(const simulation::ScheduledEvent& due) {
   const auto member = static_cast<int>(due.target);
   switch (due.kind) {
-    case kWake: {
+    case kWakeup: {
       Node& node = At(member);
-      if (!node.view || node.life != due.argument || node.wake != due.at) return;
-      if (node.stopped) return;  // it looks at its timers when it goes on
-      node.wake = simulation::kNeverMicros;
+      if (!node.view || node.incarnation != due.argument || node.wakeup_at != due.at) return;
+      if (node.paused) return;  // it looks at its timers when it goes on
+      node.wakeup_at = simulation::kNeverMicros;
       if (node.view->next() <= Clock(node)) node.view->OnTick(Clock(node));
-      return After(member);
+      return ProcessOutput(member);
     }
     case kDatagram:
-    case kAsked:
-    case kAnswered:
+    case kExchangeRequest:
+    case kExchangeReply:
       return Deliver(static_cast<Kind>(due.kind), due.argument);
-    case kBegin:
-      return BeginFault(due.argument);
-    case kEnd:
+    case kFaultStart:
+      return StartFault(due.argument);
+    case kFaultEnd:
       return EndFault(due.argument);
-    case kStart:
-      return Start(member, /*at_once=*/due.argument != 0);
-    case kStop:
-      if (At(member).view && !std::exchange(At(member).stopped, true))
-        judge_.Stopped(Seconds(due.at), member);
+    case kStartMember:
+      return Start(member, /*skip_slow_start=*/due.argument != 0);
+    case kPauseMember:
+      if (At(member).view && !std::exchange(At(member).paused, true))
+        evaluator_.OnPaused(Seconds(due.at), member);
       return;
-    case kContinue: {
+    case kResumeMember: {
       Node& node = At(member);
-      if (!node.view || !std::exchange(node.stopped, false)) return;
-      judge_.Continued(Seconds(due.at), member);
+      if (!node.view || !std::exchange(node.paused, false)) return;
+      evaluator_.OnResumed(Seconds(due.at), member);
       // Timers and sockets are due at once, and a loop may look at either first. What waits comes oldest
       // first.
       if (random_.Chance(0.5)) {
         node.view->OnTick(Clock(node));
-        After(member);
+        ProcessOutput(member);
       }
-      auto waiting = std::exchange(node.waiting, {});
-      for (const auto& [kind, message] : waiting) {
+      auto queued = std::exchange(node.queued, {});
+      for (const auto& [kind, message] : queued) {
         if (node.view) Deliver(kind, message);
       }
-      node.wake = simulation::kNeverMicros;
+      node.wakeup_at = simulation::kNeverMicros;
       node.view->OnTick(Clock(node));
-      return After(member);
+      return ProcessOutput(member);
     }
     default:
       return Snapshot(/*close=*/false);
@@ -466,29 +473,30 @@
 
 // What views differ in from the truth, for the story of a run that did not settle.
 std::vector<std::string> VirtualFleet::Differences() const {
-  constexpr std::size_t kMostLines = 12;
+  constexpr std::size_t kMaxLines = 12;
   std::vector<std::string> lines;
   for (const Node& node : nodes_) {
     if (!node.view) continue;
-    std::string wrong;
+    std::string differences;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       const membership::MemberTable& members = node.view->members();
       const std::string name = MemberName(static_cast<int>(i));
       const int at = members.Find(name);
-      const bool thinks = at >= 0 && members[at].living(), lives = nodes_[i].view != nullptr;
-      if (thinks != lives) {
-        wrong += " " + name + (lives ? (at < 0 ? " is unknown," : " is gone,") : " lives,");
-      } else if (lives && members[at].record->incarnation() != nodes_[i].view->self().incarnation()) {
-        wrong += " " + name + " is an older process,";
-      } else if (lives &&
+      const bool considered_alive = at >= 0 && members[at].living(), is_running = nodes_[i].view != nullptr;
+      if (considered_alive != is_running) {
+        differences += " " + name + (is_running ? (at < 0 ? " is unknown," : " is gone,") : " lives,");
+      } else if (is_running && members[at].record->incarnation() != nodes_[i].view->self().incarnation()) {
+        differences += " " + name + " is an older process,";
+      } else if (is_running &&
                  members[at].record->refutation_number() != nodes_[i].view->self().refutation_number()) {
-        wrong += " " + name + " has another incarnation,";
+        differences += " " + name + " has another incarnation,";
       }
     }
-    if (wrong.empty()) continue;
-    wrong.pop_back();
-    lines.push_back("to " + node.view->self().name() + (node.view->stopped() ? " (silent)" : "") + wrong);
-    if (lines.size() >= kMostLines) break;
+    if (differences.empty()) continue;
+    differences.pop_back();
+    lines.push_back("to " + node.view->self().name() + (node.view->stopped() ? " (silent)" : "") +
+                    differences);
+    if (lines.size() >= kMaxLines) break;
   }
   return lines;
 }
@@ -496,53 +504,56 @@
 Outcome VirtualFleet::Play() {
   for (int i = 0; i < plan_.members; ++i) addresses_[MemberName(i) + ":1"] = i;
   for (int i = 0; i < std::min(plan_.seeds, plan_.members); ++i) seeds_.push_back(MemberName(i) + ":1");
-  std::vector<bool> late(nodes_.size());
+  std::vector<bool> started_by_fault(nodes_.size());
   for (std::size_t i = 0; i < plan_.faults.size(); ++i) {
     const Fault& fault = plan_.faults[i];
-    befalls_.push_back(fault.OnService() ? std::vector<int>() : Chosen(plan_, fault.who, options_.seed));
+    fault_members_.push_back(fault.AffectsService() ? std::vector<int>()
+                                                    : SelectMembers(plan_, fault.who, options_.seed));
     if (fault.kind == FaultKind::kStart)
-      for (const int member : befalls_[i]) late[static_cast<std::size_t>(member)] = true;
+      for (const int member : fault_members_[i]) started_by_fault[static_cast<std::size_t>(member)] = true;
     if (!fault.when.empty()) continue;
-    queue_.Push(FromMs(fault.at_s * 1000), EventPriority::kControl, kBegin, 0, i);
+    queue_.Push(FromMs(fault.at_s * 1000), EventPriority::kControl, kFaultStart, 0, i);
     if (fault.for_s > 0 && fault.kind != FaultKind::kStop && fault.kind != FaultKind::kStarve)
-      queue_.Push(FromMs((fault.at_s + fault.for_s) * 1000), EventPriority::kControl, kEnd, 0, i);
+      queue_.Push(FromMs((fault.at_s + fault.for_s) * 1000), EventPriority::kControl, kFaultEnd, 0, i);
   }
   for (int i = 0; i < plan_.members; ++i) {
-    if (late[static_cast<std::size_t>(i)]) continue;
+    if (started_by_fault[static_cast<std::size_t>(i)]) continue;
     if (options_.settled) {
       settling_ = true;
       Start(i);
     } else {
-      queue_.Push(FromMs(random_.Between(0, plan_.start_spread_s) * 1000), EventPriority::kControl, kStart,
-                  static_cast<std::uint32_t>(i), 0);
+      queue_.Push(FromMs(random_.Between(0, plan_.start_spread_s) * 1000), EventPriority::kControl,
+                  kStartMember, static_cast<std::uint32_t>(i), 0);
     }
   }
   if (std::exchange(settling_, false)) Settle();
-  rest_from_ = LastFaultOver(plan_);
+  measure_from_s_ = LastFaultEnd(plan_);
   for (const Property& property : plan_.properties) {
-    if (property.kind == PropertyKind::kBytesAtMost && property.after_s >= 0) rest_from_ = property.after_s;
-    divides_ |= property.kind == PropertyKind::kHoldersEven;
+    if (property.kind == PropertyKind::kBytesAtMost && property.after_s >= 0)
+      measure_from_s_ = property.after_s;
+    uses_subsets_ |= property.kind == PropertyKind::kHoldersEven;
   }
-  queue_.Push(FromMs(rest_from_ * 1000), EventPriority::kControl, kSnapshot, 0, 0);
+  queue_.Push(FromMs(measure_from_s_ * 1000), EventPriority::kControl, kSnapshot, 0, 0);
 
   const Micros end = FromMs(plan_.length_s * 1000);
   while (!queue_.empty()) {
     const simulation::ScheduledEvent due = queue_.PopNext();
     if (due.at > end) break;
-    Run(due);
+    HandleEvent(due);
   }
   Snapshot(/*close=*/true);
-  for (const std::string& when : conditions_.unmet()) judge_.Unmet(when);
-  std::uint64_t shed = 0;
+  for (const std::string& when : conditions_.untriggered()) evaluator_.OnFaultNotTriggered(when);
+  std::uint64_t dropped = 0;
   for (const Node& node : nodes_) {
     if (!node.view) continue;
-    shed += node.view->gossip_dropped();
-    const auto& refused = node.view->counters().rejected;
-    for (std::size_t i = 1; i < refused.size(); ++i) judge_.Refusals(refused[i]);
+    dropped += node.view->gossip_dropped();
+    const auto& rejected = node.view->counters().rejected;
+    for (std::size_t i = 1; i < rejected.size(); ++i) evaluator_.AddRejectedDatagrams(rejected[i]);
   }
-  if (divides_) judge_.Holders(Holders());
-  Judge::Verdict verdict = judge_.Close(plan_.length_s, /*with_service=*/false);
-  Outcome outcome{verdict.holds, std::move(verdict.json), std::move(verdict.story)};
+  if (uses_subsets_) evaluator_.SetConnectedProxies(ProxiesByBackend());
+  RunEvaluator::Evaluation evaluation =
+      evaluator_.Evaluate(plan_.length_s, /*with_service_properties=*/false);
+  Outcome outcome{evaluation.holds, std::move(evaluation.json), std::move(evaluation.failures)};
   if (!outcome.holds)
     for (std::string& line : Differences()) outcome.failures.push_back(std::move(line));
   outcome.json["seed"] = options_.seed;
@@ -550,12 +561,12 @@
   outcome.json["suspicions"] = suspicions_;
   outcome.json["refutations"] = refutations_;
   outcome.json["healed"] = healed_;
-  outcome.json["news_shed"] = shed;
-  if (divides_) outcome.json["changed_over"] = changed_over_;
+  outcome.json["news_shed"] = dropped;
+  if (uses_subsets_) outcome.json["changed_over"] = reassigned_connections_;
   outcome.json["events"] = queue_.processed();
   if (options_.record_timeline) {
     outcome.json["views"] = std::move(timeline_);
-    outcome.json["spread"] = judge_.Spread();
+    outcome.json["spread"] = evaluator_.DetectionDelays();
   }
   return outcome;
 }
