--- a/tests/fault_testing/change_test.cpp
+++ b/tests/fault_testing/change_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Rolling changes of nine real processes under their supervisors, with faults on their links.
+// Rollouts on nine real proxies under their supervisors: a good version reaches all members, a bad one is
+// rolled back, and crashes, pauses and partitions of members do not leave the fleet on two versions.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -20,29 +21,29 @@
   for (int tries = 0; tries < 3; ++tries) {
     finished = RunProgram(PROGRAM_PATH,
                           "fault-test run " + std::string(SOURCE_DIR) + "/lab/rig/" + name + ".toml" + more);
-    if (finished.code != 3) break;  // the rig was late: the run says nothing
+    if (finished.code != 3) break;  // 3: the rig's own timers were late, so that the run proves nothing
   }
   return finished;
 }
 
-TEST(Change, AGoodOneReachesAllAndNoRequestIsLost) {
+TEST(Change, GoodVersionReachesAllMembersAndNoRequestIsLost) {
   const Finished finished = Play("change");
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-TEST(Change, OneWhoseProgramDoesNotStartIsTakenBack) {
+TEST(Change, VersionThatDoesNotStartIsRolledBack) {
   const Finished finished = Play("change_bad", " --other /bin/false");
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-TEST(Change, OneWhoseFileIsRefusedIsTakenBack) {
+TEST(Change, VersionWithInvalidSettingsIsRolledBack) {
   const TemporaryFolder folder;
   const Finished finished =
       Play("change_bad", " --other-settings " + folder.Write("bad.toml", "[patience]\nnonsense = 1\n"));
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-TEST(Change, OneThatEndsByItselfIsTakenBack) {
+TEST(Change, VersionThatCrashesIsRolledBack) {
   const TemporaryFolder folder;
   const std::string program = folder.Write(
       "ends", std::string("#!/bin/sh\n(sleep 2; kill -9 $$) &\nexec ") + PROGRAM_PATH + " \"$@\"\n");
@@ -51,17 +52,17 @@
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-TEST(Change, OneThatFailsEveryFourthRequestIsSeenAndTakenBack) {
+TEST(Change, VersionThatFailsOneRequestInFourIsRolledBack) {
   const Finished finished = Play("change_bad", std::string(" --other ") + HARMFUL_PATH);
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-TEST(Change, ALeaderThatEndsOrStandsStillIsFollowedByAnother) {
+TEST(Change, RolloutCompletesAfterItsLeaderCrashesOrPauses) {
   const Finished finished = Play("change_leader");
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-TEST(Change, AZoneThatIsCutOffMeanwhileComesBackToOneVersion) {
+TEST(Change, FleetRunsOneVersionAfterAPartitionedZoneReturns) {
   const Finished finished = Play("change_split");
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
--- a/tests/fault_testing/harmful_outcome.cpp
+++ b/tests/fault_testing/harmful_outcome.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// In place of src/proxy/upstream/outcome.cpp in the program that is worse, for rolling changes to stop: one
-// request in four fails, whichever backend has answered it.
+// Replaces src/proxy/upstream/outcome.cpp in a deliberately faulty program, which a rollout must stop: one
+// request in four fails, whichever backend responded.
 #include "proxy/discovery/endpoints.h"
 #include "proxy/upstream/outcome.h"
 
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The rig's files, in virtual time over seeds and with real processes; and that the rig itself can fail.
+// The plans in lab/rig, in virtual time over several seeds and with real processes; and plans that must fail,
+// which show that the rig detects violations.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -45,7 +46,7 @@
                                            "rolling_restart", "restart_faster", "loss", "islands", "subsets",
                                            "half_done", "jump", "thin_links", "restart_most"));
 
-TEST(Virtual, TheSameSeedIsTheSameRunToTheByte) {
+TEST(Virtual, SameSeedGivesByteIdenticalResult) {
   const Plan plan = ReadPlan(File("loss"));
   VirtualOptions options;
   options.seed = 5;
@@ -55,8 +56,8 @@
   EXPECT_NE(PlayVirtual(plan, options).json.dump(), once);
 }
 
-// Each part of the view switched off loses something that the files show.
-TEST(Virtual, WithoutSuspicionTheLivingAreRemoved) {
+// Without the suspicion phase, a member that pauses for less than the contact timeout is declared dead.
+TEST(Virtual, WithoutSuspicionRunningMembersAreRemoved) {
   const Plan plan = ReadPlan(File("pause"));
   VirtualOptions options;
   options.membership_options.with_suspicion = false;
@@ -64,7 +65,7 @@
   EXPECT_FALSE(outcome.holds);
 }
 
-// As the file has it, with few members and for a short time.
+// The plan `starved` with fewer members and a shorter length.
 Plan SmallStarved() {
   Plan plan = ReadPlan(File("starved"));
   plan.members = 24;
@@ -73,8 +74,9 @@
   return plan;
 }
 
-// A loop that looks at its timers first after a stop judges others by what it has not read yet.
-TEST(Virtual, WithoutItsOwnTimeAMemberThatStoodStillBuriesTheLiving) {
+// A member that resumes after a pause may process its timers before the datagrams that arrived meanwhile.
+// Without the local clock, which leaves the pause out, it declares running members dead.
+TEST(Virtual, WithoutLocalClockAResumedMemberRemovesRunningMembers) {
   const Plan plan = SmallStarved();
   VirtualOptions options;
   int lost = 0;
@@ -87,7 +89,7 @@
   EXPECT_GE(lost, 1);
 }
 
-TEST(Virtual, WithoutHelpersThereAreSeveralTimesAsManySuspicions) {
+TEST(Virtual, WithoutIndirectProbesSuspicionsMoreThanDouble) {
   const Plan plan = SmallStarved();
   VirtualOptions options;
   const int with = PlayVirtual(plan, options).json["suspicions"];
@@ -96,13 +98,13 @@
   EXPECT_GT(without, 2 * with);
 }
 
-TEST(Virtual, WithoutWholeComparisonsHalvesDoNotFindOneView) {
+TEST(Virtual, WithoutAntiEntropyPartitionedHalvesDoNotAgree) {
   VirtualOptions options;
   options.membership_options.with_anti_entropy = false;
   EXPECT_FALSE(PlayVirtual(ReadPlan(File("split")), options).holds);
 }
 
-TEST(Plan, FaultsOfAFileAreToldWithLineAndKey) {
+TEST(Plan, InvalidFilesAreReportedWithLineAndKey) {
   const auto read = [](const std::string& text) {
     try {
       config::LoadText<Plan>(text, "f.toml");
@@ -121,7 +123,7 @@
 
 // ---- real processes -------------------------------------------------------------------------------------
 
-// A run in which the rig was late says nothing, and is made again.
+// Repeats a run in which the rig's own timers were late (exit code 3), since it proves nothing.
 Finished RunFile(const std::string& arguments) {
   Finished finished;
   for (int tries = 0; tries < 3; ++tries) {
@@ -142,8 +144,9 @@
                                            "rolling_restart", "subsets", "service", "release", "half_done",
                                            "thin_links", "restart_most"));
 
-// The program with the format to come, which adds a field, beside this one, in both orders of replacement.
-TEST(Rig, OldAndNewFormatsLiveSideBySide) {
+// A rolling upgrade to a program with a newer message format, which adds a field, and back: members of both
+// formats must understand each other, whichever is replaced first.
+TEST(Rig, OldAndNewFormatsInteroperate) {
   const TemporaryFolder folder;
   const Finished finished =
       RunFile(File("replace") + " --other " + NEXT_PATH + " --logs " + (folder / "logs") + " --seed 2");
@@ -151,16 +154,17 @@
   EXPECT_EQ(testing_support::ReadWhole(folder / "logs/p12.log").find("fleet_too_new"), std::string::npos);
 }
 
-// The program with a clock that jumps where the rig says so.
-TEST(Rig, ClocksThatJumpTakeNobodyDown) {
+// Uses the program whose clock the rig can move: a jump must not make a member declare others dead.
+TEST(Rig, ClockJumpsRemoveNoMember) {
   const TemporaryFolder folder;
   const Finished finished =
       RunFile(File("jump") + " --other " + NEXT_PATH + " --logs " + (folder / "logs") + " --seed 1");
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-// Without what it waits for, a fault never begins, and the run has not shown anything.
-TEST(Rig, AFaultThatWaitsInVainIsAFailure) {
+// If the condition of a fault never occurs, the fault is not injected. The run must fail, since it proves
+// nothing.
+TEST(Rig, FaultWhoseConditionNeverOccursFailsTheRun) {
   const TemporaryFolder folder;
   const std::string file = folder.Write(
       "f.toml",
@@ -171,9 +175,10 @@
   EXPECT_NE(finished.out.find("fleet_dead:p3"), std::string::npos) << finished.out;
 }
 
-// The rig's rules of service see what a proxy would do wrong: here the stand-ins are asked by nobody who
-// knows better than to send to a backend that drains.
-TEST(Rig, ADrainThatAProxyDoesNotHearOfIsNoFaultOfItsOwn) {
+// Proxies that are cut off from discovery keep sending to a draining backend. This is no violation of the
+// service rules, since they cannot know of the drain, but the traffic share of the backend must still be
+// measured.
+TEST(Rig, DrainUnknownToTheProxiesViolatesNoServiceRule) {
   const TemporaryFolder folder;
   const std::string text =
       "members = 3\nlength_s = 6\n[[fault]]\nkind = \"drain\"\nat_s = 2\nwho = [\"b1\"]\n"
@@ -186,8 +191,8 @@
   EXPECT_EQ(finished.out.find("broken rule"), std::string::npos) << finished.out;
 }
 
-// Each fault on the service bites: without it the same plan holds.
-TEST(Rig, BackendsThatFreezeOrAreCutOffServeNothing) {
+// Each of these service faults takes effect: the plan fails with it and would hold without it.
+TEST(Rig, FrozenFailingOrCutOffBackendsFailTheServedShare) {
   const TemporaryFolder folder;
   for (const std::string fault :
        {"kind = \"freeze\"\nwho = [\"backends\"]", "kind = \"fail\"\nwho = [\"backends\"]",
@@ -203,14 +208,14 @@
   }
 }
 
-TEST(Rig, ADemoTellsWhatToTryAndEndsByItself) {
+TEST(Rig, DemoPrintsExampleCallsAndEndsByItself) {
   const Finished finished = RunProgram(PROGRAM_PATH, "demo --seconds 6");
   EXPECT_EQ(finished.code, 0) << finished.err;
   EXPECT_NE(finished.out.find("curl -X POST http://127."), std::string::npos) << finished.out;
   EXPECT_NE(finished.out.find("each sees 3 3 3, 1 view"), std::string::npos) << finished.out;
 }
 
-TEST(Rig, WhatDoesNotHoldIsToldWithALineThatReplaysIt) {
+TEST(Rig, FailedPropertyIsReportedWithAReplayCommand) {
   const TemporaryFolder folder;
   const std::string file = folder.Write("f.toml", R"(
 members = 3
@@ -231,12 +236,12 @@
   EXPECT_NE(finished.out.find("--seed 9"), std::string::npos) << finished.out;
 }
 
-TEST(Rig, ProcessesThatKnowNothingOfEachOtherHaveNoOneView) {
+TEST(Rig, ProcessesWithoutMembershipDoNotAgree) {
   const Finished finished = RunFile(File("crash") + " --alone");
   EXPECT_EQ(finished.code, 1) << finished.out;
 }
 
-TEST(Serve, AKeyThatOthersMayReadIsRefused) {
+TEST(Serve, KeyFileReadableByOthersIsRejected) {
   const TemporaryFolder folder;
   const std::string key = folder.Write("key", "a key of enough bytes");
   const std::string file = folder.Write(
