--- a/src/cli/rollout_simulate_command.cpp
+++ b/src/cli/rollout_simulate_command.cpp
@@ -84,7 +84,7 @@
 
 void PrintFailure(const SimulateOptions& options, std::uint64_t seed,
                   const fault_testing::TrialResult& result) {
-  std::cout << fmt::format("seed {}: what is promised does not hold\n", seed);
+  std::cout << fmt::format("seed {}: a guarantee of the rollout agents was violated\n", seed);
   for (const std::string& line : result.story) std::cout << "  " << line << '\n';
   std::cout << fmt::format(
       "  replay: copperpoint rollout simulate {} --fault {} --amount {} --environment {} --members {}{} "
--- a/src/fault_testing/conditions.h
+++ b/src/fault_testing/conditions.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Faults that wait for something to happen, so that they land while it is half done: `settled` (all living
-// members have one view, the true one), `EVENT` (the first log event of that name at any member) or
-// `EVENT:MEMBER` (the first that is about that member).
+// Conditions that trigger faults, so that a fault occurs while an operation is in progress: `settled` (all
+// members run and agree on the true membership), `EVENT` (the first log event of that name at any member)
+// or `EVENT:MEMBER` (the first such event about that member).
 #ifndef COPPERPOINT_FAULT_TESTING_CONDITIONS_H_
 #define COPPERPOINT_FAULT_TESTING_CONDITIONS_H_
 
@@ -22,7 +22,7 @@
       if (!plan.faults[i].when.empty()) pending_.push_back({i, plan.faults[i].when});
   }
 
-  // The faults, by number, that waited for this; each is named once.
+  // Returns the indexes of the faults that this event triggers. Each fault is returned once.
   std::vector<std::size_t> TakeTriggered(std::string_view event, std::string_view member = {}) {
     std::vector<std::size_t> triggered;
     if (pending_.empty()) return triggered;
@@ -35,7 +35,7 @@
     });
     return triggered;
   }
-  // What nothing has met yet.
+  // The conditions that have not occurred yet.
   std::vector<std::string> untriggered() const {
     std::vector<std::string> conditions;
     for (const PendingFault& pending : pending_) conditions.push_back(pending.when);
--- a/src/fault_testing/judge.cpp
+++ b/src/fault_testing/judge.cpp
@@ -68,11 +68,12 @@
   if (!pauses.empty()) pauses.back().to = at;
 }
 
-// Which side heard which doesn't matter: who cannot talk both ways may be given up.
+// The direction of the partition does not matter: a member may be declared dead if it is unreachable either
+// way.
 bool RunEvaluator::WasPartitioned(int a, int b, double at) const {
   const auto x = static_cast<std::size_t>(a), y = static_cast<std::size_t>(b);
   return std::any_of(partitions_.begin(), partitions_.end(), [&](const Partition& partition) {
-    // What was decided before the cut ended still spreads for as long as a suspicion takes.
+    // A death declared before the partition ended still spreads for as long as a suspicion lasts.
     return at >= partition.from && at <= partition.to + 2 * contact_timeout_s_ &&
            ((partition.senders[x] && partition.receivers[y]) ||
             (partition.senders[y] && partition.receivers[x]));
@@ -86,14 +87,14 @@
     crash->detected_at.try_emplace(observer, at);
     break;
   }
-  if (runs.empty() || runs.back().to >= 0) return;  // it had ended
+  if (runs.empty() || runs.back().to >= 0) return;  // it had indeed ended
   if (runs.size() > 1 && at - runs.back().from < 2 * contact_timeout_s_)
-    return;  // news of the process before
+    return;  // late gossip about the previous process
   if (WasPartitioned(observer, subject, at)) return;
   const auto& pauses = pause_periods_[static_cast<std::size_t>(subject)];
   if (!pauses.empty() && (pauses.back().to < 0 || at - pauses.back().to < contact_timeout_s_) &&
       (pauses.back().to < 0 ? at : pauses.back().to) - pauses.back().from >= contact_timeout_s_ - 0.3)
-    return;  // it stood still for longer than silence is borne
+    return;  // it was paused for about the contact timeout or longer
   false_removals_.push_back({at, observer, subject});
 }
 
@@ -123,7 +124,7 @@
   *worst = 0;
   for (const Crash& crash : crashes_) {
     double earliest = end, latest = 0;
-    // Started again: members may learn of the new process without a word of the old one's death.
+    // After a restart, members may learn of the new process without hearing of the crash of the old one.
     const auto& runs = run_periods_[static_cast<std::size_t>(crash.subject)];
     const bool restarted =
         std::any_of(runs.begin(), runs.end(), [&](const Period& period) { return period.from > crash.at; });
@@ -135,7 +136,7 @@
         latest = std::max(latest, found->second - crash.at);
       } else if (!restarted && RanThroughout(member, crash.at, end)) {
         latest = end - crash.at;
-        failures->push_back(fmt::format("{} never learnt that {} ended at {:.2f} s", MemberName(member),
+        failures->push_back(fmt::format("{} never detected that {} crashed at {:.2f} s", MemberName(member),
                                         MemberName(crash.subject), crash.at));
       }
     }
@@ -163,10 +164,10 @@
   Evaluation evaluation;
   auto& results = evaluation.json["properties"] = nlohmann::ordered_json::array();
   for (const Property& property : plan_.properties) {
-    const bool of_service =
+    const bool needs_processes =
         property.kind == PropertyKind::kServedAtLeast || property.kind == PropertyKind::kTrafficShare ||
         property.kind == PropertyKind::kRunsAtEnd || property.kind == PropertyKind::kEverRan;
-    if (of_service && !with_service_properties) continue;
+    if (needs_processes && !with_service_properties) continue;
     nlohmann::ordered_json result{{"kind", NameOf(property.kind)}, {"bound", property.bound}};
     bool holds = true;
     std::vector<std::string> failures;
@@ -174,14 +175,15 @@
       case PropertyKind::kSettlesWithin: {
         const double from = property.after_s >= 0 ? property.after_s : last_fault_end_s_;
         const bool agreed = !agreement_.empty() && agreement_.back().second;
-        const double took = agreed ? std::max(0.0, agreement_.back().first - from) : at - from;
-        holds = agreed && took <= property.bound;
+        const double duration_s = agreed ? std::max(0.0, agreement_.back().first - from) : at - from;
+        holds = agreed && duration_s <= property.bound;
         result["settled"] = agreed;
-        result["seconds"] = took;
+        result["seconds"] = duration_s;
         if (!holds)
           failures.push_back(
-              agreed ? fmt::format("one view only {:.2f} s after {:.2f} s", took, from)
-                     : fmt::format("no one view by the end, {:.2f} s after {:.2f} s", at - from, from));
+              agreed ? fmt::format("the members agreed {:.2f} s after {:.2f} s", duration_s, from)
+                     : fmt::format("the members did not agree by the end, {:.2f} s after {:.2f} s", at - from,
+                                   from));
         break;
       }
       case PropertyKind::kKnownWithin: {
@@ -189,15 +191,16 @@
         result.update(EvaluateDetection(at, &worst, &failures));
         result["worst_s"] = worst;
         holds = worst <= property.bound;
-        if (!holds) failures.push_back(fmt::format("an end was known to all only after {:.2f} s", worst));
+        if (!holds)
+          failures.push_back(fmt::format("a crash was detected by all members only after {:.2f} s", worst));
         break;
       }
       case PropertyKind::kNeverRemoved: {
         holds = static_cast<double>(false_removals_.size()) <= property.bound;
         result["times"] = false_removals_.size();
         for (std::size_t i = 0; !holds && i < std::min<std::size_t>(10, false_removals_.size()); ++i)
-          failures.push_back(fmt::format("{:.3f} s: {} took {} for dead, which lived", false_removals_[i].at,
-                                         MemberName(false_removals_[i].observer),
+          failures.push_back(fmt::format("{:.3f} s: {} declared {} dead, which was running and reachable",
+                                         false_removals_[i].at, MemberName(false_removals_[i].observer),
                                          MemberName(false_removals_[i].subject)));
         break;
       }
@@ -205,7 +208,9 @@
         holds = bytes_out_ > 0 && bytes_out_ <= property.bound && bytes_in_ <= property.bound;
         result["out_per_s"] = bytes_out_;
         result["in_per_s"] = bytes_in_;
-        if (!holds) failures.push_back(fmt::format("{:.0f} bytes/s out, {:.0f} in", bytes_out_, bytes_in_));
+        if (!holds)
+          failures.push_back(fmt::format("up to {:.0f} bytes/s sent and {:.0f} received by a member",
+                                         bytes_out_, bytes_in_));
         break;
       case PropertyKind::kServedAtLeast: {
         const double share =
@@ -220,7 +225,7 @@
       case PropertyKind::kRefusedSome:
         holds = static_cast<double>(rejected_datagrams_) >= property.bound;
         result["refused"] = rejected_datagrams_;
-        if (!holds) failures.push_back(fmt::format("{} datagrams were refused", rejected_datagrams_));
+        if (!holds) failures.push_back(fmt::format("{} datagrams were rejected", rejected_datagrams_));
         break;
       case PropertyKind::kRunsAtEnd: {
         const auto others =
@@ -240,7 +245,7 @@
                           [&](const std::set<std::string>& one) { return one.contains(property.version); });
         holds = static_cast<double>(ran) <= property.bound;
         result["ran"] = ran;
-        if (!holds) failures.push_back(fmt::format("{} members began {}", ran, property.version));
+        if (!holds) failures.push_back(fmt::format("{} members started {}", ran, property.version));
         break;
       }
       case PropertyKind::kTrafficShare: {
@@ -252,7 +257,9 @@
         holds = total > 0 && share <= property.bound;
         result["share"] = share;
         result["runs"] = total;
-        if (!holds) failures.push_back(fmt::format("{} of {} requests ran there", selected, total));
+        if (!holds)
+          failures.push_back(
+              fmt::format("{} of {} executions were at the selected backends", selected, total));
         break;
       }
       case PropertyKind::kHoldersEven: {
@@ -267,8 +274,8 @@
         result["deviation"] = deviation;
         result["by_backend"] = connected_proxies_;
         if (!holds)
-          failures.push_back(
-              fmt::format("proxies with a connection {:.1f} in the mean, {:.2f} deviation", mean, deviation));
+          failures.push_back(fmt::format(
+              "connected proxies by backend: mean {:.1f}, standard deviation {:.2f}", mean, deviation));
         break;
       }
     }
@@ -281,7 +288,8 @@
   for (const std::string& rule : rule_violations_) evaluation.failures.push_back("broken rule: " + rule);
   evaluation.holds &= rule_violations_.empty();
   for (const std::string& when : untriggered_)
-    evaluation.failures.push_back("no fault began when " + when + ": it never came");
+    evaluation.failures.push_back("condition '" + when +
+                                  "' never occurred, so the fault that waits for it was not injected");
   evaluation.holds &= untriggered_.empty();
   evaluation.json["rules_broken"] = rule_violations_.size();
   return evaluation;
--- a/src/fault_testing/judge.h
+++ b/src/fault_testing/judge.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Judges a run by what was done to the members and what they were seen to say and do. It knows no protocol,
-// and serves processes and virtual time alike.
+// Evaluates the properties of a run from the faults injected and the behaviour observed. Independent of the
+// membership protocol; used for runs with processes and in virtual time.
 #ifndef COPPERPOINT_FAULT_TESTING_JUDGE_H_
 #define COPPERPOINT_FAULT_TESTING_JUDGE_H_
 
@@ -16,55 +16,54 @@
 
 namespace copperpoint::fault_testing {
 
-// Seconds since the start of the run.
+// All times are in seconds since the start of the run.
 class RunEvaluator {
  public:
   RunEvaluator(const Plan& plan, std::uint64_t seed, double contact_timeout_s);
 
-  // ---- what was done ----
+  // ---- injected faults ----
   void OnStarted(double at, int member);
   void OnEnded(double at, int member, bool graceful);
   void OnPaused(double at, int member);
   void OnResumed(double at, int member);
-  // A fault that waited for something, begun only now.
+  // A fault whose condition occurred starts at `at`.
   void OnFaultTriggered(double at, const Fault& fault);
-  // What a fault waited for never came: the run has not shown what it is for.
+  // The condition `when` of a fault never occurred. The run fails, since it did not test that fault.
   void OnFaultNotTriggered(const std::string& when) { untriggered_.push_back(when); }
 
-  // ---- what was seen ----
+  // ---- observations ----
   void OnDeclaredDead(double at, int observer, int subject);
-  // Whether all living members have one view, the true one. Only changes need be told.
+  // Whether all running members agree on the true membership. Repeated values may be omitted.
   void OnAgreement(double at, bool agreed);
-  void AddByteRates(double per_s_out, double per_s_in);  // of the busiest member, from its property's time on
+  // Datagram bytes a second of one member, from the property's `after_s` on; the maximum counts.
+  void AddByteRates(double per_s_out, double per_s_in);
   void AddRejectedDatagrams(std::uint64_t datagrams) { rejected_datagrams_ += datagrams; }
   void AddRequests(std::uint64_t served, std::uint64_t requests);
-  void SetExecutions(std::vector<std::uint64_t> by_backend) {
-    executions_ = std::move(by_backend);
-  }  // traffic_share
-  // Of each member at the end, empty if it is down; and which each ever began.
+  // Executions during the time of the traffic_share property.
+  void SetExecutions(std::vector<std::uint64_t> by_backend) { executions_ = std::move(by_backend); }
+  // The version of each member at the end, empty if it is down, and all versions that each has started.
   void SetVersions(std::vector<std::string> at_end, std::vector<std::set<std::string>> versions_run) {
     final_versions_ = std::move(at_end);
     versions_run_ = std::move(versions_run);
   }
   void SetConnectedProxies(std::vector<int> by_backend) { connected_proxies_ = std::move(by_backend); }
-  void AddRuleViolation(const std::string& rule) {
-    rule_violations_.push_back(rule);
-  }  // one of the rules of service
+  // A violated service rule, or an unexpected result of a process; either fails the run.
+  void AddRuleViolation(const std::string& rule) { rule_violations_.push_back(rule); }
 
-  // When each that learnt of it knew of the first end without a word, in seconds after it.
+  // The times, in seconds after the first crash, at which each observer that detected it did so.
   std::vector<double> DetectionDelays() const;
 
   struct Evaluation {
     bool holds = true;
     nlohmann::ordered_json json;
-    std::vector<std::string> failures;  // a line each, of what did not hold
+    std::vector<std::string> failures;  // one line for each detail of what did not hold
   };
-  // `with_service`: properties of requests are judged too.
+  // `with_service_properties`: whether to evaluate properties that need real processes.
   Evaluation Evaluate(double at, bool with_service_properties);
 
  private:
   struct Period {
-    double from = 0, to = -1;  // to < 0: it goes on
+    double from = 0, to = -1;  // negative `to`: has not ended
     bool graceful = false;
   };
   struct FalseRemoval {
@@ -88,13 +87,13 @@
   const double contact_timeout_s_;
   std::vector<std::vector<Period>> run_periods_;
   std::vector<std::vector<Period>> pause_periods_;
-  std::vector<FalseRemoval> false_removals_;  // of the living
+  std::vector<FalseRemoval> false_removals_;  // of running and reachable members
   std::vector<Crash> crashes_;
   std::vector<std::pair<double, bool>> agreement_;
   double bytes_out_ = 0, bytes_in_ = 0;
   std::uint64_t served_requests_ = 0, requests_ = 0, rejected_datagrams_ = 0;
-  std::vector<int> connected_proxies_;     // proxies, by backend
-  std::vector<std::uint64_t> executions_;  // in the time of traffic_share, by backend
+  std::vector<int> connected_proxies_;     // number of proxies, by backend
+  std::vector<std::uint64_t> executions_;  // during the time of traffic_share, by backend
   double last_fault_end_s_;
   std::vector<std::string> final_versions_;
   std::vector<std::set<std::string>> versions_run_;
--- a/src/fault_testing/links.cpp
+++ b/src/fault_testing/links.cpp
@@ -6,11 +6,12 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-constexpr double kMaxQueueDelayS = 0.5;  // on a link with a bandwidth, before datagrams are dropped
+constexpr double kMaxQueueDelayS =
+    0.5;  // on a link with limited bandwidth; a datagram that would wait longer is dropped
 
 }  // namespace
 
-// Without receivers, the others; where all are senders, each with each.
+// If the fault names no receivers, the receivers are all other members, or all members if all are senders.
 void Links::AddFault(const Fault& fault) {
   const std::vector<int> who = SelectMembers(plan_, fault.who, seed_);
   const auto members = static_cast<std::size_t>(plan_.members);
--- a/src/fault_testing/links.h
+++ b/src/fault_testing/links.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The faults in force between members, and what they do to one datagram or connection. The relay of processes
-// and the network in virtual time ask the same object.
+// The active link faults between members and their effect on a datagram or connection. Used both by the relay
+// between processes and by the network in virtual time.
 #ifndef COPPERPOINT_FAULT_TESTING_LINKS_H_
 #define COPPERPOINT_FAULT_TESTING_LINKS_H_
 
@@ -20,16 +20,16 @@
  public:
   Links(const Plan& plan, std::uint64_t seed) : plan_(plan), seed_(seed), random_(seed, "links") {}
 
-  void AddFault(const Fault& fault);  // one on links
+  void AddFault(const Fault& fault);  // a link fault; must stay valid until RemoveFault
   void RemoveFault(const Fault& fault);
 
   struct Delivery {
     bool delivered = true;
-    double extra_delay_ms = 0;  // than without a fault
+    double extra_delay_ms = 0;  // caused by faults
     int copies = 1;
   };
-  // `bytes` may be changed on its way; `stream`: a connection or a piece of one, of which nothing is lost or
-  // spoilt but by a cut.
+  // Decides how `bytes` is delivered, and may corrupt it. If `stream`, it is a connection or a part of its
+  // data, which only a cut or total loss can stop; it is never corrupted, duplicated or reordered.
   Delivery Transmit(double now_s, int from, int to, bool stream, std::string* bytes);
 
  private:
@@ -41,7 +41,8 @@
   const std::uint64_t seed_;
   simulation::Random random_;
   std::vector<ActiveFault> active_;
-  std::map<std::pair<int, int>, double> busy_until_s_;  // of links with a bandwidth
+  std::map<std::pair<int, int>, double>
+      busy_until_s_;  // by sender and receiver, for links with limited bandwidth
 };
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/plan.cpp
+++ b/src/fault_testing/plan.cpp
@@ -53,7 +53,7 @@
   return "unknown";
 }
 
-// "p7" is 6 where `letter` is 'p'; below 0 where it is none of `count`.
+// Parses an index: "p7" is 6 if `prefix` is 'p'. Returns -1 if `word` is not one of "p1" to "p`count`".
 int ParseIndex(char prefix, int count, std::string_view word) {
   int number = 0;
   if (word.size() < 2 || word.front() != prefix) return -1;
@@ -62,7 +62,8 @@
   return number - 1;
 }
 
-// Those of `count` that a word names, as far as numbers, ranges and shares go.
+// The indexes below `count` that `word` selects as a number, a range or a share; empty if it is none of
+// these.
 std::vector<int> ParseSelector(char prefix, int count, const std::string& word, std::uint64_t seed) {
   std::vector<int> selected;
   const std::size_t dash = word.find('-');
@@ -98,73 +99,82 @@
 }
 
 void Fault::Describe(config::FieldVisitor& v) {
-  v.Enum("kind", kind, kFaultKinds, {.text = "what happens"});
-  v.Number("at_s", at_s, {.text = "after the start", .unit = "s", .max = 86400});
-  v.Number("for_s", for_s, {.text = "0: to the end", .unit = "s", .max = 86400});
-  v.Text(
-      "when", when, {},
-      {.text = "at_s counts from when this first holds: `settled`, or `EVENT` or `EVENT:MEMBER` of a log, as "
-               "`fleet_suspected:p3`; empty: from the start"});
-  v.TextList("who", who,
-             {.text = "members: `all`, `p3`, `p3-p9`, `zone:a`, `seeds`, `share:0.1`; links: senders; "
-                      "freeze, fail, slow, reset: `backends`, `b1`, `b1-b3`, `share:0.5`"});
+  v.Enum("kind", kind, kFaultKinds, {.text = "kind of fault"});
+  v.Number("at_s", at_s, {.text = "start, after the start of the run", .unit = "s", .max = 86400});
+  v.Number("for_s", for_s, {.text = "duration; 0: until the end", .unit = "s", .max = 86400});
+  v.Text("when", when, {},
+         {.text = "condition from whose first occurrence at_s counts: `settled`, or `EVENT` or "
+                  "`EVENT:MEMBER` of a log, as "
+                  "`fleet_suspected:p3`; empty: from the start"});
+  v.TextList(
+      "who", who,
+      {.text = "members: `all`, `p3`, `p3-p9`, `zone:a`, `seeds`, `share:0.1`; link faults: the senders; "
+               "freeze, fail, slow, reset: `backends`, `b1`, `b1-b3`, `share:0.5`"});
   v.TextList(
       "to", to,
-      {.text = "links: receivers; none: all that are not in `who`; cut_service: backends, `discovery`"});
-  v.Boolean("both", both, {.text = "links: the way back too"});
-  v.Number(
-      "amount", amount,
-      {.text = "share of datagrams; of a delay milliseconds, of a bandwidth bytes a second, of a start or "
-               "jump seconds",
-       .max = 1e9});
-  v.Number("least_ms", least_ms, {.text = "starve: the shortest stop", .unit = "ms", .min = 1, .max = 1e5});
-  v.Number("most_ms", most_ms, {.text = "starve: the longest", .unit = "ms", .min = 1, .max = 1e5});
-  v.Text("file", file, {}, {.text = "change: a plan (docs/rollout.md), beside this file"});
+      {.text =
+           "link faults: receivers; empty: all that are not in `who`; cut_service: backends, `discovery`"});
+  v.Boolean("both", both, {.text = "link faults: the reverse direction too"});
+  v.Number("amount", amount,
+           {.text = "share of datagrams or requests; delay: milliseconds; bandwidth: bytes a second; "
+                    "slow_start, jump: "
+                    "seconds; slow: factor",
+            .max = 1e9});
+  v.Number("least_ms", least_ms, {.text = "starve: shortest pause", .unit = "ms", .min = 1, .max = 1e5});
+  v.Number("most_ms", most_ms, {.text = "starve: longest pause", .unit = "ms", .min = 1, .max = 1e5});
+  v.Text("file", file, {},
+         {.text = "change: a rollout plan (docs/rollout.md), relative to this file's folder"});
   v.Require("most_ms", most_ms >= least_ms, "is less than least_ms");
 }
 
 void Property::Describe(config::FieldVisitor& v) {
-  v.Enum("kind", kind, kPropertyKinds, {.text = "what has to hold"});
-  v.Number("bound", bound, {.text = "seconds, times, bytes a second or share, as the kind says", .max = 1e9});
-  v.Number("after_s", after_s, {.text = "from when on; -1: as the kind says", .unit = "s", .min = -1});
-  v.Number("until_s", until_s, {.text = "traffic_share: until when; -1: the end", .unit = "s", .min = -1});
+  v.Enum("kind", kind, kPropertyKinds, {.text = "kind of property"});
+  v.Number("bound", bound,
+           {.text = "seconds, count, bytes a second or share, depending on the kind", .max = 1e9});
+  v.Number("after_s", after_s,
+           {.text = "start of the measurement; -1: the default of the kind", .unit = "s", .min = -1});
+  v.Number("until_s", until_s,
+           {.text = "traffic_share: end of the measurement; -1: the end of the run", .unit = "s", .min = -1});
   v.TextList("who", who, {.text = "traffic_share: backends"});
-  v.Text("version", version, {}, {.text = "runs_at_end, ever_ran"});
+  v.Text("version", version, {}, {.text = "runs_at_end, ever_ran: the version"});
 }
 
 void Network::Describe(config::FieldVisitor& v) {
   v.Number("delay_ms", delay_ms, {.text = "one way", .unit = "ms", .min = 0.01, .max = 1e4});
-  v.Number("jitter", jitter, {.text = "deviation of a delay over its mean", .max = 5});
-  v.Number("loss", loss, {.text = "share of datagrams lost all the time", .max = 0.9});
+  v.Number("jitter", jitter, {.text = "coefficient of variation of the delay", .max = 5});
+  v.Number("loss", loss, {.text = "share of datagrams that is always lost", .max = 0.9});
 }
 
 void Service::Describe(config::FieldVisitor& v) {
   v.Int32("backends", backends, {.text = "stand-ins", .min = 1, .max = 500});
-  v.Number("work_ms", work_ms, {.text = "of a request, without another beside it", .unit = "ms", .max = 1e4});
-  v.Int32("slots", slots, {.text = "requests at once; more are turned away", .min = 1, .max = 10000});
+  v.Number("work_ms", work_ms, {.text = "duration of a request", .unit = "ms", .max = 1e4});
+  v.Int32("slots", slots, {.text = "concurrent requests; more are rejected", .min = 1, .max = 10000});
   v.Number("rate", rate, {.text = "requests a second over all proxies; 0: no clients", .max = 1e5});
   v.Number("cold_from", slow_start_min_capacity,
-           {.text = "share of its speed right after a start", .min = 0.01, .max = 1});
-  v.Number("warm_up_s", warm_up_s, {.text = "until it has the whole", .unit = "s", .max = 600});
+           {.text = "share of full capacity right after a start", .min = 0.01, .max = 1});
+  v.Number("warm_up_s", warm_up_s, {.text = "time until full capacity", .unit = "s", .max = 600});
   v.Number("fall_multiple", overload_factor,
-           {.text = "a cold one that is sent so many times what it can do falls over", .min = 1, .max = 100});
-  v.Number("fall_ms", fall_ms, {.text = "over so long", .unit = "ms", .min = 1, .max = 1e5});
+           {.text = "a cold backend fails at this multiple of its present capacity", .min = 1, .max = 100});
+  v.Number("fall_ms", fall_ms,
+           {.text = "time over which that load is measured", .unit = "ms", .min = 1, .max = 1e5});
 }
 
 void Plan::Describe(config::FieldVisitor& v) {
-  v.Text("about", about, {}, {.text = "one line for `fault-test list`"});
+  v.Text("about", about, {}, {.text = "one-line description for `fault-test list`"});
   v.Int32("members", members, {.text = "proxies", .min = 1, .max = 10000});
-  v.Int32("zones", zones, {.text = "dealt out in turn", .min = 1, .max = 26});
-  v.Int32("seeds", seeds, {.text = "members that all others ask first", .min = 1, .max = 100});
-  v.Number("length_s", length_s, {.text = "", .unit = "s", .min = 0.1, .max = 86400});
-  v.Number("start_spread_s", start_spread_s, {.text = "over which they start", .unit = "s", .max = 600});
+  v.Int32("zones", zones, {.text = "members are assigned in turn", .min = 1, .max = 26});
+  v.Int32("seeds", seeds,
+          {.text = "the first members, which are the seed addresses of all", .min = 1, .max = 100});
+  v.Number("length_s", length_s, {.text = "length of the run", .unit = "s", .min = 0.1, .max = 86400});
+  v.Number("start_spread_s", start_spread_s,
+           {.text = "time over which members start", .unit = "s", .max = 600});
   v.Boolean("keep", keep,
-            {.text = "each process under a keeper, which has v1 (this program) and v2 (`--other`)"});
+            {.text = "run each process under a supervisor with v1 (this program) and v2 (`--other`)"});
   v.Section("network", "In virtual time.", network);
-  v.Section("service", "With processes: what the proxies serve.", service);
-  v.ItemList("fault", "What befalls whom.", faults);
-  v.ItemList("property", "What has to hold.", properties);
-  v.Require("property", !properties.empty(), "a file that asks for nothing cannot fail");
+  v.Section("service", "With processes: the backends and clients.", service);
+  v.ItemList("fault", "The faults to inject.", faults);
+  v.ItemList("property", "The properties that must hold.", properties);
+  v.Require("property", !properties.empty(), "is missing: a plan without properties cannot fail");
   for (const Property& property : properties) {
     if (property.kind != PropertyKind::kTrafficShare) continue;
     try {
@@ -200,7 +210,7 @@
           (word.starts_with("zone:") && ZoneName(plan, i) == word.substr(5)))
         selected.push_back(i);
     }
-    if (selected.empty()) throw std::invalid_argument("'" + word + "' names no member");
+    if (selected.empty()) throw std::invalid_argument("'" + word + "' selects no member");
     selected_set.insert(selected.begin(), selected.end());
   }
   return {selected_set.begin(), selected_set.end()};
@@ -212,7 +222,7 @@
     std::vector<int> selected = ParseSelector('b', plan.service.backends, word, seed);
     if (word == "discovery") selected.push_back(kDiscovery);
     for (int i = 0; word == "backends" && i < plan.service.backends; ++i) selected.push_back(i);
-    if (selected.empty()) throw std::invalid_argument("'" + word + "' names no backend");
+    if (selected.empty()) throw std::invalid_argument("'" + word + "' selects no backend");
     selected_set.insert(selected.begin(), selected.end());
   }
   return {selected_set.begin(), selected_set.end()};
--- a/src/fault_testing/processes/child.cpp
+++ b/src/fault_testing/processes/child.cpp
@@ -36,7 +36,7 @@
         });
   }
 
-  // Its standard error is closed: it has ended, or is about to.
+  // The child closed its standard error: it has ended or is about to.
   void OnStderrClosed() {
     if (std::exchange(has_ended, true)) return;
     std::error_code ignored;
@@ -59,10 +59,10 @@
     : impl_(std::make_shared<Impl>(io, std::move(on_line), std::move(on_end))) {
   bp::environment environment = boost::this_process::environment();
   for (const auto& [name, value] : extra_environment) environment[name] = value;
-  // A signal that the rig catches must not stay blocked or ignored in what it starts.
+  // Runs in the child: a signal that the rig handles must not stay blocked or ignored there.
   const auto child_setup = bp::extend::on_exec_setup([](auto&) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    // It must not hold the rig's listeners open, nor another's pipe.
+    // The child must not keep the rig's listeners or the pipe of another child open.
     ::close_range(3, ~0u, CLOSE_RANGE_CLOEXEC);
   });
   impl_->child =
--- a/src/fault_testing/processes/control.cpp
+++ b/src/fault_testing/processes/control.cpp
@@ -42,7 +42,8 @@
     response_.result(http::status::ok);
     try {
       if (request_.method() != http::verb::post) throw std::invalid_argument("use POST /WHAT/WHO");
-      if (slash == std::string::npos) throw std::invalid_argument("there is no WHO in " + target);
+      if (slash == std::string::npos)
+        throw std::invalid_argument("missing WHO in '" + target + "', expected POST /WHAT/WHO");
       response_.body() = owner_.handler_(target.substr(1, slash - 1), target.substr(slash + 1)) + '\n';
     } catch (const std::invalid_argument& error) {
       response_.result(http::status::bad_request);
--- a/src/fault_testing/processes/control.h
+++ b/src/fault_testing/processes/control.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Takes commands for a rig that runs: POST /WHAT/WHO. It knows none of them.
+// An HTTP server that accepts commands for a running rig as POST /WHAT/WHO and passes them to a handler.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_CONTROL_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_CONTROL_H_
 
@@ -13,7 +13,7 @@
 
 class Control {
  public:
-  // Says what was done; throws std::invalid_argument where it cannot be.
+  // Executes a command and returns a description of it; throws std::invalid_argument if it is invalid.
   using CommandHandler = std::function<std::string(const std::string& what, const std::string& who)>;
 
   Control(boost::asio::io_context& io, const boost::asio::ip::address& address, CommandHandler handler);
--- a/src/fault_testing/processes/directory.cpp
+++ b/src/fault_testing/processes/directory.cpp
@@ -22,7 +22,7 @@
 using Error = boost::system::error_code;
 
 constexpr std::chrono::milliseconds kHeartbeat{2000};
-constexpr std::chrono::milliseconds kRecheckInterval{10};  // whether a cut is over
+constexpr std::chrono::milliseconds kRecheckInterval{10};  // for the end of a cut
 
 std::int64_t UnixMs() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -60,7 +60,7 @@
                        self->SendUpdate();
                      });
   }
-  // Something has changed.
+  // Sends the changed entries if the proxy waits for an update.
   void NotifyChange() {
     if (is_waiting_) timer_.cancel();
   }
@@ -72,9 +72,9 @@
   }
 
  private:
-  void Wait(std::chrono::milliseconds at_most) {
+  void Wait(std::chrono::milliseconds max_wait) {
     is_waiting_ = true;
-    timer_.expires_after(at_most);
+    timer_.expires_after(max_wait);
     timer_.async_wait([self = shared_from_this()](const Error&) {
       self->is_waiting_ = false;
       if (self->owner_) self->SendUpdate();
@@ -85,7 +85,7 @@
     if (owner_->service_faults_.IsCut(proxy_, kDiscovery)) return Wait(kRecheckInterval);
     std::vector<int> delivered;
     const std::uint64_t revision = owner_->revision_;
-    // Woken by the timer without news: a sign of life.
+    // The timer fired without a change: an empty line is the heartbeat.
     std::string line = !head_pending_ && sent_revision_ == revision
                            ? ""
                            : owner_->ChangesSince(proxy_, sent_revision_, &delivered);
@@ -114,7 +114,7 @@
   beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
   std::string out_;
-  std::uint64_t sent_revision_ = 0;  // the revision that it has
+  std::uint64_t sent_revision_ = 0;  // that the proxy has received
   bool streams_ = false, head_pending_ = true, is_waiting_ = false;
 };
 
--- a/src/fault_testing/processes/directory.h
+++ b/src/fault_testing/processes/directory.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What discovery knows of the stand-in backends, and a stand-in discovery for each proxy that tells it so.
-// What a proxy has been told, and when, goes to the rules of the rules of service.
+// The discovery state of the stand-in backends, and a stand-in discovery server for each proxy. Reports to
+// the service rules which endpoint updates each proxy has received, and when.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_DIRECTORY_H_
 
@@ -26,18 +26,19 @@
   using Tcp = boost::asio::ip::tcp;
   enum class Phase { kInService, kTerminating, kTerminated };
 
-  // `addresses`: of each backend, as each proxy reaches it.
+  // `addresses`: by proxy, the address at which it reaches each backend.
   Directory(boost::asio::io_context& io, const Plan& plan, const boost::asio::ip::address& address,
             std::vector<std::vector<Tcp::endpoint>> addresses, const ServiceFaults& service_faults,
             simulation::RuleChecker& rules, std::function<simulation::Micros()> now);
   ~Directory();
 
   Tcp::endpoint address(int proxy) const;
-  // `started`: its process is a new one, cold from now on.
+  // Changes the state of a backend. `started`: its process has just started and is cold.
   void SetState(int backend, Phase phase, bool started);
-  // Whether that proxy was told of the backend's present process.
+  // Whether the proxy has been informed of the backend's current process.
   bool KnowsCurrentProcess(int proxy, int backend) const;
-  // A new process of a proxy knows nothing; one that stood still has read nothing.
+  // A new process of a proxy has no endpoints yet; a paused one has not read its updates, which is why the
+  // service rules allow it time from its start or its resumption on.
   void OnProxyStarted(int proxy);
   void OnProxyResumed(int proxy);
 
@@ -46,10 +47,10 @@
   friend class Watch;
   struct Entry {
     Phase phase = Phase::kInService;
-    std::int64_t up_since_unix_ms = 0;      // 0: long ago
-    std::uint64_t changed_in_revision = 1;  // the revision
+    std::int64_t up_since_unix_ms = 0;  // 0: unknown, long ago
+    std::uint64_t changed_in_revision = 1;
   };
-  struct KnownBackend {  // by one proxy of one backend
+  struct KnownBackend {  // what one proxy knows of one backend
     std::int64_t up_since_unix_ms = -1;
   };
   struct Listener {
@@ -60,7 +61,7 @@
   };
 
   void Accept(int proxy);
-  // The entries that changed after a revision, as a line; `told` gets their numbers.
+  // The entries that changed after `revision`, as one JSON line; appends their indexes to `delivered`.
   std::string ChangesSince(int proxy, std::uint64_t revision, std::vector<int>* delivered) const;
   void OnDelivered(int proxy, const std::vector<int>& backends);
   Listener& At(int proxy) { return *listeners_[static_cast<std::size_t>(proxy)]; }
--- a/src/fault_testing/processes/faults.cpp
+++ b/src/fault_testing/processes/faults.cpp
@@ -4,12 +4,12 @@
 namespace copperpoint::fault_testing {
 
 void ProcessFleet::SetBackend(int backend, Directory::Phase phase, bool up) {
-  const bool was = !down_backends_.contains(backend);
-  if (was && !up) backends_->Down(backend);
-  if (!was && up) backends_->Up(backend);
+  const bool was_up = !down_backends_.contains(backend);
+  if (was_up && !up) backends_->Down(backend);
+  if (!was_up && up) backends_->Up(backend);
   if (up) down_backends_.erase(backend);
   if (!up) down_backends_.insert(backend);
-  directory_->SetState(backend, phase, /*started=*/!was && up);
+  directory_->SetState(backend, phase, /*started=*/!was_up && up);
 }
 
 void ProcessFleet::StartSharedFault(const Fault& fault) {
@@ -43,7 +43,7 @@
       started_at_ + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(at_s));
   timers_.push_back(std::make_unique<asio::steady_timer>(io_, due));
   timers_.back()->async_wait([this, due, what = std::move(what)](const Error& cancelled) {
-    if (cancelled || over_) return;
+    if (cancelled || has_ended_) return;
     max_lateness_ = std::max(max_lateness_, Clock::now() - due);
     what();
   });
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The inside of play.h: a run with real processes. What it does stands in files by concern: play.cpp (the
-// run), members.cpp (processes), faults.cpp (what befalls them), watch.cpp (what is asked of them).
+// The implementation of play.h: a run with real processes. Split by concern into play.cpp (the run),
+// members.cpp (the processes), faults.cpp (fault injection) and watch.cpp (queries of members and commands).
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
 
@@ -40,20 +40,21 @@
 
 namespace asio = boost::asio;
 
-constexpr double kDrainGraceMs = 550;                    // the rule's, and what sockets take
-constexpr std::chrono::milliseconds kQueryTimeout{400};  // for one proxy's answer
-constexpr std::chrono::milliseconds kMaxLateness{300};   // of the rig's own timers
+constexpr double kDrainGraceMs = 550;  // the grace period of the service rule plus time for the sockets
+constexpr std::chrono::milliseconds kQueryTimeout{400};  // for the response of one proxy
+constexpr std::chrono::milliseconds kMaxLateness{
+    300};  // of the rig's own timers; a run with later ones is void
 
 inline std::string FormatEndpoint(const Tcp::endpoint& e) {
   return peers::FormatAddress({e.address(), e.port()});
 }
 
-// A folder that goes with the run.
+// A temporary folder that is deleted with the run.
 class RunFolder {
  public:
   RunFolder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "copperpoint-rig-XXXXXX").string();
-    if (!::mkdtemp(pattern.data())) throw std::runtime_error("no folder for the rig");
+    if (!::mkdtemp(pattern.data())) throw std::runtime_error("cannot create the temporary folder " + pattern);
     path = pattern;
   }
   ~RunFolder() {
@@ -89,19 +90,19 @@
     std::unique_ptr<Child> child;
     std::uint64_t incarnation = 0;
     bool up = false, paused = false;
-    bool exit_expected = false, killed = false;  // the rig has ended this process
-    bool runs_other_program = false;             // it runs the other program
-    Clock::time_point last_ready{};              // when it said so last, or was continued
+    bool exit_expected = false, killed = false;  // the rig has ended this process: in any way, by SIGKILL
+    bool runs_other_program = false;             // ProcessOptions::other_program
+    Clock::time_point last_ready{};              // when it last became ready or was resumed
     Tcp::endpoint listen_address, operator_address,
-        other_operator_address;  // two processes of a member may serve side by side
-    std::string version = "v1";  // that serves, by its keeper
+        other_operator_address;  // of the second process during a version switch
+    std::string version = "v1";  // that serves, according to its supervisor
     std::set<std::string> versions_run;
-    int proxy_pid = 0;  // under a keeper
+    int proxy_pid = 0;  // of the proxy process under a supervisor
     Udp::endpoint bind_address, advertised_address;
-    std::string view;  // its answer in the present look
+    std::string view;  // its response in the current poll; empty: none
     std::size_t living_members = 0;
-    double bytes_out = 0, bytes_in = 0, polled_at_s = 0;  // bytes so far, with headers, and when it said so
-    double rejected = 0, rejected_before = 0;             // datagrams, of this life and of those before
+    double bytes_out = 0, bytes_in = 0, polled_at_s = 0;  // bytes so far with headers, and when polled
+    double rejected = 0, rejected_before = 0;             // datagrams, by this process and earlier ones
     double bytes_out_before = 0, bytes_in_before = 0, before_at_s = -1;
     std::ofstream log;
   };
@@ -128,7 +129,7 @@
   void Schedule(double at_s, std::function<void()> what);
   void ScheduleFault(const Fault& fault);
   void TriggerFaults(std::string_view event, std::string_view member = {});
-  // Of those that befall no process: on links between members, or on the service.
+  // For faults that do not affect a process but links between members or the service.
   void StartSharedFault(const Fault& fault);
   void EndSharedFault(const Fault& fault);
   void SetBackend(int backend, Directory::Phase phase, bool up);
@@ -157,19 +158,19 @@
   std::unique_ptr<Directory> directory_;
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Control> control_;
-  std::list<Fault> commanded_faults_;  // that are in force
-  std::list<Fault> triggered_faults_;  // that waited for something
+  std::list<Fault> commanded_faults_;  // active ones, started by a command
+  std::list<Fault> triggered_faults_;  // whose conditions have occurred
   std::list<std::pair<Fault, std::vector<int>>> slow_starts_;
-  std::set<int> down_backends_;                   // backends
-  std::vector<std::uint64_t> executions_before_;  // traffic_share: from when it counts on
+  std::set<int> down_backends_;
+  std::vector<std::uint64_t> executions_before_;  // traffic_share: at the start of its time, by backend
   std::vector<std::uint64_t> executions_;
   std::size_t views_ = 0;
   std::uint64_t ejections_ = 0;
-  FleetStatus last_totals_;  // sums up to the last second
+  FleetStatus last_totals_;  // totals at the last status report
   Clock::time_point started_at_{};
   int address_block_ = 0, pending_queries_ = 0;
   std::uint64_t polls_ = 0;
-  bool over_ = false, interrupted_ = false;
+  bool has_ended_ = false, interrupted_ = false;
   double measure_from_s_ = 0;
   Clock::duration max_lateness_{};
 };
--- a/src/fault_testing/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -4,9 +4,10 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-constexpr std::chrono::milliseconds kExitCheckInterval{20};  // whether a process has ended
+constexpr std::chrono::milliseconds kExitCheckInterval{
+    20};  // for the exit of a process that is to be replaced
 constexpr std::chrono::milliseconds kFrontEndNoticeDelay{
-    100};  // until no client is sent to a process that has ended
+    100};  // until clients are no longer sent to an ended process
 
 }  // namespace
 
@@ -59,9 +60,9 @@
 
 void ProcessFleet::Start(int number) {
   Member& member = At(number);
-  if (over_ || (member.child && member.child->running())) return;
+  if (has_ended_ || (member.child && member.child->running())) return;
   const std::string base = folder_.path + "/" + MemberName(number);
-  // Nothing of an earlier life is left to it.
+  // A new process must not find files of an earlier one.
   std::filesystem::remove_all(base + "/tmp");
   std::filesystem::create_directory(base + "/tmp");
   if (!options_.log_folder.empty() && !member.log.is_open()) {
@@ -84,8 +85,8 @@
                                          {"COPPERPOINT_CLOCK", base + "/clock"}},
       [this, number](const std::string& line) { OnLogLine(number, line); },
       [this, number, incarnation](int status) { OnExit(number, incarnation, status); });
-  for (const auto& [fault, whom] : slow_starts_) {
-    if (std::find(whom.begin(), whom.end(), number) == whom.end()) continue;
+  for (const auto& [fault, fault_members] : slow_starts_) {
+    if (std::find(fault_members.begin(), fault_members.end(), number) == fault_members.end()) continue;
     SetPaused(number, true);
     Schedule(Now() + fault.amount, [this, number, incarnation] {
       if (At(number).incarnation == incarnation) SetPaused(number, false);
@@ -110,7 +111,7 @@
   if (!json.is_object()) return;
   const std::string event = json.value("event", "");
   if (event == "decision") ejections_ += json.value("text", "").find(" ejected: ") != std::string::npos;
-  if (event == "keep_ended") member.last_ready = Clock::now();  // its requests are lost with it
+  if (event == "keep_ended") member.last_ready = Clock::now();  // its requests are lost with the process
   if (event == "keep_serves") member.version = json.value("version", "");
   if (event == "keep_began") {
     member.proxy_pid = static_cast<int>(json.value("pid", 0.0));
@@ -129,10 +130,10 @@
 
 void ProcessFleet::OnExit(int number, std::uint64_t incarnation, int status) {
   Member& member = At(number);
-  if (member.incarnation != incarnation || over_) return;
+  if (member.incarnation != incarnation || has_ended_) return;
   if (!member.exit_expected || (!member.killed && status != 0))
     evaluator_.AddRuleViolation(
-        fmt::format("{} ended by itself at {:.2f} s, status {}", MemberName(number), Now(), status));
+        fmt::format("{} exited unexpectedly at {:.2f} s with status {}", MemberName(number), Now(), status));
   member.up = false;
 }
 
@@ -144,7 +145,7 @@
   member.killed = !graceful;
   member.child->Signal(graceful ? SIGTERM : SIGKILL);
   if (member.paused) member.child->Signal(SIGCONT);
-  // Clients go on to come until the front has noticed.
+  // Clients are still sent there until the emulated front end has noticed the exit.
   const std::uint64_t incarnation = member.incarnation;
   Schedule(Now() + std::chrono::duration<double>(kFrontEndNoticeDelay).count(), [this, number, incarnation] {
     if (At(number).incarnation == incarnation) At(number).up = false;
@@ -167,7 +168,7 @@
 
 void ProcessFleet::Replace(int number, bool other) {
   At(number).runs_other_program = other;
-  if (!At(number).child) return;  // it begins so
+  if (!At(number).child) return;  // not started yet: it starts with that program
   End(number, /*graceful=*/true);
   StartAfterExit(number);
 }
--- a/src/fault_testing/processes/play.cpp
+++ b/src/fault_testing/processes/play.cpp
@@ -4,7 +4,7 @@
 namespace copperpoint::fault_testing {
 namespace {
 
-constexpr double kOverloadRestartDelayS = 1;  // until a backend that fell over is back
+constexpr double kOverloadRestartDelayS = 1;  // until an overloaded backend starts again
 
 }  // namespace
 
@@ -109,11 +109,11 @@
     Schedule(count_from, [this] { ReportStatus(); });
   }
   Schedule(plan_.length_s, [this] {
-    over_ = true;
+    has_ended_ = true;
     io_.stop();
   });
   io_.run();
-  over_ = true;
+  has_ended_ = true;
   const double end = Now();
   clients_->Stop();
   evaluator_.SetConnectedProxies(backends_->connected_proxies());
--- a/src/fault_testing/processes/relay.cpp
+++ b/src/fault_testing/processes/relay.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-// One connection between two members, both ways. Where the link is cut the connection falls silent, as on a
-// network, and ends when one side gives it up.
+// One connection between two members, both directions. If the link is cut, nothing passes any more, as on a
+// real network, and the connection ends when the connecting member closes it.
 class Relay::Stream : public std::enable_shared_from_this<Stream> {
  public:
   Stream(Relay& owner, int from, int to, Tcp::socket socket)
@@ -52,7 +52,7 @@
   }
 
  private:
-  // Nothing passes: until the member that connected gives up.
+  // Discards all data until the member that connected closes the connection.
   void WaitForClose() {
     accepted_.async_read_some(asio::buffer(up_buffer_),
                               [self = shared_from_this()](const Error& failed, std::size_t) {
@@ -61,7 +61,7 @@
                               });
   }
 
-  // Pieces go one after the other, each as late as its link is slow.
+  // Forwards data in order, each chunk after the delay of its link.
   void Forward(Tcp::socket& input, Tcp::socket& output, int from, int to, std::array<char, 16384>& buffer,
                asio::steady_timer& delay_timer) {
     input.async_read_some(
@@ -129,7 +129,7 @@
   for (const auto& stream : streams_) stream->Detach();
 }
 
-// Members have an address each, whatever their port.
+// The member with this IP address, whatever the port; -1 if there is none.
 int Relay::MemberAt(const asio::ip::address& address) const {
   for (std::size_t i = 0; i < bind_addresses_.size(); ++i)
     if (bind_addresses_[i].address() == address) return static_cast<int>(i);
@@ -169,7 +169,7 @@
   }
 }
 
-// Out of the sender's own door: what the receiver answers comes back there.
+// Sends from the advertised address of the sender, so that the receiver's reply passes through the relay too.
 void Relay::Send(int from, int to, std::string bytes) {
   ++forwarded_;
   Error ignored;
--- a/src/fault_testing/processes/relay.h
+++ b/src/fault_testing/processes/relay.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What lies between the members of a rig of processes. Each member advertises an address of the relay's and
-// binds another, so that every datagram and connection between two of them passes here, where sender and
-// receiver are known and their link is shaped by the faults in force.
+// The network between the processes of a rig. Each member binds one address and advertises another, which
+// belongs to the relay. Every datagram and connection between two members therefore passes through the relay,
+// which knows sender and receiver and applies the active faults of their link.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
 
@@ -24,8 +24,8 @@
  public:
   using Udp = boost::asio::ip::udp;
 
-  // `inside`: where each member binds; `outside`: what it advertises; `now`: seconds of the run. Throws
-  // boost::system::system_error if an address cannot be had.
+  // Both address lists are by member; `now` returns the seconds since the start of the run. Throws
+  // boost::system::system_error if an address cannot be bound.
   Relay(boost::asio::io_context& io, Links& links, std::vector<Udp::endpoint> bind_addresses,
         const std::vector<Udp::endpoint>& advertised_addresses, std::function<double()> now);
   ~Relay();
@@ -36,7 +36,7 @@
  private:
   class Stream;
   friend class Stream;
-  struct MemberPort {  // to one member
+  struct MemberPort {  // listens at the advertised address of one member
     explicit MemberPort(boost::asio::io_context& io) : udp(io), tcp(io) {}
     Udp::socket udp;
     boost::asio::ip::tcp::acceptor tcp;
--- a/src/fault_testing/processes/service.cpp
+++ b/src/fault_testing/processes/service.cpp
@@ -22,10 +22,12 @@
 namespace http = beast::http;
 using Error = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kDeadline{2000};        // of a request
-constexpr std::chrono::milliseconds kRecheckInterval{10};   // whether a silence is over
-constexpr std::chrono::milliseconds kExitNoticeDelay{300};  // of a process, after its connections broke
-constexpr std::chrono::milliseconds kResponseSlack{1000};   // before one that has no answer is lost
+constexpr std::chrono::milliseconds kDeadline{2000};       // deadline of a request
+constexpr std::chrono::milliseconds kRecheckInterval{10};  // for the end of a freeze or cut
+constexpr std::chrono::milliseconds kExitNoticeDelay{
+    300};  // until the rig knows of an exit after the connections broke
+constexpr std::chrono::milliseconds kResponseSlack{
+    1000};  // after the deadline, until a response counts as missing
 
 void Listen(Tcp::acceptor& acceptor, const Tcp::endpoint& address) {
   acceptor.open(Tcp::v4());
@@ -105,7 +107,7 @@
     return owner_.service_faults_.IsCut(proxy_, backend_) || owner_.service_faults_.IsFrozen(backend_);
   }
 
-  // Once something passes here again.
+  // Repeats `step` after a short time, until the backend is no longer frozen or cut off.
   void RetryAfterRecheck(void (Connection::*step)()) {
     execution_timer_.expires_after(kRecheckInterval);
     execution_timer_.async_wait([self = shared_from_this(), step](const Error& cancelled) {
@@ -156,7 +158,7 @@
   const int proxy_, backend_;
   Tcp::socket socket_;
   asio::steady_timer execution_timer_;
-  const std::uint32_t incarnation_;  // of the backend's process
+  const std::uint32_t incarnation_;  // of the backend's process that accepted the connection
   const std::shared_ptr<std::vector<int>> connections_by_proxy_;
   beast::flat_buffer buffer_;
   http::request<http::string_body> request_;
@@ -281,7 +283,7 @@
     request_.prepare_payload();
     stream_.expires_after(kDeadline + kResponseSlack);
     stream_.async_connect(target_.address, [self = shared_from_this()](const Error& failed) {
-      if (failed) return;  // never taken
+      if (failed) return;  // the proxy never received the request
       http::async_write(self->stream_, self->request_, [self](const Error& broken, std::size_t) {
         if (!broken) self->Read();
       });
@@ -294,8 +296,8 @@
                      [self = shared_from_this()](const Error& failed, std::size_t) {
                        Clients& owner = self->owner_;
                        if (failed) {
-                         // A process that was ended or stood still meanwhile owes nothing. That it ended by
-                         // itself is known here a little later than its connections are.
+                         // A process that was ended or paused meanwhile does not owe a response. The rig
+                         // learns of its exit slightly later than of the broken connection.
                          self->overdue_timer_.expires_after(kExitNoticeDelay);
                          self->overdue_timer_.async_wait([self](const Error& cancelled) {
                            Clients& clients = self->owner_;
--- a/src/fault_testing/processes/service.h
+++ b/src/fault_testing/processes/service.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the proxies of a rig serve, as stand-ins: backends that count each execution by request, start cold
-// and fall over as the emulator's do, and clients that ask at a given rate, whatever becomes of earlier
-// requests, and time from the intended sending.
+// Stand-in backends and clients for the proxies of a rig. The backends count the executions of each request,
+// and start cold and become overloaded like the simulator's. The clients send at a given rate, independently
+// of earlier requests (open loop).
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
 
@@ -28,25 +28,26 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-// Each proxy reaches each backend at an address of its own, so that the rig knows who asks, and can cut them
-// off from each other. Through a cut connections still come up (that is the kernel's doing), and then nothing
-// passes until it is over.
+// Each proxy reaches each backend at an address of its own, so that the rig knows the sender of a request and
+// can cut the two off from each other. During a cut, connections are still established by the kernel, but
+// nothing passes until the cut ends.
 class StandInBackends {
  public:
   StandInBackends(boost::asio::io_context& io, const Plan& plan, std::uint64_t seed,
                   const boost::asio::ip::address& address, const ServiceFaults& service_faults,
                   simulation::RuleChecker& rules, std::function<simulation::Micros()> now);
   const std::vector<std::vector<Tcp::endpoint>>& addresses() const { return addresses_; }  // by proxy
-  // `told`: whether a proxy knows of a backend's present start; `fell`: one was pushed over, and is down.
+  // `is_informed`: whether the proxy knows of the backend's current process; `on_overload`: called when a
+  // cold backend has become overloaded, and must take it down.
   void SetCallbacks(std::function<bool(int proxy, int backend)> is_informed,
                     std::function<void(int backend)> on_overload);
-  void Down(int backend);  // its process ends; connections are reset, new ones refused
-  void Up(int backend);    // a new one, cold
-  // Whether an attempt of an unsafe request is out or has no proof that it did not run.
+  void Down(int backend);  // ends its process: connections are reset, new ones refused
+  void Up(int backend);    // starts a new process, which is cold
+  // Whether an attempt of this unsafe request is in flight or may have been executed.
   bool MayHaveRun(std::uint64_t request) const;
   std::uint64_t overloads() const { return overloads_; }
-  std::uint64_t executions() const;            // at all backends
-  std::vector<int> connected_proxies() const;  // by backend: proxies with a connection to it
+  std::uint64_t executions() const;            // of all backends
+  std::vector<int> connected_proxies() const;  // number of proxies with a connection, by backend
   std::uint64_t executions(int backend) const {
     return backends_[static_cast<std::size_t>(backend)].executions;
   }
@@ -55,11 +56,12 @@
   class Connection;
   struct Backend {
     explicit Backend(const simulation::BackendType& type) : model(type, 0, 0, 1) {}
-    simulation::Backend model;  // for cold starts; the queue is the stand-in's own
+    simulation::Backend model;  // for cold starts only; the stand-in has its own queue
     int busy = 0;
     std::uint64_t executions = 0;
     std::vector<std::weak_ptr<Connection>> open;
-    std::shared_ptr<std::vector<int>> connections;  // by proxy; they may end after the owner
+    std::shared_ptr<std::vector<int>>
+        connections;  // by proxy; shared, since a connection may outlive the owner
   };
   void Accept(int proxy, int backend);
   void RecordExecution(std::uint64_t request, bool unsafe, int backend);
@@ -80,21 +82,23 @@
   std::vector<Backend> backends_;
   std::vector<std::vector<Tcp::endpoint>> addresses_;
   std::vector<std::unique_ptr<Tcp::acceptor>> acceptors_;
-  std::unordered_map<std::uint64_t, int> unsafe_executions_;  // of unsafe requests
-  std::unordered_map<std::uint64_t, int> unproven_;           // their attempts that may have run
+  std::unordered_map<std::uint64_t, int> unsafe_executions_;  // by unsafe request
+  std::unordered_map<std::uint64_t, int>
+      unproven_;  // by unsafe request: attempts that may have been executed
   std::uint64_t overloads_ = 0;
 };
 
 class Clients {
  public:
-  // Where a request goes: the proxy's address and a number of its process, or nothing where none is up; and
-  // whether that process has stood all the while and so owed an answer.
+  // The proxy process that a request is sent to.
   struct Target {
     Tcp::endpoint address;
     int member = 0;
     std::uint64_t incarnation = 0;
   };
+  // Selects a proxy that is up; nothing if there is none.
   using SelectTarget = std::function<std::optional<Target>(simulation::Random&)>;
+  // Whether that process has been running throughout and therefore had to respond.
   using OwesResponse = std::function<bool(const Target&)>;
 
   using MayHaveRun = std::function<bool(std::uint64_t request)>;
@@ -127,10 +131,10 @@
   simulation::Micros count_from_ = 0;
   bool stopped_ = false;
   std::uint64_t total_requests_ = 0, requests_ = 0, served_ = 0,
-                rejected_ = 0;  // the latter three from `count_from_` on
+                rejected_ = 0;  // the last three: since `count_from_`
 };
 
-// The `settings` of a proxy's configuration that fit these stand-ins.
+// The `settings` of a proxy's configuration that match these stand-ins.
 nlohmann::json ProxySettings(const Plan& plan, int member);
 
 }  // namespace copperpoint::fault_testing
--- a/src/fault_testing/processes/troubles.h
+++ b/src/fault_testing/processes/troubles.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The faults in force at the stand-ins: what ails a backend, and which proxies it cannot talk to.
+// The active service faults: the faults of each stand-in backend, and the proxies that are cut off from it.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
 
@@ -16,18 +16,15 @@
  public:
   ServiceFaults(const Plan& plan, std::uint64_t seed) : plan_(plan), seed_(seed) {}
 
-  void AddFault(const Fault& fault);  // one on the service
+  void AddFault(const Fault& fault);  // a service fault; must stay valid until RemoveFault
   void RemoveFault(const Fault& fault);
 
   bool IsFrozen(int backend) const { return MaxAmount(FaultKind::kFreeze, backend, 0) > 0; }
-  double FailureShare(int backend) const {
-    return MaxAmount(FaultKind::kFail, backend, 0);
-  }  // share of requests
+  // Shares of requests.
+  double FailureShare(int backend) const { return MaxAmount(FaultKind::kFail, backend, 0); }
   double ResetShare(int backend) const { return MaxAmount(FaultKind::kReset, backend, 0); }
-  double SlowdownFactor(int backend) const {
-    return MaxAmount(FaultKind::kSlow, backend, 1);
-  }                                          // times as long
-  bool IsCut(int proxy, int backend) const;  // kDiscovery is a backend here
+  double SlowdownFactor(int backend) const { return MaxAmount(FaultKind::kSlow, backend, 1); }
+  bool IsCut(int proxy, int backend) const;  // `backend` may be kDiscovery
 
  private:
   struct ActiveFault {
--- a/src/fault_testing/processes/watch.cpp
+++ b/src/fault_testing/processes/watch.cpp
@@ -14,12 +14,12 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-constexpr double kIpUdpHeaderBytes = 28;                 // bytes of IP and UDP around a datagram
-constexpr std::chrono::milliseconds kPollInterval{100};  // between looks at all views
+constexpr double kIpUdpHeaderBytes = 28;                 // of a datagram
+constexpr std::chrono::milliseconds kPollInterval{100};  // between polls of all views
 
 }  // namespace
 
-// Asks one proxy for its view.
+// Requests the view of one proxy from its admin interface.
 class ProcessFleet::ViewQuery : public std::enable_shared_from_this<ViewQuery> {
  public:
   ViewQuery(ProcessFleet& owner, int member) : owner_(owner), member_(member), stream_(owner.io_) {}
@@ -29,8 +29,8 @@
         owner_.At(member_).operator_address, [self = shared_from_this()](const Error& failed) {
           if (failed) {
             if (self->owner_.plan_.keep) {
-              Member& of = self->owner_.At(self->member_);
-              std::swap(of.operator_address, of.other_operator_address);
+              Member& target = self->owner_.At(self->member_);
+              std::swap(target.operator_address, target.other_operator_address);
             }
             return self->OnDone();
           }
@@ -50,28 +50,29 @@
  private:
   void OnResponse() {
     const auto json = nlohmann::json::parse(response_.body(), nullptr, /*allow_exceptions=*/false);
-    Member& of = owner_.At(member_);
-    // Of two processes, the one that takes part.
+    Member& target = owner_.At(member_);
+    // Of two processes, polls the one that takes part in the membership.
     if (owner_.plan_.keep && (!json.is_object() || !json.value("speaks", false)))
-      std::swap(of.operator_address, of.other_operator_address);
+      std::swap(target.operator_address, target.other_operator_address);
     if (!json.is_object()) return;
-    of.view = json.value("view", "");
-    of.living_members = 0;
+    target.view = json.value("view", "");
+    target.living_members = 0;
     const auto& counters = json["counters"];
-    of.bytes_out = counters.value("sent_bytes", 0.0) + kIpUdpHeaderBytes * counters.value("sent", 0.0);
-    of.bytes_in = counters.value("received_bytes", 0.0) + kIpUdpHeaderBytes * counters.value("received", 0.0);
-    of.polled_at_s = owner_.Now();
-    of.rejected = 0;
+    target.bytes_out = counters.value("sent_bytes", 0.0) + kIpUdpHeaderBytes * counters.value("sent", 0.0);
+    target.bytes_in =
+        counters.value("received_bytes", 0.0) + kIpUdpHeaderBytes * counters.value("received", 0.0);
+    target.polled_at_s = owner_.Now();
+    target.rejected = 0;
     for (const auto& [name, value] : counters.items())
-      if (name.starts_with("refused_")) of.rejected += value.get<double>();
-    if (of.before_at_s < 0 && of.polled_at_s >= owner_.measure_from_s_) {
-      of.bytes_out_before = of.bytes_out;
-      of.bytes_in_before = of.bytes_in;
-      of.before_at_s = of.polled_at_s;
+      if (name.starts_with("refused_")) target.rejected += value.get<double>();
+    if (target.before_at_s < 0 && target.polled_at_s >= owner_.measure_from_s_) {
+      target.bytes_out_before = target.bytes_out;
+      target.bytes_in_before = target.bytes_in;
+      target.before_at_s = target.polled_at_s;
     }
     for (const auto& member : json["members"]) {
       const std::string status = member.value("status", "");
-      of.living_members += status == "alive" || status == "suspect";
+      target.living_members += status == "alive" || status == "suspect";
     }
   }
   void OnDone() {
@@ -86,7 +87,7 @@
   http::response<http::string_body> response_;
 };
 
-// What an operator calls at a member: the process that takes part answers.
+// Sends an operator's POST request to a member; a failure counts as a rule violation.
 void ProcessFleet::CallOperator(int number, const std::string& target, const std::string& body) {
   struct Call {
     explicit Call(asio::io_context& io) : stream(io) {}
@@ -100,17 +101,17 @@
   call->request.set(http::field::host, "rig");
   call->request.prepare_payload();
   call->stream.expires_after(kQueryTimeout);
-  const auto over = [this, number, target, call](const Error& failed) {
+  const auto on_done = [this, number, target, call](const Error& failed) {
     if (failed || call->response.result() != http::status::ok)
       evaluator_.AddRuleViolation(fmt::format("POST {} at {}: {} {}", target, MemberName(number),
                                               failed.message(), call->response.body()));
   };
-  call->stream.async_connect(At(number).operator_address, [call, over](const Error& failed) {
-    if (failed) return over(failed);
-    http::async_write(call->stream, call->request, [call, over](const Error& broken, std::size_t) {
-      if (broken) return over(broken);
+  call->stream.async_connect(At(number).operator_address, [call, on_done](const Error& failed) {
+    if (failed) return on_done(failed);
+    http::async_write(call->stream, call->request, [call, on_done](const Error& broken, std::size_t) {
+      if (broken) return on_done(broken);
       http::async_read(call->stream, call->buffer, call->response,
-                       [over](const Error& error, std::size_t) { over(error); });
+                       [on_done](const Error& error, std::size_t) { on_done(error); });
     });
   });
 }
@@ -159,18 +160,20 @@
     return what + " " + who;
   }
   const auto command = kCommands.find(what);
-  if (command == kCommands.end()) throw std::invalid_argument("no command '" + what + "'");
+  if (command == kCommands.end())
+    throw std::invalid_argument("unknown command '" + what +
+                                "', expected kill, start, stop, go, cut, heal, freeze, thaw, fail or mend");
   const auto& [kind, begins] = command->second;
   Fault fault;
   fault.kind = kind;
   fault.who = {who};
-  // Faults on links are known by their address.
+  // Link faults are identified by their address, so the Fault must stay in the list while it is active.
   const auto same = [&](const Fault& f) { return f.kind == kind && f.who == fault.who; };
   const auto found = std::find_if(commanded_faults_.begin(), commanded_faults_.end(), same);
-  if (begins == (found != commanded_faults_.end())) return who + " is so already";
+  if (begins == (found != commanded_faults_.end())) return who + " is already in that state";
   if (begins) {
     fault.AffectsService() ? SelectBackends(plan_, {who}, 1)
-                           : SelectMembers(plan_, {who}, 1);  // throws if it is none
+                           : SelectMembers(plan_, {who}, 1);  // throws if invalid
     const Fault& active = commanded_faults_.emplace_back(fault);
     StartSharedFault(active);
   } else {
@@ -183,7 +186,7 @@
 void ProcessFleet::PollViews() {
   poll_timer_.expires_after(kPollInterval);
   poll_timer_.async_wait([this](const Error& cancelled) {
-    if (cancelled || over_) return;
+    if (cancelled || has_ended_) return;
     ++polls_;
     for (int i = 0; i < plan_.members; ++i) {
       At(i).view.clear();
@@ -196,7 +199,7 @@
 }
 
 void ProcessFleet::OnViewsPolled() {
-  if (over_) return;
+  if (has_ended_) return;
   std::size_t up = 0;
   const Member* first = nullptr;
   bool agreed = true;
@@ -209,9 +212,9 @@
     agreed &= !member.view.empty() && member.view == first->view;
   }
   views_ = views.size();
-  const bool one = agreed && first && first->living_members == up;
-  evaluator_.OnAgreement(Now(), one);
-  if (one && up == members_.size()) TriggerFaults("settled");
+  const bool agreed_on_truth = agreed && first && first->living_members == up;
+  evaluator_.OnAgreement(Now(), agreed_on_truth);
+  if (agreed_on_truth && up == members_.size()) TriggerFaults("settled");
   PollViews();
 }
 
--- a/src/fault_testing/quantile.h
+++ b/src/fault_testing/quantile.h
@@ -8,7 +8,7 @@
 
 namespace copperpoint::fault_testing {
 
-// The least value that at most `share` of the others lie below; 0 of none.
+// The smallest value that at most `share` of the values are below; 0 if there are none.
 inline double Quantile(std::vector<double> of, double share) {
   if (of.empty()) return 0;
   std::sort(of.begin(), of.end());
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/trial.cpp
@@ -30,10 +30,10 @@
 using simulation::Micros;
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kMessageDelay = 1'000;               // of a letter
-constexpr Micros kPullInterval = 200'000;             // between looks at another member's versions
-constexpr Micros kFailureDetectionDelay = 2'600'000;  // until the view holds one that ended for dead
-constexpr double kMajorityContactTimeoutS = 4;        // of a leader's last word from a majority
+constexpr Micros kMessageDelay = 1'000;               // of a message between members, one way
+constexpr Micros kPullInterval = 200'000;             // between comparisons of documents with another member
+constexpr Micros kFailureDetectionDelay = 2'600'000;  // until the others consider a crashed member dead
+constexpr double kMajorityContactTimeoutS = 4;        // maximum age of a leader's contact with a majority
 constexpr const char* kFaultNames[] = {"cut",   "one way", "kill",        "pause",        "loss",
                                        "abort", "plan",    "kill leader", "pause leader", "cut leader"};
 
@@ -48,25 +48,25 @@
  private:
   struct Node {
     std::string name, zone;
-    std::string version;  // that its process is
+    std::string version;  // of its process
     std::unique_ptr<Agent> agent;
     std::uint64_t incarnation = 0;
-    Micros ready_at = 0;  // its process serves from then on
+    Micros ready_at = 0;  // from when its process serves requests
     Micros up_since = 0;
-    Micros paused_until = 0;  // stands still
-    Micros down_until = 0;    // killed
+    Micros paused_until = 0;  // its process is paused until then
+    Micros down_until = 0;    // its process is killed and starts again then
     Micros down_since = 0;
-    std::string target_version;  // of a change under way
+    std::string target_version;  // of a version switch in progress; empty: none
     std::uint32_t crashes = 0;
     bool isolated = false;
     std::map<std::uint32_t, std::pair<std::uint64_t, std::string>> documents;  // by topic
-    std::vector<rollout::wire::Stratum> strata;  // by class, then by class and account
+    std::vector<rollout::wire::Stratum> strata;  // by class, followed by those by class and tenant
     double cpu_us = 0, memory_kb = 30000;
     double rate = 0, missed_share = 0;
-    std::deque<std::pair<int, std::string>> queued_messages;  // that wait for one that stands still
+    std::deque<std::pair<int, std::string>> queued_messages;  // received while paused: sender and body
     bool ran_new_version = false;
-    std::set<std::uint64_t> known_ended_rollouts;  // changes
-    std::uint64_t stored_progress = 0;             // that its keeper remembers
+    std::set<std::uint64_t> known_ended_rollouts;  // rollouts that it knows to be rolled back
+    std::uint64_t stored_progress = 0;             // the progress marker that its supervisor stores
     std::string failed_version, failure_reason;
     Micros rolled_back_at = 0;
   };
@@ -106,12 +106,12 @@
   Micros now_ = 0;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, int> by_name_;
-  std::vector<Message> messages_;  // a heap
+  std::vector<Message> messages_;  // in flight; a heap with the earliest first
   std::vector<Partition> partitions_;
-  std::vector<std::pair<Micros, int>> pending_faults_;  // when and which
+  std::vector<std::pair<Micros, int>> pending_faults_;  // times and indexes into kFaultNames, by time
   std::vector<std::string> event_log_;
   Micros last_fault_end_ = 0, lossy_until_ = 0;
-  std::set<std::uint64_t> aborted_rollouts_;  // changes
+  std::set<std::uint64_t> aborted_rollouts_;
   TrialResult result_;
 };
 
@@ -128,8 +128,8 @@
 
 bool Trial::IsConsideredAlive(int observer, const std::string& name) const {
   const int i = by_name_.at(name);
-  const Node& of = nodes_[static_cast<std::size_t>(i)];
-  if (now_ < of.down_until) return now_ < of.down_since + kFailureDetectionDelay;
+  const Node& subject = nodes_[static_cast<std::size_t>(i)];
+  if (now_ < subject.down_until) return now_ < subject.down_since + kFailureDetectionDelay;
   for (const Partition& partition : partitions_) {
     if (now_ < partition.from + kFailureDetectionDelay || now_ >= partition.to) continue;
     if (partition.on_first_side[static_cast<std::size_t>(observer)] !=
@@ -137,7 +137,7 @@
         !partition.one_way)
       return false;
   }
-  return !(of.isolated && of.version == plan_.new_version);
+  return !(subject.isolated && subject.version == plan_.new_version);
 }
 
 rollout::wire::MemberReport Trial::MakeReport(const Node& node) const {
@@ -150,7 +150,7 @@
   return report;
 }
 
-// A new process of that version.
+// Replaces the member's process with a new one of `version`.
 void Trial::StartProcess(int i, const std::string& version) {
   Node& node = At(i);
   if (node.version != version) node.crashes = 0;
@@ -179,17 +179,18 @@
   }
 }
 
-// What a keeper does when its process asks for another version.
+// Emulates the supervisor, whose process requests another version.
 void Trial::SwitchVersion(int i, const std::string& version) {
   Node& node = At(i);
   const Micros duration = FromMs(random_.Between(800, 2000));
   if (version == plan_.new_version && node.known_ended_rollouts.contains(node.agent->progress().rollout_id))
-    ReportViolation(node.name + " changes after it knew of the end");
+    ReportViolation(node.name +
+                    " switches to the new version although it knows that the rollout is rolled back");
   if (version == plan_.new_version && options_.regression == Regression::kDoesNotStart) {
     if (result_.first_s == 0) result_.first_s = Seconds(now_);
     node.ran_new_version = true;
     node.failed_version = version;
-    node.failure_reason = "it did not come up";
+    node.failure_reason = "the process did not become ready";
     node.agent->OnVersionFailed(version, node.failure_reason);
     return ProcessOutput(i);
   }
@@ -213,16 +214,16 @@
   }
   for (const rollout::Event& event : output.events) {
     if (options_.record_events)
-      event_log_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} may have changed", Seconds(now_),
+      event_log_.push_back(fmt::format("{:.2f} s: {} ({}) {} {}, {} members admitted", Seconds(now_),
                                        node.name, event.rollout_name, rollout::NameOf(event.kind),
                                        event.reason, event.admitted_members));
     if (event.kind == rollout::EventKind::kStageStarted) {
-      // No stage goes on unless its leader hears a majority.
+      // A stage may only start if its leader is in contact with a majority.
       int reachable = 0;
       for (int j = 0; j < options_.members; ++j) {
         bool is_reachable = j == i;
         if (!is_reachable && IsUp(At(j))) is_reachable = CanReach(i, j) && CanReach(j, i);
-        // What it heard may be a little old.
+        // The last contact may date from shortly before a partition or crash.
         for (const Partition& partition : partitions_)
           is_reachable |= IsUp(At(j)) && now_ >= partition.from &&
                           now_ < partition.from + static_cast<Micros>(kMajorityContactTimeoutS * kSecond);
@@ -231,7 +232,7 @@
                       now_ < At(j).down_since + static_cast<Micros>(kMajorityContactTimeoutS * kSecond));
       }
       if (2 * reachable <= options_.members)
-        ReportViolation(node.name + " goes on with a stage without a majority");
+        ReportViolation(node.name + " started a stage without contact with a majority");
     }
     if (event.kind == rollout::EventKind::kStopped && result_.why.empty()) result_.why = event.reason;
     if ((event.kind == rollout::EventKind::kCompleted || event.kind == rollout::EventKind::kEnded ||
@@ -256,7 +257,7 @@
   }
   if (options_.regression == Regression::kCrashes && node.version == plan_.new_version &&
       now_ > node.up_since + FromMs(options_.amount * 1000)) {
-    ++node.crashes;  // its keeper starts it again
+    ++node.crashes;  // its supervisor restarts it
     StartProcess(i, node.version);
     node.ready_at = now_ + kSecond;
   }
@@ -273,7 +274,7 @@
   }
 }
 
-// Looks at the versions that another holds, and takes what is later (view/documents.h).
+// Fetches documents that a random other member has in a later version (view/documents.h).
 void Trial::PullDocuments(int i) {
   const int j = static_cast<int>(random_.Below(nodes_.size()));
   if (i == j || !IsUp(At(i)) || !IsUp(At(j)) || IsPaused(At(i)) || IsPaused(At(j)) || !CanReach(i, j) ||
@@ -289,13 +290,13 @@
   }
 }
 
-// A second of traffic at every member that serves.
+// Adds one second of traffic at every member that serves requests.
 void Trial::SimulateTraffic() {
   int updated_members = 0;
   for (const Node& node : nodes_) updated_members += node.version == plan_.new_version;
   const bool at_scale = 3 * updated_members >= options_.members;
   const double t = Seconds(now_);
-  // Troubles come back every two minutes, so that some meet every stage.
+  // Disturbances recur every two minutes, so that each stage encounters some.
   const bool disturbed =
       options_.environment != Environment::kCalm && std::fmod(t, 120) > 40 && std::fmod(t, 120) < 70;
   for (int i = 0; i < options_.members; ++i) {
@@ -304,7 +305,7 @@
     const bool is_new = node.version == plan_.new_version;
     double miss_factor = 1, rate_factor = 1;
     if (disturbed && options_.environment == Environment::kTrafficSurge) miss_factor = 4, rate_factor = 2;
-    // A third of the members have the backends that ail.
+    // The failing backends are those of a third of the members.
     if (disturbed && options_.environment == Environment::kFailingBackends &&
         (i * 7 + static_cast<int>(t / 120)) % 3 == 0)
       miss_factor = 8;
@@ -438,19 +439,21 @@
   if (result_.story.size() < 20) result_.story.push_back(fmt::format("{:.2f} s: {}", Seconds(now_), what));
 }
 
-// All that live hold the same mark, an end, and run what follows from it.
+// Whether all members are up, no rollout is active, and all run the one version that its result requires.
 bool Trial::IsSettled() const {
   std::set<std::string> versions;
   for (const Node& node : nodes_) {
     if (now_ < node.down_until || now_ < node.paused_until || !node.agent || !node.target_version.empty())
       return false;
     if (node.isolated && node.version == plan_.new_version) return false;
-    const rollout::Progress& held = node.agent->progress();
-    if (held.rollout_id == 0) continue;  // it holds none, as where the only one that knew of it ended
+    const rollout::Progress& progress = node.agent->progress();
+    if (progress.rollout_id == 0)
+      continue;  // none known, as when the only member that knew of the rollout has crashed
     if (node.agent->busy()) return false;
     versions.insert(node.version);
-    if (held.requires_rollback() && node.version == plan_.new_version) return false;
-    if (held.status == rollout::RolloutStatus::kCompleted && node.version != plan_.new_version) return false;
+    if (progress.requires_rollback() && node.version == plan_.new_version) return false;
+    if (progress.status == rollout::RolloutStatus::kCompleted && node.version != plan_.new_version)
+      return false;
   }
   return versions.size() <= 1;
 }
@@ -535,20 +538,21 @@
     result_.done |= node.agent->progress().status == rollout::RolloutStatus::kCompleted;
     if (node.agent->progress().status == rollout::RolloutStatus::kCompleted &&
         aborted_rollouts_.contains(node.agent->progress().rollout_id))
-      ReportViolation(node.name + " holds it for done after an abort");
+      ReportViolation(node.name + " considers the rollout completed although it was aborted");
     any_rolled_back |=
         node.agent->progress().ended() && node.agent->progress().status != rollout::RolloutStatus::kCompleted;
   }
   result_.stopped = any_rolled_back;
-  if (result_.done && any_rolled_back) ReportViolation("some hold the change for done, others for stopped");
+  if (result_.done && any_rolled_back)
+    ReportViolation("some members consider the rollout completed, others stopped");
   if (options_.regression != Regression::kIsolated && !IsSettled()) {
-    ReportViolation("it has not ended, or not everywhere alike");
+    ReportViolation("the rollout has not ended, or with different results at different members");
     for (const Node& node : nodes_)
       if (node.agent && result_.story.size() < 30)
-        result_.story.push_back(
-            fmt::format("{} runs {}, holds change {:x} {}, {} may have changed{}", node.name, node.version,
-                        node.agent->progress().rollout_id, static_cast<int>(node.agent->progress().status),
-                        node.agent->progress().admitted_members, node.agent->is_leader() ? ", leads" : ""));
+        result_.story.push_back(fmt::format(
+            "{} runs {}, knows rollout {:x} with status {}, {} members admitted{}", node.name, node.version,
+            node.agent->progress().rollout_id, static_cast<int>(node.agent->progress().status),
+            node.agent->progress().admitted_members, node.agent->is_leader() ? ", is the leader" : ""));
   }
   if (!result_.holds)
     for (const std::string& line : event_log_) result_.story.push_back(line);
--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -24,10 +24,11 @@
 using simulation::Micros;
 
 constexpr char kCluster[] = "rig", kKey[] = "a key that only the rig has";
-constexpr double kExchangeRtts = 1.5;            // before the first frame is there
-constexpr Micros kReplacementDelay = 300'000;    // from one process's end to the next one's start
-constexpr std::size_t kSocketQueueLength = 200;  // datagrams that wait for a process that stands still
-constexpr int kSubsetSize = 8;                   // backends that a proxy keeps to, as the module's least
+constexpr double kExchangeRtts = 1.5;          // round trips until the first frame of an exchange arrives
+constexpr Micros kReplacementDelay = 300'000;  // from the end of a process to the start of its replacement
+constexpr std::size_t kSocketQueueLength =
+    200;                        // datagrams that the socket of a paused process holds; more are lost
+constexpr int kSubsetSize = 8;  // backends of a proxy; the minimum subset size of src/subsetting
 
 double Seconds(Micros at) { return static_cast<double>(at) / 1e6; }
 
@@ -60,22 +61,22 @@
   };
   struct Message {
     int from = 0, to = 0;
-    std::uint64_t incarnation = 0;  // of the process that it is for, where it is an answer
+    std::uint64_t incarnation = 0;  // of the receiving process; only used for replies
     std::string bytes;
   };
   struct Node {
     std::unique_ptr<membership::Membership> view;
-    std::uint64_t incarnation = 0;  // counts processes
+    std::uint64_t incarnation = 0;  // number of processes started so far
     bool paused = false;
-    std::deque<std::pair<Kind, std::uint64_t>> queued;  // what came while it stood still
+    std::deque<std::pair<Kind, std::uint64_t>> queued;  // received while paused
     Micros wakeup_at = simulation::kNeverMicros;
-    Micros clock_offset = 0;  // its clock, of virtual time
+    Micros clock_offset = 0;  // of its clock from virtual time
     subsetting::RingPosition ring_position;
-    int first_backend = -1;  // backend of its subset; below 0: not known yet
+    int first_backend = -1;  // of its subset; negative: not known yet
     std::uint64_t hash = 0;
-    bool counted = false;  // in `hashes_`
+    bool counted = false;  // in `members_by_hash_`
     std::uint64_t bytes_out_before = 0, bytes_in_before = 0;
-    std::uint64_t sent = 0, received = 0, sent_bytes = 0, received_bytes = 0;  // of lives that are over
+    std::uint64_t sent = 0, received = 0, sent_bytes = 0, received_bytes = 0;  // by earlier processes
   };
 
   Node& At(int member) { return nodes_[static_cast<std::size_t>(member)]; }
@@ -97,19 +98,19 @@
   }
   void UpdateAgreement(int member);
   void UpdateSubset(Node& node);
-  std::vector<int> ProxiesByBackend() const;  // by backend, how many keep to it
+  std::vector<int> ProxiesByBackend() const;  // number of proxies with each backend in their subset
   void StartFault(std::size_t index);
   void EndFault(std::size_t index);
   void TriggerFaults(std::string_view event, std::string_view member = {});
   void Snapshot(bool close);
-  std::vector<std::string> Differences() const;  // of views from the truth, a line each
+  std::vector<std::string> Differences() const;  // between views and reality, one line for each view
 
   const Plan& plan_;
   const VirtualOptions& options_;
   simulation::Random random_;
   Links links_;
   Conditions conditions_;
-  std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // in force
+  std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // active ones, with their members
   simulation::EventQueue queue_;
   RunEvaluator evaluator_;
   membership::RecordPool records_;
@@ -118,12 +119,12 @@
   std::vector<std::string> seeds_;
   std::vector<Message> messages_;
   std::vector<std::uint64_t> free_messages_;
-  std::vector<std::vector<int>> fault_members_;  // by fault
+  std::vector<std::vector<int>> fault_members_;  // affected members, by fault
   std::unordered_map<std::uint64_t, int> members_by_hash_;
   int running_ = 0;
   bool settling_ = false;
-  bool uses_subsets_ = false;                 // the backends, by the view
-  std::uint64_t reassigned_connections_ = 0;  // connections that members changed to other backends
+  bool uses_subsets_ = false;                 // members divide the backends among themselves by their view
+  std::uint64_t reassigned_connections_ = 0;  // connections moved to other backends by subset changes
   double measure_from_s_ = 0;
   std::uint64_t events_ = 0, suspicions_ = 0, refutations_ = 0, healed_ = 0;
   nlohmann::ordered_json timeline_ = nlohmann::ordered_json::array();
@@ -208,7 +209,8 @@
   evaluator_.OnEnded(Seconds(queue_.now()), member, graceful);
 }
 
-// How many views there are among the living, and whether the one is true.
+// Updates the number of distinct views among the running members, and whether all agree on the true
+// membership.
 void VirtualFleet::UpdateAgreement(int member) {
   Node& node = At(member);
   const bool counts = node.view != nullptr;
@@ -346,7 +348,7 @@
     return;
   }
   if (fault.AffectsLinks()) return links_.AddFault(fault);
-  if (fault.AffectsService()) return;  // there are no backends in virtual time
+  if (fault.AffectsService()) return;  // virtual time has no backends
   for (const int member : members) {
     switch (fault.kind) {
       case FaultKind::kKill:
@@ -376,7 +378,7 @@
         break;
       case FaultKind::kChange:
       case FaultKind::kAbort:
-        break;  // rollout simulate plays them in virtual time
+        break;  // in virtual time, `rollout simulate` covers rollouts
       default:  // starve
         Fault from_now = fault;
         from_now.at_s = Seconds(queue_.now());
@@ -429,7 +431,7 @@
     case kWakeup: {
       Node& node = At(member);
       if (!node.view || node.incarnation != due.argument || node.wakeup_at != due.at) return;
-      if (node.paused) return;  // it looks at its timers when it goes on
+      if (node.paused) return;  // its timers are checked when it resumes
       node.wakeup_at = simulation::kNeverMicros;
       if (node.view->next() <= Clock(node)) node.view->OnTick(Clock(node));
       return ProcessOutput(member);
@@ -452,8 +454,8 @@
       Node& node = At(member);
       if (!node.view || !std::exchange(node.paused, false)) return;
       evaluator_.OnResumed(Seconds(due.at), member);
-      // Timers and sockets are due at once, and a loop may look at either first. What waits comes oldest
-      // first.
+      // Timers and sockets are ready at once, and an event loop may process either first. Queued datagrams
+      // are delivered oldest first.
       if (random_.Chance(0.5)) {
         node.view->OnTick(Clock(node));
         ProcessOutput(member);
@@ -471,7 +473,7 @@
   }
 }
 
-// What views differ in from the truth, for the story of a run that did not settle.
+// Describes how the views differ from the true membership, for a run that does not hold.
 std::vector<std::string> VirtualFleet::Differences() const {
   constexpr std::size_t kMaxLines = 12;
   std::vector<std::string> lines;
@@ -484,17 +486,19 @@
       const int at = members.Find(name);
       const bool considered_alive = at >= 0 && members[at].living(), is_running = nodes_[i].view != nullptr;
       if (considered_alive != is_running) {
-        differences += " " + name + (is_running ? (at < 0 ? " is unknown," : " is gone,") : " lives,");
+        differences +=
+            " " + name +
+            (is_running ? (at < 0 ? " is unknown," : " is considered dead,") : " is considered alive,");
       } else if (is_running && members[at].record->incarnation() != nodes_[i].view->self().incarnation()) {
-        differences += " " + name + " is an older process,";
+        differences += " " + name + " has an outdated incarnation,";
       } else if (is_running &&
                  members[at].record->refutation_number() != nodes_[i].view->self().refutation_number()) {
-        differences += " " + name + " has another incarnation,";
+        differences += " " + name + " has another refutation number,";
       }
     }
     if (differences.empty()) continue;
     differences.pop_back();
-    lines.push_back("to " + node.view->self().name() + (node.view->stopped() ? " (silent)" : "") +
+    lines.push_back("view of " + node.view->self().name() + (node.view->stopped() ? " (stopped)" : "") + ":" +
                     differences);
     if (lines.size() >= kMaxLines) break;
   }
--- a/src/fault_testing/virtual.h
+++ b/src/fault_testing/virtual.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A plan in virtual time: the members' own protocol objects over an emulated network. The same plan and seed
-// give the same result, to the byte.
+// Runs a fault test plan in virtual time: the members' real protocol objects over an emulated network. The
+// same plan and seed give a byte-identical result.
 #ifndef COPPERPOINT_FAULT_TESTING_VIRTUAL_H_
 #define COPPERPOINT_FAULT_TESTING_VIRTUAL_H_
 
@@ -17,14 +17,14 @@
 struct Outcome {
   bool holds = true;
   nlohmann::ordered_json json;
-  std::vector<std::string> failures;
+  std::vector<std::string> failures;  // one line for each detail of what did not hold
 };
 
 struct VirtualOptions {
   std::uint64_t seed = 1;
   membership::Options membership_options;
-  bool settled = false;          // those that start with the run have long known each other
-  bool record_timeline = false;  // keeps how many views there are over time, for plots
+  bool settled = false;          // members that start with the run already know each other
+  bool record_timeline = false;  // adds the number of distinct views over time to the result, for plots
 };
 
 Outcome PlayVirtual(const Plan& plan, const VirtualOptions& options);
