--- a/src/fault_testing/processes/relay.h
+++ b/src/fault_testing/processes/relay.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What lies between the members of a rig of processes. Each member advertises an address of the relay's and
-// binds another, so that every datagram and connection between two of them passes here, where sender and
-// receiver are known and their link is shaped by the faults in force.
+// The network between the processes of a rig. Each member binds one address and advertises another, which
+// belongs to the relay. Every datagram and connection between two members therefore passes through the relay,
+// which knows sender and receiver and applies the active faults of their link.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_RELAY_H_
 
@@ -24,20 +24,20 @@
  public:
   using Udp = boost::asio::ip::udp;
 
-  // `inside`: where each member binds; `outside`: what it advertises; `now`: seconds of the run. Throws
-  // boost::system::system_error if an address cannot be had.
-  Relay(boost::asio::io_context& io, Links& links, std::vector<Udp::endpoint> inside,
-        const std::vector<Udp::endpoint>& outside, std::function<double()> now);
+  // Both address lists are by member; `now` returns the seconds since the start of the run. Throws
+  // boost::system::system_error if an address cannot be bound.
+  Relay(boost::asio::io_context& io, Links& links, std::vector<Udp::endpoint> bind_addresses,
+        const std::vector<Udp::endpoint>& advertised_addresses, std::function<double()> now);
   ~Relay();
 
-  std::uint64_t passed() const { return passed_; }
+  std::uint64_t forwarded() const { return forwarded_; }
   std::uint64_t dropped() const { return dropped_; }
 
  private:
   class Stream;
   friend class Stream;
-  struct Door {  // to one member
-    explicit Door(boost::asio::io_context& io) : udp(io), tcp(io) {}
+  struct MemberPort {  // listens at the advertised address of one member
+    explicit MemberPort(boost::asio::io_context& io) : udp(io), tcp(io) {}
     Udp::socket udp;
     boost::asio::ip::tcp::acceptor tcp;
     Udp::endpoint from;
@@ -46,17 +46,17 @@
 
   void Receive(int to);
   void OnDatagram(int to, std::size_t size);
-  void Pass(int from, int to, std::string bytes);
+  void Send(int from, int to, std::string bytes);
   void Accept(int to);
   int MemberAt(const boost::asio::ip::address& address) const;
 
   boost::asio::io_context& io_;
   Links& links_;
   std::function<double()> now_;
-  std::vector<Udp::endpoint> inside_;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<Udp::endpoint> bind_addresses_;
+  std::vector<std::unique_ptr<MemberPort>> ports_;
   std::unordered_set<std::shared_ptr<Stream>> streams_;
-  std::uint64_t passed_ = 0, dropped_ = 0;
+  std::uint64_t forwarded_ = 0, dropped_ = 0;
 };
 
 }  // namespace copperpoint::fault_testing
