--- a/src/fault_testing/plan.h
+++ b/src/fault_testing/plan.h
@@ -50,8 +50,7 @@
 struct Fault {
   FaultKind kind = FaultKind::kKill;
   double at_s = 0, for_s = 0;  // for_s 0: until the end of the run
-  std::string
-      when;  // `at_s` counts from when this condition first holds (conditions.h); empty: from the start
+  std::string when;            // the condition from which `at_s` counts (conditions.h); empty: from the start
   std::vector<std::string> who{"all"};  // link faults: the senders
   std::vector<std::string> to;  // link faults: the receivers; empty: all members that are not in `who`
   bool both = true;             // link faults: the reverse direction too
@@ -65,8 +64,8 @@
 };
 
 enum class PropertyKind {
-  kSettlesWithin,  // all running members agree on the true membership within `bound` seconds of the last
-                   // fault (or of `after_s`)
+  kSettlesWithin,  // all running members agree on the true membership within `bound` seconds of the end
+                   // of the last fault (or of `after_s`)
   kKnownWithin,    // every crash is detected by every member that keeps running within `bound` seconds
   kNeverRemoved,   // at most `bound` times, a running and reachable member is declared dead
   kBytesAtMost,    // no member sends or receives more than `bound` bytes a second of datagrams from `after_s`
--- a/src/fault_testing/processes/directory.h
+++ b/src/fault_testing/processes/directory.h
@@ -37,8 +37,8 @@
   void SetState(int backend, Phase phase, bool started);
   // Whether the proxy has been informed of the backend's current process.
   bool KnowsCurrentProcess(int proxy, int backend) const;
-  // A new process of a proxy has no endpoints yet; a paused one has not read its updates, which is why the
-  // service rules allow it time from its start or its resumption on.
+  // A new process of a proxy has received no endpoints. One that resumes has not read the updates of its
+  // pause: they count as delivered at the resumption.
   void OnProxyStarted(int proxy);
   void OnProxyResumed(int proxy);
 
@@ -47,7 +47,7 @@
   friend class Watch;
   struct Entry {
     Phase phase = Phase::kInService;
-    std::int64_t up_since_unix_ms = 0;  // 0: unknown, long ago
+    std::int64_t up_since_unix_ms = 0;  // 0: long ago
     std::uint64_t changed_in_revision = 1;
   };
   struct KnownBackend {  // what one proxy knows of one backend
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -90,11 +90,11 @@
     std::unique_ptr<Child> child;
     std::uint64_t incarnation = 0;
     bool up = false, paused = false;
-    bool exit_expected = false, killed = false;  // the rig has ended this process: in any way, by SIGKILL
+    bool exit_expected = false, killed = false;  // whether the rig has ended this process, and by SIGKILL
     bool runs_other_program = false;             // ProcessOptions::other_program
-    Clock::time_point last_ready{};              // when it last became ready or was resumed
-    Tcp::endpoint listen_address, operator_address,
-        other_operator_address;  // of the second process during a version switch
+    Clock::time_point last_ready{};              // when it last became ready, paused or resumed
+    // `other_operator_address`: of the second process of a member during a version switch.
+    Tcp::endpoint listen_address, operator_address, other_operator_address;
     std::string version = "v1";  // that serves, according to its supervisor
     std::set<std::string> versions_run;
     int proxy_pid = 0;  // of the proxy process under a supervisor
