--- a/src/fault_testing/processes/service.h
+++ b/src/fault_testing/processes/service.h
@@ -2,7 +2,7 @@
 //
 // Stand-in backends and clients for the proxies of a rig. The backends count the executions of each request,
 // and start cold and become overloaded like the simulator's. The clients send at a given rate, independently
-// of earlier requests (open loop).
+// of earlier requests (open loop): each sending time follows from the intended one of the request before.
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_H_
 
