--- a/src/simulation/policies/admission_gates.cpp
+++ b/src/simulation/policies/admission_gates.cpp
@@ -13,25 +13,29 @@
 namespace {
 
 constexpr double kMinWorkMs = 1;
-constexpr double kMaxInFlight = 1000;  // limit of limits and credits
+constexpr double kMaxInFlight = 1000;  // upper bound of concurrency limits and of credits
 constexpr double kInitialInFlight = 20;
 
-// The queueing delay of responses: the time beyond what their work takes at the best. That is learnt as the
-// least time over work, raised a little with every response so that it can be forgotten.
+// Estimates the queueing delay of a response: its duration beyond the shortest one for the same work. The
+// shortest is tracked as the minimum ratio of duration to work. Each response raises that minimum by a small
+// factor, so that an outdated minimum expires.
 class QueueingDelay {
  public:
-  double OfResponse(double took_ms, double work_ms) {
+  double OfResponse(double duration_ms, double work_ms) {
     const double work = std::max(work_ms, kMinWorkMs);
-    const double time_over_work = took_ms / work;
-    least_ = least_ <= 0 ? time_over_work : std::min(least_ * kForget, time_over_work);
-    return std::max(0.0, took_ms - kSpread * least_ * work);
+    const double time_over_work = duration_ms / work;
+    min_time_over_work_ = min_time_over_work_ <= 0
+                              ? time_over_work
+                              : std::min(min_time_over_work_ * kMinGrowthPerResponse, time_over_work);
+    return std::max(0.0, duration_ms - kToleratedRatio * min_time_over_work_ * work);
   }
 
  private:
-  static constexpr double kForget = 1.002;
-  static constexpr double kSpread = 3;  // backends and responses differ by as much without any delay
+  static constexpr double kMinGrowthPerResponse = 1.002;
+  // Durations differ by this factor between backends and between responses even without queueing.
+  static constexpr double kToleratedRatio = 3;
 
-  double least_ = 0;
+  double min_time_over_work_ = 0;
 };
 
 class GradientGate : public AdmissionGate {
@@ -40,17 +44,18 @@
     return in_flight < limit_;
   }
 
-  void OnAnswered(TimePoint /*now*/, double took_ms, double work_ms, int in_flight) override {
-    const double time = took_ms / std::max(work_ms, kMinWorkMs);
+  void OnResponseOrTimeout(TimePoint /*now*/, double duration_ms, double work_ms, int in_flight) override {
+    const double time = duration_ms / std::max(work_ms, kMinWorkMs);
     short_mean_ += (short_mean_ <= 0 ? 1 : kShortSmoothing) * (time - short_mean_);
     long_mean_ += (long_mean_ <= 0 ? 1 : kLongSmoothing) * (time - long_mean_);
-    // After an overload the usual time is found anew.
+    // After an overload the long-term mean is too high: it decays towards the current response time.
     if (long_mean_ > 2 * short_mean_) long_mean_ *= kLongDecay;
-    if (in_flight < limit_ / 2) return;  // the limit is not what bounds the requests in flight
+    if (in_flight < limit_ / 2) return;  // the limit does not bound the requests in flight
     const double gradient =
         std::clamp(kTolerance * long_mean_ / std::max(short_mean_, kMinMean), kMinGradient, 1.0);
-    const double wanted = gradient * limit_ + std::sqrt(limit_);
-    limit_ = std::clamp((1 - kLimitSmoothing) * limit_ + kLimitSmoothing * wanted, kMinLimit, kMaxInFlight);
+    const double unsmoothed_limit = gradient * limit_ + std::sqrt(limit_);
+    limit_ = std::clamp((1 - kLimitSmoothing) * limit_ + kLimitSmoothing * unsmoothed_limit, kMinLimit,
+                        kMaxInFlight);
   }
 
  private:
@@ -79,32 +84,32 @@
     return false;
   }
 
-  void OnAnswered(TimePoint now, double took_ms, double work_ms, int /*in_flight*/) override {
-    const double delay_ms = delay_.OfResponse(took_ms, work_ms);
+  void OnResponseOrTimeout(TimePoint now, double duration_ms, double work_ms, int /*in_flight*/) override {
+    const double delay_ms = delay_.OfResponse(duration_ms, work_ms);
     if (now >= interval_end_) EndInterval(now, delay_ms);
-    least_delay_ms_ = std::min(least_delay_ms_, delay_ms);
+    min_delay_ms_ = std::min(min_delay_ms_, delay_ms);
   }
 
  private:
   static constexpr Duration kInterval{100};
 
   void EndInterval(TimePoint now, double delay_ms) {
-    const bool over = least_delay_ms_ > target_ms_ && interval_end_ != TimePoint{};
-    if (over && !dropping_) {
+    const bool over_target = min_delay_ms_ > target_ms_ && interval_end_ != TimePoint{};
+    if (over_target && !dropping_) {
       next_drop_ = now;
       drops_ = std::max(1.0, drops_ - 2);
     }
-    if (!over && dropping_ && drops_ > 2) drops_ -= 2;
-    dropping_ = over;
+    if (!over_target && dropping_ && drops_ > 2) drops_ -= 2;
+    dropping_ = over_target;
     interval_end_ = now + kInterval;
-    least_delay_ms_ = delay_ms;
+    min_delay_ms_ = delay_ms;
   }
 
   double target_ms_;
   QueueingDelay delay_;
   TimePoint interval_end_{};
   TimePoint next_drop_{};
-  double least_delay_ms_ = 0;  // of the interval
+  double min_delay_ms_ = 0;  // in the current interval
   double drops_ = 1;
   bool dropping_ = false;
 };
@@ -122,8 +127,9 @@
     return admitted;
   }
 
-  void OnAnswered(TimePoint /*now*/, double took_ms, double work_ms, int /*in_flight*/) override {
-    delay_sum_ms_ += delay_.OfResponse(took_ms, work_ms);
+  void OnResponseOrTimeout(TimePoint /*now*/, double duration_ms, double work_ms,
+                           int /*in_flight*/) override {
+    delay_sum_ms_ += delay_.OfResponse(duration_ms, work_ms);
     ++responses_;
   }
 
@@ -135,19 +141,21 @@
   static constexpr double kIncrease = 0.01;
   static constexpr double kMinIncreaseBase = 100;  // requests
 
-  // 0 goes first: classes by their priority weight, within them requests by a hash, as of users.
+  // Level 0 is admitted first. Classes are ordered by their priority weight; within a class, requests are
+  // ordered by a hash of tenant and key, which stands for DAGOR's user id.
   std::size_t LevelOf(const RequestReceived& request) const {
     const auto request_class = static_cast<std::size_t>(request.request_class);
     const double weight = settings_.classes[request_class].priority_weight;
-    std::size_t better_classes = 0;
-    for (const ClassSettings& c : settings_.classes) better_classes += c.priority_weight > weight;
+    std::size_t higher_weight_classes = 0;
+    for (const ClassSettings& c : settings_.classes) higher_weight_classes += c.priority_weight > weight;
     const std::uint64_t user[] = {static_cast<std::uint64_t>(request.tenant), request.key};
     const std::size_t level_of_user = XXH64(user, sizeof user, 0) % kLevelsPerClass;
-    const std::size_t class_rank = std::min<std::size_t>(better_classes, kLevels / kLevelsPerClass - 1);
+    const std::size_t class_rank =
+        std::min<std::size_t>(higher_weight_classes, kLevels / kLevelsPerClass - 1);
     return std::min(kLevels - 1, class_rank * kLevelsPerClass + level_of_user);
   }
 
-  // Levels, from the first on, that together received no more than `quota` requests.
+  // Returns how many levels, counted from level 0, received at most `quota` requests in total.
   std::size_t LevelsWithin(double quota) const {
     std::size_t levels = 0;
     for (double sum = 0; levels < kLevels && sum + received_[levels] <= quota; ++levels)
@@ -156,8 +164,8 @@
   }
 
   void EndWindow(TimePoint now) {
-    const bool over = responses_ > 0 && delay_sum_ms_ / responses_ > target_ms_;
-    if (over) {
+    const bool over_target = responses_ > 0 && delay_sum_ms_ / responses_ > target_ms_;
+    if (over_target) {
       const std::size_t levels = LevelsWithin((1 - kDecrease) * admitted_);
       const std::size_t fewer = admitted_levels_ - (admitted_levels_ > 1);
       admitted_levels_ = std::max<std::size_t>(1, std::min(levels, fewer));
@@ -174,9 +182,9 @@
   const Settings settings_;
   double target_ms_;
   QueueingDelay delay_;
-  std::array<double, kLevels> received_{};  // requests of the window, by level
+  std::array<double, kLevels> received_{};  // requests in the window, by level
   std::size_t admitted_levels_ = kLevels;
-  double admitted_ = 0;  // requests of the window
+  double admitted_ = 0;  // requests admitted in the window
   double delay_sum_ms_ = 0;
   double responses_ = 0;
   TimePoint window_end_{};
@@ -190,25 +198,25 @@
     return in_flight < credits_;
   }
 
-  void OnAnswered(TimePoint now, double took_ms, double work_ms, int /*in_flight*/) override {
-    mean_delay_ms_ += kSmoothing * (delay_.OfResponse(took_ms, work_ms) - mean_delay_ms_);
+  void OnResponseOrTimeout(TimePoint now, double duration_ms, double work_ms, int /*in_flight*/) override {
+    mean_delay_ms_ += kSmoothing * (delay_.OfResponse(duration_ms, work_ms) - mean_delay_ms_);
     if (now < next_round_) return;
     next_round_ = now + kRound;
     if (mean_delay_ms_ < target_ms_) {
       credits_ += kIncrease;
     } else {
       const double decrease = kDecrease * (mean_delay_ms_ - target_ms_) / target_ms_;
-      credits_ *= std::max(kMaxDecrease, 1 - decrease);
+      credits_ *= std::max(kMinDecreaseFactor, 1 - decrease);
     }
     credits_ = std::clamp(credits_, kMinCredits, kMaxInFlight);
   }
 
  private:
-  static constexpr Duration kRound{20};  // about a round trip
+  static constexpr Duration kRound{20};  // approximately a round trip
   static constexpr double kSmoothing = 0.2;
   static constexpr double kIncrease = 0.5;
   static constexpr double kDecrease = 0.04;
-  static constexpr double kMaxDecrease = 0.5;
+  static constexpr double kMinDecreaseFactor = 0.5;
   static constexpr double kMinCredits = 2;
 
   double target_ms_;
@@ -218,13 +226,14 @@
   double mean_delay_ms_ = 0;
 };
 
-// The queueing delay that may be spent, of the smallest latency objective; in milliseconds.
+// The target queueing delay in milliseconds: a fixed fraction of the smallest latency objective.
 double TargetDelayMs(const Settings& settings) {
-  constexpr double kShareOfObjective = 0.16;  // as Breakwater has it: 80 us of an objective of 500
+  constexpr double kTargetPerObjective = 0.16;  // as in Breakwater: 80 us for an objective of 500 us
   constexpr double kNoObjectiveMs = 1e9;
-  double least_ms = kNoObjectiveMs;
-  for (const ClassSettings& c : settings.classes) least_ms = std::min(least_ms, c.latency_objective.count());
-  return kShareOfObjective * least_ms;
+  double min_objective_ms = kNoObjectiveMs;
+  for (const ClassSettings& c : settings.classes)
+    min_objective_ms = std::min(min_objective_ms, c.latency_objective.count());
+  return kTargetPerObjective * min_objective_ms;
 }
 
 }  // namespace
@@ -234,7 +243,8 @@
   if (name == "codel") return std::make_unique<CodelGate>(TargetDelayMs(settings));
   if (name == "dagor") return std::make_unique<DagorGate>(settings, TargetDelayMs(settings));
   if (name == "breakwater") return std::make_unique<BreakwaterGate>(TargetDelayMs(settings));
-  throw std::invalid_argument("no gate is named '" + name + "'");
+  throw std::invalid_argument("unknown admission gate '" + name +
+                              "': expected gradient, codel, dagor or breakwater");
 }
 
 std::vector<std::string> AdmissionGateNames() { return {"gradient", "codel", "dagor", "breakwater"}; }
--- a/src/simulation/policies/endpoint_tracking_policy.cpp
+++ b/src/simulation/policies/endpoint_tracking_policy.cpp
@@ -8,8 +8,9 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr std::uint64_t kPollTimer = 1;  // token
-// After a failed poll: a wait with jitter by the seed, so that proxies do not poll in step.
+constexpr std::uint64_t kPollTimer = 1;  // timer token
+// After a failed poll, the next one is delayed by a jitter derived from the seed, so that proxies do not poll
+// simultaneously.
 constexpr double kMinPollRetryMs = 100;
 constexpr std::uint64_t kPollJitterMs = 900;
 
@@ -70,7 +71,8 @@
   Send(&request);
 }
 
-// With the Retry-After of the program's own policy: to stay away for as long as the client would come back.
+// The Retry-After is the request's deadline, bounded by the longest Retry-After that clients follow: the
+// client then stays away for the whole time in which it would retry, as with the balancer.
 void EndpointTrackingPolicy::Reject(const RequestReceived& event) {
   const Settings& settings = context_.settings;
   const Duration deadline = settings.classes[static_cast<std::size_t>(event.request_class)].deadline;
@@ -94,7 +96,7 @@
   if (found == open_.end()) return;
   OpenRequest& request = found->second;
   if (event.outcome == AttemptOutcome::kSuccess || event.outcome == AttemptOutcome::kTimeout)
-    OnAnswered(request, event.duration.count());
+    OnResponseOrTimeout(request, event.duration.count());
   if (event.request_completed) {
     open_.erase(found);
     return;
--- a/src/simulation/policies/endpoint_tracking_policy.h
+++ b/src/simulation/policies/endpoint_tracking_policy.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What all policies but the program's own share: the endpoint list, the open requests, and one attempt after
-// the other for each.
+// Base class of the oracle and the reference policies: keeps the endpoint list and the open requests, and
+// runs the attempts of each request one after the other.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_ENDPOINT_TRACKING_POLICY_H_
 #define COPPERPOINT_SIMULATION_POLICIES_ENDPOINT_TRACKING_POLICY_H_
 
@@ -23,27 +23,27 @@
  protected:
   struct OpenRequest {
     RequestReceived received;
-    std::vector<int> tried;  // indices of backends, in the order of the attempts
-    bool may_have_run = false;
+    std::vector<int> tried;     // indices of backends, in the order of the attempts
+    bool may_have_run = false;  // whether a backend may have executed an attempt
   };
 
-  // The index of the backend for the next attempt; below 0: none.
+  // Returns the index of the backend for the next attempt, or a negative number if there is none.
   virtual int Pick(const OpenRequest& request) = 0;
   virtual bool MayRetry() = 0;
   virtual bool Admits(const RequestReceived& /*request*/) { return true; }
-  // A response came, or an attempt timed out, after `took_ms`.
-  virtual void OnAnswered(const OpenRequest& /*request*/, double /*took_ms*/) {}
+  // Called when a response is received or an attempt times out, `duration_ms` after the start of the attempt.
+  virtual void OnResponseOrTimeout(const OpenRequest& /*request*/, double /*duration_ms*/) {}
   virtual void OnAdmitted() {}
   virtual void OnBackendCount(std::size_t /*count*/) {}
   virtual void OnSent(int /*index*/) {}
-  virtual void OnAttemptCompleted(int /*index*/, bool /*success*/, double /*took_ms*/) {}
+  virtual void OnAttemptCompleted(int /*index*/, bool /*success*/, double /*duration_ms*/) {}
 
   const PolicyContext& context() const { return context_; }
   TimePoint now() const { return now_; }
   int attempts_in_flight() const { return attempts_in_flight_; }
   const std::vector<Candidate>& backends() const { return backends_; }
   const std::vector<int>& ready() const { return ready_; }  // indices of backends
-  // The index of a backend, below 0 if it was never listed.
+  // Returns the index of a backend, or a negative number if it was never listed.
   int IndexOf(BackendId backend) const;
 
  private:
@@ -66,9 +66,9 @@
 
   PolicyContext context_;
   TimePoint now_{};
-  std::vector<Action>* actions_ = nullptr;  // of the event being handled
+  std::vector<Action>* actions_ = nullptr;  // receives the actions; set while an event is handled
   int attempts_in_flight_ = 0;
-  std::vector<Candidate> backends_;  // all that were ever listed
+  std::vector<Candidate> backends_;  // all backends that were ever listed
   std::vector<int> ready_;
   std::unordered_map<BackendId, int> index_;
   std::unordered_map<RequestId, OpenRequest> open_;
--- a/src/simulation/policies/latency_pickers.cpp
+++ b/src/simulation/policies/latency_pickers.cpp
@@ -8,19 +8,21 @@
 namespace {
 
 constexpr double kDecayMs = 10000;
-constexpr double kUnansweredPenalty = 1e9;  // cost of a backend with requests in flight that never responded
-constexpr double kBackendSmoothing = 0.1;   // weights of the latest in the means
+// Added to the cost of a backend that has requests in flight and never responded.
+constexpr double kUnansweredPenalty = 1e9;
+constexpr double kBackendSmoothing = 0.1;  // weight of the latest response in a mean
 constexpr double kOverallSmoothing = 0.01;
 constexpr double kDefaultLatencyMs = 1;
 constexpr double kMinLatencyMs = 0.01;
 
 }  // namespace
 
-void PeakEwma::OnCompleted(TimePoint now, int index, bool /*success*/, double took_ms) {
+void PeakEwma::OnCompleted(TimePoint now, int index, bool /*success*/, double duration_ms) {
   Average& average = averages_[static_cast<std::size_t>(index)];
   const double elapsed_ms = std::max(0.0, (now - average.at).count());
   const double decay = std::exp(-elapsed_ms / kDecayMs);
-  average.cost_ms = took_ms > average.cost_ms ? took_ms : average.cost_ms * decay + took_ms * (1 - decay);
+  average.cost_ms =
+      duration_ms > average.cost_ms ? duration_ms : average.cost_ms * decay + duration_ms * (1 - decay);
   average.at = now;
 }
 
@@ -31,11 +33,12 @@
   return average.cost_ms * std::exp(-idle_ms / kDecayMs) * (backend.in_flight + 1);
 }
 
-void LatencyWeighted::OnCompleted(TimePoint /*now*/, int index, bool /*success*/, double took_ms) {
+void LatencyWeighted::OnCompleted(TimePoint /*now*/, int index, bool /*success*/, double duration_ms) {
   double& mean = mean_ms_[static_cast<std::size_t>(index)];
-  mean = mean == 0 ? took_ms : mean + kBackendSmoothing * (took_ms - mean);
-  overall_mean_ms_ =
-      overall_mean_ms_ == 0 ? took_ms : overall_mean_ms_ + kOverallSmoothing * (took_ms - overall_mean_ms_);
+  mean = mean == 0 ? duration_ms : mean + kBackendSmoothing * (duration_ms - mean);
+  overall_mean_ms_ = overall_mean_ms_ == 0
+                         ? duration_ms
+                         : overall_mean_ms_ + kOverallSmoothing * (duration_ms - overall_mean_ms_);
 }
 
 int LatencyWeighted::Pick(TimePoint /*now*/, const std::vector<Candidate>& /*all*/,
--- a/src/simulation/policies/latency_pickers.h
+++ b/src/simulation/policies/latency_pickers.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pickers that weigh backends by their latency.
+// Pickers that weight backends by their latency.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_LATENCY_PICKERS_H_
 #define COPPERPOINT_SIMULATION_POLICIES_LATENCY_PICKERS_H_
 
@@ -10,13 +10,14 @@
 
 namespace copperpoint::simulation {
 
-// Peak EWMA (Twitter Finagle): a moving average of round trips that rises at once to a peak and decays with
-// time, times the requests in flight; of two drawn at random the lower.
+// Peak EWMA (Twitter Finagle): picks the cheaper of two random backends. The cost is an exponentially
+// weighted moving average of round trips, which rises to a peak at once and decays with time, times requests
+// in flight.
 class PeakEwma : public TwoChoices {
  public:
   using TwoChoices::TwoChoices;
   void Resize(std::size_t count) override { averages_.resize(count); }
-  void OnCompleted(TimePoint now, int index, bool success, double took_ms) override;
+  void OnCompleted(TimePoint now, int index, bool success, double duration_ms) override;
 
  protected:
   double Cost(TimePoint now, const Candidate& backend, int index) const override;
@@ -29,12 +30,12 @@
   std::vector<Average> averages_;
 };
 
-// Weighted by the inverse of the recent mean latency.
+// Picks a backend at random, weighted by the inverse of its recent mean latency.
 class LatencyWeighted : public RandomPicker {
  public:
   using RandomPicker::RandomPicker;
   void Resize(std::size_t count) override { mean_ms_.resize(count, 0); }
-  void OnCompleted(TimePoint now, int index, bool success, double took_ms) override;
+  void OnCompleted(TimePoint now, int index, bool success, double duration_ms) override;
   int Pick(TimePoint now, const std::vector<Candidate>& all, const std::vector<int>& ready,
            const std::vector<int>& tried) override;
 
--- a/src/simulation/policies/oracle_policy.cpp
+++ b/src/simulation/policies/oracle_policy.cpp
@@ -16,12 +16,12 @@
 }
 
 int OraclePolicy::Pick(const OpenRequest& request) {
-  const bool samples = ready().size() > kMaxSampled;
-  const std::size_t looks = samples ? kMaxSampled : ready().size();
+  const bool is_sampled = ready().size() > kMaxSampled;
+  const std::size_t candidates = is_sampled ? kMaxSampled : ready().size();
   int best = -1;
   double best_ms = 0;
-  for (std::size_t k = 0; k < looks; ++k) {
-    const int index = samples ? ready()[random_.Below(ready().size())] : ready()[k];
+  for (std::size_t k = 0; k < candidates; ++k) {
+    const int index = is_sampled ? ready()[random_.Below(ready().size())] : ready()[k];
     const double response_ms = ResponseTime(request, index);
     if (response_ms < 0 || (best >= 0 && response_ms >= best_ms)) continue;
     best = index;
--- a/src/simulation/policies/oracle_policy.h
+++ b/src/simulation/policies/oracle_policy.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The oracle sees the true state of the backends: it sends to the one whose response would be back first, and
-// rejects at once what no backend can answer in time. It can't undo what was sent and does not know what
-// comes next: a strong figure to compare with, not a proof of the best. On large fleets it looks at a sample.
+// The oracle knows the true state of the backends. It sends a request to the backend whose response would
+// arrive first, and immediately rejects a request that no backend can serve within its latency objective. It
+// can't undo earlier decisions and does not know future arrivals, so its result is a reference value, not a
+// proven optimum. On large fleets it evaluates a random sample of the backends.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_ORACLE_POLICY_H_
 #define COPPERPOINT_SIMULATION_POLICIES_ORACLE_POLICY_H_
 
@@ -20,7 +21,7 @@
 
   int Pick(const OpenRequest& request) override;
   bool MayRetry() override { return true; }
-  // Milliseconds; below 0: never.
+  // Returns the response time in milliseconds, or a negative number if no response would arrive.
   double ResponseTime(const OpenRequest& request, int index) const;
 
   Random random_;
--- a/src/simulation/policies/outlier_round_robin.cpp
+++ b/src/simulation/policies/outlier_round_robin.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void OutlierRoundRobin::OnCompleted(TimePoint /*now*/, int index, bool success, double /*took_ms*/) {
+void OutlierRoundRobin::OnCompleted(TimePoint /*now*/, int index, bool success, double /*duration_ms*/) {
   Host& host = HostAt(index);
   ++(success ? host.successes : host.failures);
 }
--- a/src/simulation/policies/outlier_round_robin.h
+++ b/src/simulation/policies/outlier_round_robin.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Round robin with the outlier detection of gRFC A50: every interval, backends whose failure percentage
-// exceeds the threshold are ejected for base time times multiplier. Defaults of the RFC, failure percentage
-// only.
+// Round robin with the outlier detection of gRFC A50: at every interval, backends whose failure percentage
+// exceeds the threshold are ejected for the base ejection time times the multiplier. It uses the gRFC's
+// default values and implements the failure percentage algorithm only.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_OUTLIER_ROUND_ROBIN_H_
 #define COPPERPOINT_SIMULATION_POLICIES_OUTLIER_ROUND_ROBIN_H_
 
@@ -16,7 +16,7 @@
  public:
   using RoundRobin::RoundRobin;
   void Resize(std::size_t count) override { hosts_.resize(count); }
-  void OnCompleted(TimePoint now, int index, bool success, double took_ms) override;
+  void OnCompleted(TimePoint now, int index, bool success, double duration_ms) override;
   int Pick(TimePoint now, const std::vector<Candidate>& all, const std::vector<int>& ready,
            const std::vector<int>& tried) override;
 
--- a/src/simulation/policies/policies.cpp
+++ b/src/simulation/policies/policies.cpp
@@ -36,9 +36,9 @@
   std::string known = "ours, oracle";
   for (const std::string& policy : ReferencePolicyNames()) known += ", " + policy;
   return std::invalid_argument(
-      "no policy is named '" + name + "'; known: " + known +
-      "; rivals also with +3 or +budget for their repeats, or a gate and that budget: "
-      "+gradient, +codel, +dagor, +breakwater");
+      "unknown policy '" + name + "': expected one of " + known +
+      "; all but ours and oracle also with a suffix: +3 for three retries, +budget for a retry budget, or an "
+      "admission gate with that budget: +gradient, +codel, +dagor, +breakwater");
 }
 
 bool Contains(const std::vector<std::string>& names, const std::string& name) {
--- a/src/simulation/policies/policy.h
+++ b/src/simulation/policies/policy.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the simulation runs in each proxy: the program's own decision module or a reference policy, behind the
-// module's own events and actions. A policy learns only what its proxy learns; the oracle alone is given
-// more.
+// The decision logic that the simulation runs in each proxy: the balancer, the oracle or a reference policy,
+// all with the balancer's events and actions. A policy receives only what its proxy observes; the oracle
+// additionally knows the true state of the backends.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_POLICY_H_
 #define COPPERPOINT_SIMULATION_POLICIES_POLICY_H_
 
@@ -21,7 +21,8 @@
   virtual ~Policy() = default;
   // Appends the actions that follow from the event to `actions`.
   virtual void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) = 0;
-  // The response to a probe: requests running or queued at the backend, and what its last requests took.
+  // The response to a probe: `in_flight` requests run or wait at the backend; `latency_ms` is its recent
+  // latency.
   virtual void OnProbe(TimePoint /*now*/, BackendId /*backend*/, int /*in_flight*/, double /*latency_ms*/) {}
 };
 
@@ -29,8 +30,8 @@
 class BackendTruth {
  public:
   virtual ~BackendTruth() = default;
-  // Milliseconds until the response to a request of that work, sent now by this proxy, would be back; below
-  // 0: never. `key` 0: none.
+  // Returns the milliseconds until the response to a request of that work would arrive if this proxy sent it
+  // now, or a negative number if none would arrive. `key` 0: the request has no key.
   virtual double ResponseTime(std::uint32_t proxy, BackendId backend, double work_ms,
                               std::uint64_t key) const = 0;
 };
@@ -38,13 +39,14 @@
 struct PolicyContext {
   Settings settings;
   std::uint64_t seed = 0;
-  const BackendTruth* truth = nullptr;
-  std::function<void(BackendId)> probe;  // sends a probe, at a small cost to the backend
+  const BackendTruth* truth = nullptr;   // for the oracle only; must outlive the policy
+  std::function<void(BackendId)> probe;  // sends a probe, which costs the backend a little work
 };
 
-// A name is `ours`, `oracle`, or a reference policy and how it retries: `p2c`, `p2c+3` (three retries),
-// `p2c+budget`, or an admission gate and that budget, as in `p2c+codel`. Throws std::invalid_argument on an
-// unknown one, with those known.
+// Makes the policy of that name: `ours` (the balancer), `oracle`, or a reference policy. The suffix of a
+// reference policy limits its retries: none in `p2c`, three in `p2c+3`, a retry budget in `p2c+budget`; or
+// names an admission gate, used with that budget: `p2c+codel`. Throws std::invalid_argument, which lists the
+// known names, if the name is unknown.
 std::unique_ptr<Policy> MakePolicy(const std::string& name, PolicyContext context);
 std::vector<std::string> ReferencePolicyNames();  // without the suffixes
 
--- a/src/simulation/policies/prequal.cpp
+++ b/src/simulation/policies/prequal.cpp
@@ -10,7 +10,7 @@
 constexpr int kProbesPerRequest = 2;
 constexpr int kMaxUses = 2;
 constexpr std::size_t kMaxPool = 16;
-constexpr std::size_t kMinPool = 2;  // below, a backend is picked at random
+constexpr std::size_t kMinPool = 2;  // with fewer responses, a backend is picked at random
 constexpr std::size_t kRecentResponses = 64;
 constexpr Duration kMaxAge{1000};
 constexpr double kHotQuantile = 0.84;
@@ -24,7 +24,7 @@
                   const std::vector<int>& tried) {
   if (ready.empty()) return -1;
   for (int k = 0; k < kProbesPerRequest; ++k) probe_(ready[random().Below(ready.size())]);
-  DropUsedUp(now, all);
+  DropExpired(now, all);
   Response* best = pool_.size() < kMinPool ? nullptr : Best(tried);
   if (!best) return Draw(ready, tried);
   ++best->uses;
@@ -32,14 +32,14 @@
   return best->index;
 }
 
-void Prequal::DropUsedUp(TimePoint now, const std::vector<Candidate>& all) {
+void Prequal::DropExpired(TimePoint now, const std::vector<Candidate>& all) {
   std::erase_if(pool_, [&](const Response& response) {
     return now - response.at > kMaxAge || response.uses >= kMaxUses ||
            !all[static_cast<std::size_t>(response.index)].ready;
   });
 }
 
-// Null if the pool has none that was not tried.
+// Returns null if `tried` contains every backend of the pool.
 Prequal::Response* Prequal::Best(const std::vector<int>& tried) {
   const int threshold = HotThreshold();
   const auto better = [threshold](const Response& a, const Response& b) {
--- a/src/simulation/policies/prequal.h
+++ b/src/simulation/policies/prequal.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Prequal (Wydrowski et al., NSDI 2024): probes ahead of need, and a pool of their responses. Those above a
-// quantile of requests in flight are hot. Of the others the one of least latency is picked; if all are hot,
-// the one with the fewest requests in flight. Responses are used a few times only.
+// Prequal (Wydrowski et al., NSDI 2024): sends probes asynchronously and keeps a pool of their responses. A
+// response is hot if its requests in flight exceed a quantile of the recent responses. The backend with the
+// lowest latency among those not hot is picked or, if all are hot, the one with the fewest requests in
+// flight. A response is used a limited number of times.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_PREQUAL_H_
 #define COPPERPOINT_SIMULATION_POLICIES_PREQUAL_H_
 
@@ -31,7 +32,7 @@
     int uses = 0;
   };
 
-  void DropUsedUp(TimePoint now, const std::vector<Candidate>& all);
+  void DropExpired(TimePoint now, const std::vector<Candidate>& all);
   Response* Best(const std::vector<int>& tried);
   int HotThreshold() const;
 
--- a/src/simulation/policies/reference_policy.cpp
+++ b/src/simulation/policies/reference_policy.cpp
@@ -35,8 +35,9 @@
   return !gate_ || gate_->Admits(now(), request, attempts_in_flight());
 }
 
-void ReferencePolicy::OnAnswered(const OpenRequest& request, double took_ms) {
-  if (gate_) gate_->OnAnswered(now(), took_ms, request.received.estimated_work_ms, attempts_in_flight());
+void ReferencePolicy::OnResponseOrTimeout(const OpenRequest& request, double duration_ms) {
+  if (gate_)
+    gate_->OnResponseOrTimeout(now(), duration_ms, request.received.estimated_work_ms, attempts_in_flight());
 }
 
 void ReferencePolicy::OnAdmitted() {
--- a/src/simulation/policies/simple_pickers.cpp
+++ b/src/simulation/policies/simple_pickers.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kMaxDraws = 4;
 constexpr std::uint64_t kMaxRoundRobinStart = 1u << 20;
-constexpr double kTriedPenalty = 1e6;  // requests in flight
+constexpr double kAlreadyTriedPenalty = 1e6;  // requests in flight
 
 }  // namespace
 
@@ -47,15 +47,15 @@
                        const std::vector<int>& tried) {
   int best = -1;
   int ties = 0;
-  double least = 0;
+  double lowest_score = 0;
   for (const int index : ready) {
     const double in_flight = all[static_cast<std::size_t>(index)].in_flight;
-    const double score = in_flight + (WasTried(tried, index) ? kTriedPenalty : 0);
-    if (best >= 0 && score > least) continue;
-    ties = best >= 0 && score == least ? ties + 1 : 1;
+    const double score = in_flight + (WasTried(tried, index) ? kAlreadyTriedPenalty : 0);
+    if (best >= 0 && score > lowest_score) continue;
+    ties = best >= 0 && score == lowest_score ? ties + 1 : 1;
     if (ties > 1 && random().Below(static_cast<std::uint64_t>(ties)) != 0) continue;
     best = index;
-    least = score;
+    lowest_score = score;
   }
   return best;
 }
--- a/src/simulation/policies/simple_pickers.h
+++ b/src/simulation/policies/simple_pickers.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pickers that look at most at the requests in flight.
+// Pickers that use no more information than the number of requests in flight.
 #ifndef COPPERPOINT_SIMULATION_POLICIES_SIMPLE_PICKERS_H_
 #define COPPERPOINT_SIMULATION_POLICIES_SIMPLE_PICKERS_H_
 
@@ -12,7 +12,7 @@
 
 namespace copperpoint::simulation {
 
-// A ready backend at random.
+// Picks a ready backend at random.
 class RandomPicker : public Picker {
  public:
   explicit RandomPicker(std::uint64_t seed);
@@ -20,7 +20,8 @@
            const std::vector<int>& tried) override;
 
  protected:
-  // One of `ready` that is not in `tried`, if a few draws find one; below 0 if there is none ready.
+  // Returns one of `ready`, which is not in `tried` if a few draws find such a backend; a negative number if
+  // `ready` is empty.
   int Draw(const std::vector<int>& ready, const std::vector<int>& tried);
   Random& random() { return random_; }
 
@@ -38,7 +39,7 @@
   std::size_t next_;
 };
 
-// The least requests of one's own in flight, over all; ties at random.
+// Picks the backend with the fewest requests of this proxy in flight, among all; breaks ties at random.
 class LeastRequest : public RandomPicker {
  public:
   using RandomPicker::RandomPicker;
@@ -46,8 +47,8 @@
            const std::vector<int>& tried) override;
 };
 
-// Power of two choices (Mitzenmacher 2001): of two drawn at random, the one of less cost, which is the number
-// of requests in flight.
+// Power of two choices (Mitzenmacher 2001): draws two backends at random and picks the one with the lower
+// cost, which is the number of requests in flight.
 class TwoChoices : public RandomPicker {
  public:
   using RandomPicker::RandomPicker;
@@ -58,7 +59,7 @@
   virtual double Cost(TimePoint now, const Candidate& backend, int index) const;
 };
 
-// Whether a backend is among those tried.
+// Whether the backend is among those that the request was already sent to.
 bool WasTried(const std::vector<int>& tried, int index);
 
 }  // namespace copperpoint::simulation
