--- a/src/simulation/run/compare.cpp
+++ b/src/simulation/run/compare.cpp
@@ -15,13 +15,13 @@
 
 constexpr double kJsonPrecision = 1e6;
 
-std::string HeaderRow() {
+std::string TableHeader() {
   return fmt::format("{:<22}{:>8}{:>9}{:>9}{:>9}{:>9}{:>8}{:>8}{:>8}{:>7}{:>8}\n", "policy", "goodput",
                      "p50 ms", "p99 ms", "p99.9 ms", "attempts", "wasted", "class", "account", "broken",
                      "oracle");
 }
 
-std::string Row(const nlohmann::ordered_json& run, std::optional<double> share_of_oracle) {
+std::string TableRow(const nlohmann::ordered_json& run, std::optional<double> share_of_oracle) {
   return fmt::format("{:<22}{:>8.4f}{:>9.1f}{:>9.1f}{:>9.1f}{:>9.3f}{:>8.3f}{:>8.3f}{:>8.3f}{:>7}{:>8}\n",
                      run["policy"].get<std::string>(), run["goodput"].get<double>(),
                      run["p50_ms"].get<double>(), run["p99_ms"].get<double>(), run["p999_ms"].get<double>(),
@@ -68,11 +68,11 @@
   }
   comparison.json = {{"scenario", scenario.title}, {"seed", seed}};
   auto& runs = comparison.json["runs"] = nlohmann::ordered_json::array();
-  comparison.table = HeaderRow();
+  comparison.table = TableHeader();
   for (RunResult& run : comparison.runs) {
     std::optional<double> share;
     if (oracle_goodput > 0) share = run.goodput / oracle_goodput;
-    comparison.table += Row(run.json, share);
+    comparison.table += TableRow(run.json, share);
     if (share) run.json["share_of_oracle"] = std::round(*share * kJsonPrecision) / kJsonPrecision;
     runs.push_back(run.json);
   }
--- a/src/simulation/run/compare.h
+++ b/src/simulation/run/compare.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Several policies on the same arrivals, side by side. Runs go in parallel; results are in the order of the
-// policies, whatever finished first.
+// Compares several policies on the same arrivals. The runs execute in parallel; the results are in the order
+// of the policies, whichever run finishes first.
 #ifndef COPPERPOINT_SIMULATION_RUN_COMPARE_H_
 #define COPPERPOINT_SIMULATION_RUN_COMPARE_H_
 
@@ -15,18 +15,18 @@
 
 namespace copperpoint::simulation {
 
-// The program's own, the oracle, and each reference policy without retries, with three, and with a retry
-// budget.
+// The names of the balancer (`ours`), the oracle, and each reference policy without retries, with three
+// retries, and with a retry budget.
 std::vector<std::string> AllPolicies();
 
 struct Comparison {
   std::vector<RunResult> runs;  // one for each policy
   nlohmann::ordered_json json;  // deterministic
-  std::string table;
-  std::int64_t violations = 0;  // by the program's own policy
+  std::string table;            // for people: a header, and a row for each policy
+  std::int64_t violations = 0;  // rule violations by the balancer
 };
 
-// Calls `on_done` after each run, from one thread at a time. `threads` 0: as many as there are cores.
+// Calls `on_done` after each run, from one thread at a time. With `threads` 0, it uses one thread per core.
 Comparison Compare(const Scenario& scenario, const std::vector<std::string>& policies, std::uint64_t seed,
                    unsigned threads, const std::function<void()>& on_done = {});
 
--- a/src/simulation/run/parallel.cpp
+++ b/src/simulation/run/parallel.cpp
@@ -26,10 +26,10 @@
       }
     }
   };
-  std::vector<std::thread> others;
-  for (unsigned t = 1; t < std::min<std::size_t>(threads, count); ++t) others.emplace_back(work);
+  std::vector<std::thread> workers;
+  for (unsigned t = 1; t < std::min<std::size_t>(threads, count); ++t) workers.emplace_back(work);
   work();
-  for (std::thread& other : others) other.join();
+  for (std::thread& worker : workers) worker.join();
   if (first_error) std::rethrow_exception(first_error);
 }
 
--- a/src/simulation/run/parallel.h
+++ b/src/simulation/run/parallel.h
@@ -9,8 +9,8 @@
 
 namespace copperpoint::simulation {
 
-// Calls job(0) to job(count - 1), each once. `threads` 0: as many as there are cores. The first exception is
-// thrown again when all threads have ended; jobs that had not started are left out then.
+// Calls job(0) to job(count - 1), each once. With `threads` 0, it uses one thread per core. After an
+// exception no further job is started; the first exception is rethrown when all threads have ended.
 void RunInParallel(std::size_t count, unsigned threads, const std::function<void(std::size_t)>& job);
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/run/run.cpp
+++ b/src/simulation/run/run.cpp
@@ -6,7 +6,7 @@
 namespace copperpoint::simulation {
 
 RunResult Run(const Scenario& scenario, const RunOptions& options) {
-  return Simulation(scenario, options).Play();
+  return Simulation(scenario, options).Run();
 }
 
 RunResult RunWithTrace(const Scenario& scenario, RunOptions options) {
--- a/src/simulation/run/run.h
+++ b/src/simulation/run/run.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One run: a scenario, a seed and a policy in virtual time. The same three give the same result, to the byte,
-// on any machine and whatever else runs beside it.
+// One run: simulates a scenario with a seed and a policy in virtual time. The same scenario, seed and policy
+// give the same result, byte for byte, on any machine and under any load of that machine.
 #ifndef COPPERPOINT_SIMULATION_RUN_RUN_H_
 #define COPPERPOINT_SIMULATION_RUN_RUN_H_
 
@@ -23,26 +23,26 @@
 struct RunOptions {
   std::string policy = "ours";
   std::uint64_t seed = 1;
-  std::uint64_t traced_request = 0;  // 0: none
-  std::string log_folder;            // for the log of each proxy, as `serve` writes it; empty: none
+  std::uint64_t traced_request = 0;  // id of the request to trace; 0: none
+  std::string log_folder;            // where each proxy's log is written, as by `serve`; empty: no logs
   log::Format log_format = log::Format::kText;
-  MakePolicyFn make_policy = MakePolicy;  // tests use policies of their own
+  MakePolicyFn make_policy = MakePolicy;  // tests substitute other policies
 };
 
 struct RunResult {
   nlohmann::ordered_json json;                // deterministic
-  std::int64_t violations = 0;                // of the rules of service
-  std::uint64_t first_violating_request = 0;  // 0: the first violation is not about a request
+  std::int64_t violations = 0;                // number of violations of the rules of service
+  std::uint64_t first_violating_request = 0;  // 0: no violation concerns a request
   std::vector<std::string> trace;             // of the traced request
-  std::uint64_t events = 0;
-  double wall_s = 0;
+  std::uint64_t events = 0;                   // number of events processed
+  double wall_s = 0;                          // duration of the run in real time, in seconds
   double goodput = 0;
 };
 
-// Throws std::invalid_argument on an unknown policy, config::InvalidFile on a bad replay file.
+// Throws std::invalid_argument if the policy is unknown, config::InvalidFile if the replay file is invalid.
 RunResult Run(const Scenario& scenario, const RunOptions& options);
 
-// Run, and if a rule is violated run again to trace the request of the first violation.
+// As Run; if a rule is violated, it runs again to trace the first request that a violation concerns.
 RunResult RunWithTrace(const Scenario& scenario, RunOptions options);
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/run/simulation.cpp
+++ b/src/simulation/run/simulation.cpp
@@ -10,7 +10,8 @@
 constexpr double kMsPerSecond = 1000;
 constexpr double kEndMarginMs = 1000;
 
-// By then every client has its response or has given up; policies may set timers for ever.
+// The end of the run: by then every client has received its response or given up. Policies may set timers
+// indefinitely, so the event queue need not become empty.
 Micros EndOf(const Scenario& scenario) {
   return FromMs(scenario.length_s * kMsPerSecond + scenario.MaxDeadlineMs() +
                 scenario.rules.response_slack_ms + kEndMarginMs);
@@ -51,7 +52,7 @@
     world_.logs.emplace(options.log_folder, options.log_format, world_.proxies.size());
 }
 
-RunResult Simulation::Play() {
+RunResult Simulation::Run() {
   const auto started = std::chrono::steady_clock::now();
   Start();
   while (!world_.queue.empty() && world_.now() <= end_) Dispatch(world_.queue.PopNext());
@@ -103,7 +104,8 @@
 
 // ---- events -------------------------------------------------------------------------------------------
 
-// The timeout's reference goes, and one for the slack comes if the final response is still missing.
+// Releases the reference that the timeout event holds on the request. If the final response is still missing,
+// another reference is held until the response slack has elapsed.
 void Simulation::OnClientTimeout(std::uint32_t slot) {
   if (attempts_.OnRequestDeadline(slot)) {
     ++world_.RequestAt(slot).references;
@@ -187,7 +189,7 @@
   nlohmann::ordered_json json{
       {"scenario", world_.scenario.title}, {"policy", options_.policy}, {"seed", options_.seed}};
   json.update(world_.metrics.Json());
-  json["most_open"] = world_.requests.size();  // slots are used again, so that this is the most at once
+  json["most_open"] = world_.requests.size();  // slots are reused: the maximum open at once
   json["events"] = world_.queue.processed();
   json["rules_broken"] = world_.rules.violation_count();
   auto& violations = json["broken"] = nlohmann::ordered_json::array();
--- a/src/simulation/run/simulation.h
+++ b/src/simulation/run/simulation.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The simulation of one run: connects the parts of the world and dispatches their events. It owns all of
-// their state.
+// The simulation of one run: connects the components of the simulated world, owns their state and dispatches
+// events to them.
 #ifndef COPPERPOINT_SIMULATION_RUN_SIMULATION_H_
 #define COPPERPOINT_SIMULATION_RUN_SIMULATION_H_
 
@@ -26,10 +26,10 @@
 
 class Simulation : private ActionHandler {
  public:
-  // Both must outlive the simulation.
+  // `scenario` and `options` must outlive the simulation.
   Simulation(const Scenario& scenario, const RunOptions& options);
 
-  RunResult Play();
+  RunResult Run();
 
  private:
   // ActionHandler
--- a/src/simulation/run/sweep.cpp
+++ b/src/simulation/run/sweep.cpp
@@ -28,12 +28,12 @@
 using nlohmann::ordered_json;
 
 constexpr std::size_t kMaxPoints = 1000000;
-constexpr double kMaxSteps = 1e5;       // of one range
-constexpr double kStepRounding = 1e-9;  // of the last step
+constexpr double kMaxSteps = 1e5;       // in one range
+constexpr double kStepRounding = 1e-9;  // in steps: includes the last value despite rounding errors
 constexpr std::size_t kRangeParts = 3;  // first, last, step
 
 struct Point {
-  std::vector<std::string> values;  // of each varied key
+  std::vector<std::string> values;  // one for each varied key
   std::string policy;
   std::uint64_t seed = 1;
 };
@@ -49,7 +49,8 @@
       }
     }
     combinations = std::move(longer);
-    if (combinations.size() > kMaxPoints) throw std::invalid_argument("the sweep has over a million points");
+    if (combinations.size() > kMaxPoints)
+      throw std::invalid_argument("the varied keys have more than 1000000 combinations of values");
   }
   std::vector<Point> points;
   for (const auto& values : combinations) {
@@ -74,7 +75,8 @@
 
 std::string FileNameOf(std::size_t index) { return fmt::format("point-{:07}.json", index); }
 
-// Renamed into place, so that a file of that name is complete unless the disk has corrupted it.
+// Writes a temporary file and renames it, so that a file of the final name is complete unless the disk has
+// corrupted it.
 void WritePoint(const fs::path& path, const ordered_json& body) {
   const fs::path temporary = path.string() + ".new";
   {
@@ -85,7 +87,7 @@
   fs::rename(temporary, path);
 }
 
-// Nothing if it is missing or corrupted.
+// Returns nothing if the file is missing or corrupted.
 std::optional<ordered_json> ReadPoint(const fs::path& path) {
   std::ifstream in(path, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
@@ -102,13 +104,13 @@
   return text;
 }
 
-struct PlayedPoint {
+struct PointResult {
   ordered_json body;
   std::uint64_t events = 0;
   double busy_s = 0;
 };
 
-PlayedPoint RunPoint(const SweepPlan& plan, const Point& point) {
+PointResult RunPoint(const SweepPlan& plan, const Point& point) {
   const auto scenario = config::LoadText<Scenario>(ScenarioTextOf(plan, point), plan.scenario_file);
   RunOptions options;
   options.policy = point.policy;
@@ -122,7 +124,7 @@
 }
 
 void CheckScenarios(const SweepPlan& plan, const std::vector<Point>& points) {
-  const std::vector<std::string>* checked = nullptr;  // points with the same values follow each other
+  const std::vector<std::string>* checked = nullptr;  // points with the same values are adjacent
   for (const Point& point : points) {
     if (checked && *checked == point.values) continue;
     config::LoadText<Scenario>(ScenarioTextOf(plan, point), plan.scenario_file);
@@ -130,7 +132,8 @@
   }
 }
 
-// `range`: first, last and step. Throws std::invalid_argument.
+// `range` has the first value, the last value and the step; `text` is the whole argument, for the error.
+// Throws std::invalid_argument.
 std::vector<std::string> ValuesOfRange(const std::string& text, const std::vector<std::string>& range) {
   std::vector<std::string> values;
   try {
@@ -141,14 +144,16 @@
     const auto steps = static_cast<int>(std::floor((last - first) / step + kStepRounding));
     for (int k = 0; k <= steps; ++k) values.push_back(fmt::format("{:.10g}", first + k * step));
   } catch (const boost::bad_lexical_cast&) {
-    throw std::invalid_argument(
-        fmt::format("'{}': FIRST:LAST:STEP must be numbers that lead somewhere", text));
+    throw std::invalid_argument(fmt::format(
+        "'{}': expected numbers FIRST:LAST:STEP with FIRST <= LAST, STEP > 0 and at most 100000 steps",
+        text));
   }
   return values;
 }
 
-// Writes the plan into the folder, or checks that it is there. Throws std::invalid_argument.
-void ClaimFolder(const SweepPlan& plan, const std::string& folder) {
+// Writes the plan into the folder. If the folder already has one, it must be equal; otherwise this throws
+// std::invalid_argument.
+void PrepareFolder(const SweepPlan& plan, const std::string& folder) {
   fs::create_directories(folder);
   const fs::path plan_file = fs::path(folder) / "plan.json";
   const ordered_json plan_json = PlanJson(plan);
@@ -156,7 +161,9 @@
   if (!previous) {
     WritePoint(plan_file, plan_json);
   } else if (*previous != plan_json) {
-    throw std::invalid_argument(folder + " holds another sweep");
+    throw std::invalid_argument(folder +
+                                ": contains a sweep with another scenario, policies, seeds or varied keys; "
+                                "expected an empty folder or one of the same sweep");
   }
 }
 
@@ -164,7 +171,7 @@
   return body["policy"] == "ours" ? body["result"]["rules_broken"].get<std::int64_t>() : 0;
 }
 
-// The points without a result; counts the others in `report`.
+// Returns the indices of the points without a result; counts the other points in `report`.
 std::vector<std::size_t> FindMissing(const std::string& folder, SweepReport* report) {
   std::vector<std::size_t> missing;
   for (std::size_t i = 0; i < report->points; ++i) {
@@ -186,7 +193,7 @@
 VariedKey ParseVariedKey(const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos || equals == 0 || equals + 1 == text.size())
-    throw std::invalid_argument(fmt::format("'{}': KEY=FIRST:LAST:STEP or KEY=VALUE,VALUE is wanted", text));
+    throw std::invalid_argument(fmt::format("'{}': expected KEY=FIRST:LAST:STEP or KEY=VALUE,VALUE", text));
   VariedKey varied;
   varied.path = text.substr(0, equals);
   const std::string values = text.substr(equals + 1);
@@ -204,19 +211,19 @@
                   const std::function<void(std::size_t, std::size_t)>& progress) {
   const std::vector<Point> points = AllPoints(plan);
   CheckScenarios(plan, points);
-  ClaimFolder(plan, folder);
+  PrepareFolder(plan, folder);
   SweepReport report;
   report.points = points.size();
   const std::vector<std::size_t> missing = FindMissing(folder, &report);
   std::mutex mutex;
   std::size_t done = report.reused;
   RunInParallel(missing.size(), threads, [&](std::size_t k) {
-    const PlayedPoint played = RunPoint(plan, points[missing[k]]);
-    WritePoint(fs::path(folder) / FileNameOf(missing[k]), played.body);
+    const PointResult point_result = RunPoint(plan, points[missing[k]]);
+    WritePoint(fs::path(folder) / FileNameOf(missing[k]), point_result.body);
     const std::lock_guard lock(mutex);
-    report.violations += ViolationsOf(played.body);
-    report.events += played.events;
-    report.busy_s += played.busy_s;
+    report.violations += ViolationsOf(point_result.body);
+    report.events += point_result.events;
+    report.busy_s += point_result.busy_s;
     if (progress) progress(++done, points.size());
   });
   return report;
@@ -224,7 +231,8 @@
 
 std::vector<ordered_json> ReadSweep(const std::string& folder) {
   const auto plan = ReadPoint(fs::path(folder) / "plan.json");
-  if (!plan) throw std::runtime_error(folder + " holds no sweep");
+  if (!plan)
+    throw std::runtime_error(folder + ": plan.json is missing or corrupted; expected the folder of a sweep");
   std::size_t points = (*plan)["policies"].size() * (*plan)["seeds"].size();
   for (const auto& varied : (*plan)["varied"]) points *= varied["values"].size();
   std::vector<ordered_json> results;
@@ -232,7 +240,7 @@
     auto body = ReadPoint(fs::path(folder) / FileNameOf(i));
     if (!body)
       throw std::runtime_error(
-          fmt::format("{}/{} is missing or torn: run the sweep again", folder, FileNameOf(i)));
+          fmt::format("{}/{}: is missing or corrupted; run the sweep again", folder, FileNameOf(i)));
     results.push_back(std::move(*body));
   }
   return results;
--- a/src/simulation/run/sweep.h
+++ b/src/simulation/run/sweep.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A sweep: every combination of the varied keys' values, of policies and of seeds, each a run whose result is
-// a file of its own. An interrupted sweep is resumed; a corrupted file is detected by its checksum, and its
-// run repeated.
+// A sweep: a run for every combination of the varied keys' values, the policies and the seeds. Each of these
+// points stores its result in a separate file. An interrupted sweep is resumed; a corrupted file is detected
+// by its checksum, and its run is repeated.
 #ifndef COPPERPOINT_SIMULATION_RUN_SWEEP_H_
 #define COPPERPOINT_SIMULATION_RUN_SWEEP_H_
 
@@ -18,7 +18,8 @@
   std::string path;  // dotted, as in config/edit.h
   std::vector<std::string> values;
 };
-// "load.rate=100:1000:100" (first, last, step) or "clients.retry=none,fixed". Throws std::invalid_argument.
+// Parses "load.rate=100:1000:100" (first, last, step) or "clients.retry=none,fixed". Throws
+// std::invalid_argument if the text has neither form.
 VariedKey ParseVariedKey(const std::string& text);
 
 struct SweepPlan {
@@ -31,20 +32,21 @@
 
 struct SweepReport {
   std::size_t points = 0;
-  std::size_t reused = 0;       // points whose result was there
-  std::size_t corrupted = 0;    // points whose file was corrupted, and were run again
-  std::int64_t violations = 0;  // of the rules, by `ours`
-  std::uint64_t events = 0;     // of the points run now
-  double busy_s = 0;            // processor time of these
+  std::size_t reused = 0;       // points whose result already existed
+  std::size_t corrupted = 0;    // points that were run again because their file was corrupted
+  std::int64_t violations = 0;  // rule violations by `ours`
+  std::uint64_t events = 0;     // events of the points run by this call
+  double busy_s = 0;            // sum of the durations of these runs, in seconds of real time
 };
 
-// Calls `progress` after each point, from one thread at a time. Throws std::invalid_argument where the folder
-// holds another sweep, config::InvalidFile where a point makes the scenario invalid; nothing has run then.
+// Calls `progress` after each point, from one thread at a time. Before the first run it throws
+// std::invalid_argument if the folder contains another sweep, config::InvalidFile if the scenario of a point
+// is invalid.
 SweepReport Sweep(const SweepPlan& plan, const std::string& folder, unsigned threads,
                   const std::function<void(std::size_t done, std::size_t total)>& progress);
 
-// The results of a folder, in order: {"values": {path: value}, "policy", "seed", "result"}. Throws
-// std::runtime_error if it is no sweep, or not finished.
+// Returns the results in the folder in the order of the points, each as {"values": {path: value}, "policy",
+// "seed", "result"}. Throws std::runtime_error if the folder contains no sweep or an unfinished one.
 std::vector<nlohmann::ordered_json> ReadSweep(const std::string& folder);
 
 }  // namespace copperpoint::simulation
