--- a/src/simulation/report/chart.h
+++ b/src/simulation/report/chart.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a plot shows: curves, bars or a heat map.
+// The data of a chart: curves, bars or a heat map.
 #ifndef COPPERPOINT_SIMULATION_REPORT_CHART_H_
 #define COPPERPOINT_SIMULATION_REPORT_CHART_H_
 
@@ -10,13 +10,13 @@
 
 namespace copperpoint::simulation {
 
-// A curve over x; its points are joined.
+// A curve of (x, y) points, which are connected by lines.
 struct Curve {
   std::string name;
   std::vector<std::pair<double, double>> points;
 };
 
-// A field of a heat map.
+// A cell of a heat map: its column, its row and its value.
 struct Cell {
   std::string x;
   std::string y;
@@ -24,18 +24,18 @@
 };
 
 struct Chart {
-  std::string file;  // its name, without an extension
+  std::string file;  // file name without extension
   std::string title;
-  std::string x;  // labels of the axes
-  std::string y;
+  std::string x;  // label of the x axis
+  std::string y;  // label of the y axis
   std::vector<Curve> curves;
-  std::vector<std::pair<std::string, double>> bars;  // instead of curves
+  std::vector<std::pair<std::string, double>> bars;  // name and value; replace the curves
   bool log_y = false;
   bool log_x = false;
-  std::vector<Cell> cells = {};  // instead of curves: a heat map, with its values written in
-  double color_min = 0;          // values where the colors of a heat map end
-  double color_max = 1;
-  bool high_is_good = true;
+  std::vector<Cell> cells = {};  // replace the curves: a heat map labelled with the values
+  double color_min = 0;          // value at the low end of a heat map's color scale
+  double color_max = 1;          // value at its high end
+  bool high_is_good = true;      // which end of the color scale has the color for good values
 };
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/report/comparison_charts.cpp
+++ b/src/simulation/report/comparison_charts.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::ordered_json;
 
-constexpr std::size_t kMaxCurves = 8;  // a time line with more can't be read
+constexpr std::size_t kMaxCurves = 8;  // a time line with more curves is not readable
 
 struct Figure {
   const char* key;
@@ -21,13 +21,13 @@
 constexpr Figure kBarFigures[] = {{"goodput", "goodput"},
                                   {"wasted_work", "share of work wasted"},
                                   {"attempts_per_request", "attempts per request"}};
-constexpr Figure kLatencyFigures[] = {{"p50_ms", "Median latency of answers"},
-                                      {"p99_ms", "99th percentile of answers"}};
+constexpr Figure kLatencyFigures[] = {{"p50_ms", "Median latency of responses"},
+                                      {"p99_ms", "99th percentile of the latency of responses"}};
 
 std::string PolicyOf(const ordered_json& run) { return run["policy"].get<std::string>(); }
 
-// Higher is shown first: the program's own policy, the oracle, then the others by goodput, which is at
-// most 1.
+// The run with the highest rank is shown first: the balancer, then the oracle, then the others by goodput,
+// which is at most 1.
 double RankOf(const ordered_json& run) {
   const std::string policy = PolicyOf(run);
   if (policy == "ours") return 3;
@@ -35,8 +35,8 @@
   return run["goodput"].get<double>();
 }
 
-// The runs to show in a time line. Of a reference policy's ways to retry only the best, as their curves lie
-// on each other.
+// The runs to show in a time line. Of the variants of a reference policy that differ in their suffix only the
+// best is shown, since their curves nearly coincide.
 std::vector<const ordered_json*> ShownRuns(const ordered_json& runs) {
   std::vector<const ordered_json*> shown;
   for (const auto& run : runs) shown.push_back(&run);
@@ -58,7 +58,7 @@
   return requested > 0 ? window["got"].get<double>() / requested : 1.0;
 }
 
-// Fills in the curves of a chart, one for each run.
+// Returns `chart` with a curve of `figure` for each run.
 Chart TimeLine(Chart chart, const std::vector<const ordered_json*>& runs, const WindowFigure& figure) {
   for (const ordered_json* run : runs) {
     Curve curve{PolicyOf(*run), {}};
@@ -74,7 +74,7 @@
 Chart BarChart(const Figure& figure, const ordered_json& runs) {
   Chart chart;
   chart.file = std::string("bars-") + figure.key;
-  chart.title = std::string("Policies side by side: ") + figure.name;
+  chart.title = std::string("Comparison of policies: ") + figure.name;
   chart.y = figure.name;
   for (const auto& run : runs) chart.bars.emplace_back(PolicyOf(run), run[figure.key].get<double>());
   return chart;
@@ -89,7 +89,8 @@
   constexpr char kTimeLabel[] = "virtual time, s";
   std::vector<Chart> charts;
   const Chart goodput{
-      "goodput", "Goodput over time", kTimeLabel, "worth in time / worth asked", {}, {}, false, false};
+      "goodput", "Goodput over time", kTimeLabel, "value served in time / value requested", {}, {}, false,
+      false};
   charts.push_back(TimeLine(goodput, shown, GoodputOf));
   for (const Figure& figure : kLatencyFigures) {
     const Chart latency{figure.key, figure.name, kTimeLabel, "ms", {}, {}, /*log_y=*/true, false};
--- a/src/simulation/report/gnuplot.cpp
+++ b/src/simulation/report/gnuplot.cpp
@@ -16,18 +16,18 @@
 
 namespace fs = std::filesystem;
 
-// Colors that can be told apart, also by the color-blind (Okabe and Ito), darkest first.
+// Colors of curves, distinguishable also with color blindness (Okabe and Ito), darkest first.
 constexpr const char* kColors[] = {"#000000", "#D55E00", "#0072B2", "#009E73",
                                    "#CC79A7", "#E69F00", "#56B4E9", "#999999"};
-// Of a heat map, white between them.
+// The ends of a heat map's color scale; its middle is white.
 constexpr const char* kBadColor = "#E08214";
 constexpr const char* kGoodColor = "#2D88C4";
-constexpr std::size_t kMaxPointsWithMarks = 40;
-constexpr double kOwnLineWidth = 3;  // of the program's own policy
+constexpr std::size_t kMaxPointsWithMarks = 40;  // curves with more points are drawn without marks
+constexpr double kBalancerLineWidth = 3;         // the curve named `ours`
 constexpr double kLineWidth = 1.6;
 constexpr int kMaxErrorLength = 300;  // characters of gnuplot's error message
 
-// Heights of a picture in pixels.
+// Heights of a chart in pixels.
 constexpr int kCurvesHeight = 380;
 constexpr int kBarsMargin = 120;
 constexpr int kBarHeight = 18;
@@ -40,7 +40,7 @@
   return '"' + text + '"';
 }
 
-// The index of the name, which is added if it is new.
+// Returns the index of `name`; appends it to `names` if it is not yet there.
 std::size_t IndexOf(std::vector<std::string>* names, const std::string& name) {
   const auto found = std::find(names->begin(), names->end(), name);
   if (found != names->end()) return static_cast<std::size_t>(found - names->begin());
@@ -55,7 +55,7 @@
   return list;
 }
 
-// Fields side by side in the order of their first cells, each with its value.
+// Columns and rows are in the order in which they first occur in the cells; each cell shows its value.
 std::string HeatMapScript(const Chart& chart) {
   std::vector<std::string> columns;
   std::vector<std::string> rows;
@@ -77,17 +77,17 @@
       chart.color_min, chart.color_max);
 }
 
-// Horizontal bars, the highest on top, so that names can be read.
+// Horizontal bars, so that the names are readable; the highest value is on top.
 std::string BarsScript(const Chart& chart) {
   auto bars = chart.bars;
   std::stable_sort(bars.begin(), bars.end(),
                    [](const auto& a, const auto& b) { return a.second < b.second; });
   std::string script = "$data << EOD\n";
   for (const auto& [name, value] : bars) script += fmt::format("{} {:.6f}\n", Quoted(name), value);
-  const double least = bars.front().second;
-  const double most = bars.back().second;
-  const double from = least > 0.5 * most ? least * 0.98 : 0;
-  const double to = std::max(most + 0.08 * (most - from), from + 1e-6);
+  const double min_value = bars.front().second;
+  const double max_value = bars.back().second;
+  const double axis_min = min_value > 0.5 * max_value ? min_value * 0.98 : 0;
+  const double axis_max = std::max(max_value + 0.08 * (max_value - axis_min), axis_min + 1e-6);
   return script +
          fmt::format(
              "EOD\nset style fill solid\nset xlabel {}\nset xrange [{}:{}]\nset yrange [-0.7:{}]\nunset key\n"
@@ -96,7 +96,7 @@
              "eq "
              "'oracle' ? 0x000000 : 0x0072B2):ytic(1) with boxxyerror lc rgb variable, "
              "$data using 2:0:(sprintf(' %.3f', $2)) with labels left font ',11'\n",
-             Quoted(chart.y), from, to, static_cast<double>(bars.size()) - 0.3);
+             Quoted(chart.y), axis_min, axis_max, static_cast<double>(bars.size()) - 0.3);
 }
 
 std::string CurvesScript(const Chart& chart) {
@@ -114,7 +114,7 @@
     const bool has_marks = curve.points.size() <= kMaxPointsWithMarks;
     plots += fmt::format("{}$c{} using 1:2 with {} lw {} dt {} lc rgb '{}' title {}", i > 0 ? ", " : "plot ",
                          i, has_marks ? "linespoints pt 7 ps 0.5" : "lines",
-                         curve.name == "ours" ? kOwnLineWidth : kLineWidth, 1 + i / std::size(kColors),
+                         curve.name == "ours" ? kBalancerLineWidth : kLineWidth, 1 + i / std::size(kColors),
                          kColors[i % std::size(kColors)], Quoted(curve.name));
   }
   return script + plots + "\n";
@@ -145,7 +145,7 @@
 
 }  // namespace
 
-// Through files, so that gnuplot's error messages can be reported.
+// Passes the script and the error messages through files, so that gnuplot's errors can be reported.
 void DrawWithGnuplot(const Chart& chart, const fs::path& svg) {
   const fs::path script_file = svg.string() + ".gnuplot";
   const fs::path error_file = svg.string() + ".errors";
@@ -156,8 +156,9 @@
   fs::remove(script_file);
   fs::remove(error_file);
   if (status == 0) return;
-  throw std::runtime_error("gnuplot (Debian's package gnuplot-nox) is not installed or failed: " +
-                           errors.substr(0, kMaxErrorLength));
+  throw std::runtime_error(
+      "cannot draw a chart: gnuplot (Debian package gnuplot-nox) is not installed or failed: " +
+      errors.substr(0, kMaxErrorLength));
 }
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/report/gnuplot.h
+++ b/src/simulation/report/gnuplot.h
@@ -10,7 +10,7 @@
 
 namespace copperpoint::simulation {
 
-// Writes the SVG file. Throws std::runtime_error if gnuplot is missing or fails.
+// Writes the chart to the file `svg`. Throws std::runtime_error if gnuplot is not installed or fails.
 void DrawWithGnuplot(const Chart& chart, const std::filesystem::path& svg);
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/report/latency_histogram.cpp
+++ b/src/simulation/report/latency_histogram.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMinMs = 0.01;
 constexpr double kMaxMs = 1e6;
-constexpr unsigned kBins = 1851;  // each 1% wider than the one below
+constexpr unsigned kBins = 1851;  // each about 1% wider than the previous one
 
 }  // namespace
 
@@ -25,18 +25,18 @@
 
 std::int64_t LatencyHistogram::count() const {
   std::uint64_t sum = 0;
-  for (const std::uint64_t bin : histogram_) sum += bin;  // with those beyond either end
+  for (const std::uint64_t bin : histogram_) sum += bin;  // includes the underflow and overflow bins
   return static_cast<std::int64_t>(sum);
 }
 
 double LatencyHistogram::Quantile(double q) const {
   const double target = q * static_cast<double>(count());
   if (target <= 0) return 0;
-  double seen = 0;
+  double cumulative_count = 0;
   const Axis& axis = histogram_.axis();
-  for (int i = -1; i <= axis.size(); ++i) {  // the first and the last bin have what is beyond the range
-    seen += static_cast<double>(histogram_.at(i));
-    if (seen < target) continue;
+  for (int i = -1; i <= axis.size(); ++i) {  // from the underflow to the overflow bin
+    cumulative_count += static_cast<double>(histogram_.at(i));
+    if (cumulative_count < target) continue;
     const double low = i < 0 ? kMinMs : axis.value(i);
     const double high = i >= axis.size() ? kMaxMs : axis.value(i + 1);
     return std::sqrt(low * high);
--- a/src/simulation/report/latency_histogram.h
+++ b/src/simulation/report/latency_histogram.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A histogram of latencies from 10 us to 1000 s, to about 1%.
+// A histogram of latencies from 10 us to 1000 s with a relative resolution of about 1%.
 #ifndef COPPERPOINT_SIMULATION_REPORT_LATENCY_HISTOGRAM_H_
 #define COPPERPOINT_SIMULATION_REPORT_LATENCY_HISTOGRAM_H_
 
@@ -14,9 +14,10 @@
  public:
   LatencyHistogram();
   void Add(double ms);
-  // In milliseconds; 0 when empty.
+  // Returns the mean in milliseconds, 0 if the histogram is empty.
   double Mean() const;
-  // In milliseconds: the geometric middle of a bin, 0 when empty. `q` from 0 to 1.
+  // Returns the geometric mean of the bounds of the bin with the quantile `q` (0 to 1), in milliseconds; 0 if
+  // the histogram is empty.
   double Quantile(double q) const;
   std::int64_t count() const;
 
--- a/src/simulation/report/metrics.cpp
+++ b/src/simulation/report/metrics.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keys of the JSON are those of saved results.
+// The JSON keys are part of the format of saved results.
 #include "simulation/report/metrics.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 constexpr double kP99 = 0.99;
 constexpr double kP999 = 0.999;
 
-// No digits beyond what the figures mean, so that reports are equal to the byte.
+// Rounds to six decimals, the precision of the figures, so that reports are identical byte for byte.
 double Rounded(double x) { return std::round(x * kJsonPrecision) / kJsonPrecision; }
 
 nlohmann::ordered_json RecoveryJson(const Recovery& recovery, double length_s) {
@@ -24,7 +24,8 @@
           {"before", Rounded(recovery.before)},
           {"during", Rounded(recovery.during)},
           {"after", Rounded(recovery.after)},
-          // If it never recovered within the run: the rest of the run.
+          // If goodput did not recover within the run, this is the time from the last fault to the end of the
+          // run.
           {"back_s", Rounded(recovery.recovered_after_s.value_or(length_s - recovery.to_s))},
           {"back", recovery.recovered_after_s.has_value()}};
 }
--- a/src/simulation/report/metrics.h
+++ b/src/simulation/report/metrics.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The figures of a run: how much was served in time, and how long responses took. Service counts by value: a
-// request's work times its class's priority weight, less where its tenant is over its quota. Client retries
-// belong to the arrival that they repeat.
+// The metrics of a run: which share of the requested value was served in time, and the latencies of
+// responses. The value of a request is its work times the priority weight of its class, reduced if its tenant
+// exceeds its quota. Client retries are attributed to the first request that they repeat.
 #ifndef COPPERPOINT_SIMULATION_REPORT_METRICS_H_
 #define COPPERPOINT_SIMULATION_REPORT_METRICS_H_
 
@@ -17,7 +17,7 @@
 
 namespace copperpoint::simulation {
 
-// The value of requests, and of that, served in time.
+// The total value of requests, and the part of it that was served in time.
 struct ServedValue {
   double requested = 0;
   double served = 0;
@@ -26,7 +26,7 @@
 
 // A response that reached its client.
 struct ServedResponse {
-  Micros arrived_at = 0;  // of the first request
+  Micros arrived_at = 0;  // arrival of the first request
   int request_class = 0;
   int tenant = 0;
   double value = 0;
@@ -41,12 +41,12 @@
 
   void OnArrival(Micros at, int request_class, int tenant, double value);
   void OnServed(const ServedResponse& response);
-  // One sample of the connections of the backends: their mean, and the mean of their squares.
+  // Adds one sample of the connection counts of the backends: their mean and the mean of their squares.
   void OnConnectionSample(double mean, double mean_square);
 
-  // Counters, which the parts of the simulation increase.
+  // Counters, incremented by the components of the simulation.
   std::int64_t first_requests = 0;
-  std::int64_t client_requests = 0;  // with client retries
+  std::int64_t client_requests = 0;  // including client retries
   std::int64_t served = 0;
   std::int64_t in_time = 0;
   std::int64_t late = 0;
@@ -65,15 +65,16 @@
   std::int64_t unreachable_proxies = 0;
   std::int64_t discovery_polls = 0;
   std::int64_t client_retries_at_same_proxy = 0;
-  std::int64_t detected_retries = 0;  // client retries that the detector recognized
-  std::int64_t false_retries = 0;     // first requests that it took for retries
-  double executed_ms = 0;             // work done by backends
-  double useful_ms = 0;               // of that, for responses that were served
+  std::int64_t detected_retries = 0;  // client retries that the proxy detected as such
+  std::int64_t false_retries = 0;     // first requests wrongly detected as retries
+  double executed_ms = 0;             // work executed by backends
+  double useful_ms = 0;               // the part of it whose responses were served
 
   double Goodput() const { return overall_.Fraction(); }
   double WorstClass() const { return WorstOf(classes_); }
   double WorstTenant() const { return WorstOf(tenants_); }
-  // The weighted mean that the scenario's objective asks for, between 0 and 1.
+  // The mean of overall, worst class's and worst tenant's goodput, weighted by the scenario's objective; 0
+  // to 1.
   double ObjectiveScore() const;
   double WastedWork() const { return executed_ms > 0 ? 1 - useful_ms / executed_ms : 0; }
   double AttemptsPerRequest() const;
@@ -93,8 +94,8 @@
   nlohmann::ordered_json WindowsJson() const;
 
   const Scenario& scenario_;
-  double connections_mean_sum_ = 0;  // over the samples
-  double connections_cv_sum_ = 0;
+  double connections_mean_sum_ = 0;  // over all samples
+  double connections_cv_sum_ = 0;    // coefficients of variation, over all samples
   int connection_samples_ = 0;
   ServedValue overall_;
   std::vector<ServedValue> classes_;
--- a/src/simulation/report/plot.cpp
+++ b/src/simulation/report/plot.cpp
@@ -22,7 +22,7 @@
   return text;
 }
 
-std::string Head(const std::string& title) {
+std::string PageHead(const std::string& title) {
   return fmt::format(
       "<!doctype html>\n<html lang=\"en\"><head><meta "
       "charset=\"utf-8\"><title>{0}</title>\n<style>body{{font:15px/1.5 "
@@ -33,12 +33,13 @@
       EscapedForHtml(title));
 }
 
-// The element without what stands before it in the file.
+// Returns the SVG element without the XML declaration and document type that precede it in the file.
 std::string ReadSvgElement(const fs::path& svg) {
   std::ifstream in(svg, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   const std::size_t start = text.find("<svg");
-  if (start == std::string::npos) throw std::runtime_error("gnuplot drew no picture: " + svg.string());
+  if (start == std::string::npos)
+    throw std::runtime_error("gnuplot wrote no <svg> element into " + svg.string());
   return text.substr(start);
 }
 
@@ -47,7 +48,7 @@
 std::string WriteCharts(const std::vector<Chart>& charts, const std::string& title, const std::string& table,
                         const std::string& folder) {
   fs::create_directories(folder);
-  std::string page = Head(title);
+  std::string page = PageHead(title);
   if (!table.empty()) page += "<pre>" + EscapedForHtml(table) + "</pre>\n";
   for (const Chart& chart : charts) {
     if (chart.curves.empty() && chart.bars.empty() && chart.cells.empty()) continue;
--- a/src/simulation/report/proxy_logs.cpp
+++ b/src/simulation/report/proxy_logs.cpp
@@ -8,12 +8,13 @@
 namespace copperpoint::simulation {
 
 ProxyLogs::ProxyLogs(const std::string& folder, log::Format format, std::size_t proxies) : format_(format) {
-  std::error_code ignored;  // what could not be made cannot be written to
+  std::error_code ignored;  // if the folder cannot be created, opening the files fails
   std::filesystem::create_directories(folder, ignored);
   files_.reserve(proxies);
   for (std::size_t p = 0; p < proxies; ++p) {
     const std::string name = folder + "/p" + std::to_string(p) + ".log";
-    if (!files_.emplace_back(name, std::ios::binary)) throw std::runtime_error(name + ": cannot be written");
+    if (!files_.emplace_back(name, std::ios::binary))
+      throw std::runtime_error(name + ": cannot open the log file for writing");
   }
 }
 
--- a/src/simulation/report/proxy_logs.h
+++ b/src/simulation/report/proxy_logs.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The logs that the emulated proxies would have written, a file each, for `copperpoint fleet count`.
+// Writes the logs of the simulated proxies, one file for each, as input of `copperpoint fleet count`.
 #ifndef COPPERPOINT_SIMULATION_REPORT_PROXY_LOGS_H_
 #define COPPERPOINT_SIMULATION_REPORT_PROXY_LOGS_H_
 
@@ -17,10 +17,11 @@
 
 class ProxyLogs {
  public:
-  static constexpr double kOriginMs = 946684800000;  // Unix time of the emulator's 0: the year 2000
+  static constexpr double kOriginMs = 946684800000;  // Unix time of virtual time 0: the year 2000
 
-  // FOLDER/p0.log and on. Throws std::runtime_error if one cannot be written.
+  // Creates FOLDER/p0.log, p1.log and so on. Throws std::runtime_error if a file cannot be opened.
   ProxyLogs(const std::string& folder, log::Format format, std::size_t proxies);
+  // Appends a line to the log of a proxy. `at_ms` is virtual time.
   void Write(std::uint32_t proxy, double at_ms, std::string_view event,
              std::initializer_list<log::Field> fields);
 
--- a/src/simulation/report/recovery.cpp
+++ b/src/simulation/report/recovery.cpp
@@ -6,7 +6,7 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kRounding = 1e-9;  // of times in seconds
+constexpr double kRounding = 1e-9;  // tolerance of comparisons of times, in seconds
 
 double GoodputBetween(const std::vector<GoodputWindow>& line, double from_s, double to_s) {
   double requested = 0;
--- a/src/simulation/report/recovery.h
+++ b/src/simulation/report/recovery.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How service went through the faults and recovered: goodput before, during and right after them, and how
-// long after their end it took to be as good as before.
+// Measures how a run recovered from its faults: goodput before, during and right after them, and the time
+// from their end until goodput reached its previous level.
 #ifndef COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
 #define COPPERPOINT_SIMULATION_REPORT_RECOVERY_H_
 
@@ -12,31 +12,31 @@
 
 namespace copperpoint::simulation {
 
-// One window of the time line.
+// One window of a run's time line.
 struct GoodputWindow {
-  double at_s = 0;       // its start
+  double at_s = 0;       // start of the window
   double requested = 0;  // value of the requests that arrived in it
-  double served = 0;     // of that, served in time
+  double served = 0;     // the part of it that was served in time
 };
 
 struct Recovery {
   double from_s = 0;  // start of the first fault
-  double to_s = 0;    // end of the last
-  double before = 1;  // goodput, without the first seconds, in which policies learn
-  double during = 1;
-  double after = 1;  // in the kAfterS seconds after the end
-  // After the end, until goodput is kRecoveredFraction of the one before and stays so for kStableS; nothing:
-  // never.
+  double to_s = 0;    // latest end of a fault
+  double before = 1;  // goodput before the first fault, without the first kLearningS seconds
+  double during = 1;  // goodput from from_s to to_s
+  double after = 1;   // goodput in the kAfterS seconds after to_s
+  // Time from to_s until goodput over the next kStableS seconds is at least kRecoveredFraction of `before`;
+  // nothing if that is never reached.
   std::optional<double> recovered_after_s;
 
-  static constexpr double kLearningS = 2;
+  static constexpr double kLearningS = 2;  // policies learn in this time: goodput is not representative
   static constexpr double kAfterS = 5;
   static constexpr double kStableS = 2;
   static constexpr double kRecoveredFraction = 0.95;
 };
 
-// Nothing if there is no fault that ends early enough before the run, or one starts while policies still
-// learn.
+// Returns nothing if there are no faults, if the last ends less than kAfterS before the end of the run, or if
+// the first starts within kLearningS.
 std::optional<Recovery> MeasureRecovery(const Scenario& scenario, const std::vector<GoodputWindow>& line);
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/report/result_charts.h
+++ b/src/simulation/report/result_charts.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The charts of results: of a comparison or a single run, and of a sweep.
+// The charts of the results of a comparison, a single run or a sweep.
 #ifndef COPPERPOINT_SIMULATION_REPORT_RESULT_CHARTS_H_
 #define COPPERPOINT_SIMULATION_REPORT_RESULT_CHARTS_H_
 
@@ -11,12 +11,14 @@
 
 namespace copperpoint::simulation {
 
-// Time lines of goodput and latency, and bars with the policies side by side.
+// Returns time lines of goodput and latency and, if there are several runs, bar charts that compare the
+// policies.
 std::vector<Chart> ChartsOfComparison(const nlohmann::ordered_json& comparison);
 
-// Each figure over the first varied key that is a number, a curve for each policy and for each value of the
-// other keys, the mean over the seeds; and heat maps of the recovery after faults. `results` as ReadSweep
-// returns them. Throws std::runtime_error if no varied key is a number.
+// Returns a chart of each metric over the first varied key with numeric values, with a curve for each policy
+// and each combination of the other keys' values (the mean over the seeds), and heat maps of the recovery
+// after faults. `results` are as ReadSweep returns them. Throws std::runtime_error if no varied key is
+// numeric.
 std::vector<Chart> ChartsOfSweep(const std::vector<nlohmann::ordered_json>& results);
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/report/sweep_charts.cpp
+++ b/src/simulation/report/sweep_charts.cpp
@@ -16,20 +16,20 @@
 
 using nlohmann::ordered_json;
 
-constexpr double kLogScaleRatio =
-    100;  // of the largest to the smallest x, from which the axis is logarithmic
+// The x axis is logarithmic if the largest x is at least this many times the smallest.
+constexpr double kLogScaleRatio = 100;
 
 struct Figure {
   const char* key;
   const char* name;
 };
-constexpr Figure kSweepFigures[] = {{"goodput", "worth in time / worth asked"},
+constexpr Figure kSweepFigures[] = {{"goodput", "value served in time / value requested"},
                                     {"p50_ms", "median latency, ms"},
                                     {"p99_ms", "99th percentile, ms"},
                                     {"attempts_per_request", "attempts per request"},
                                     {"wasted_work", "share of work wasted"}};
 
-// A figure of a heat map, and the values of its worst and its best color.
+// A metric shown as a heat map, and the values with the colors for the worst and the best result.
 struct RecoveryFigure {
   const char* key;
   const char* name;
@@ -37,8 +37,8 @@
   double best;
 };
 constexpr RecoveryFigure kRecoveryFigures[] = {
-    {"after", "goodput in the 5 s after the trouble", 0, 1},
-    {"back_s", "seconds until goodput is back", 10, 0},
+    {"after", "goodput in the 5 s after the faults", 0, 1},
+    {"back_s", "seconds until goodput has recovered", 10, 0},
 };
 
 struct Mean {
@@ -62,13 +62,13 @@
 
 using CellPosition = std::pair<std::string, std::string>;
 
-// Of one policy: its means by cell, and the cells in the order in which they first occur.
+// The heat map of one policy: the mean of each cell, and the cells in the order in which they first occur.
 struct HeatMapData {
   std::map<CellPosition, Mean> means;
   std::vector<CellPosition> order;
 };
 
-// The first varied key across, all others together down.
+// The first varied key is on the x axis; all other keys together are on the y axis.
 struct HeatMapAxes {
   std::string x_path;
   std::string y_paths;
@@ -119,7 +119,7 @@
   return chart;
 }
 
-// How service recovered, for each policy.
+// Returns a heat map for each recovery metric and policy.
 std::vector<Chart> RecoveryHeatMaps(const std::vector<ordered_json>& results) {
   const HeatMapAxes axes = AxesOf(results.front()["values"]);
   std::vector<Chart> charts;
@@ -132,7 +132,7 @@
 
 // ---- curves -------------------------------------------------------------------------------------------
 
-// The first varied key whose first value is a number; empty if there is none.
+// Returns the first varied key whose value in `values` is a number, or an empty string if there is none.
 std::string FirstNumericKey(const ordered_json& values) {
   for (const auto& [path, value] : values.items()) {
     if (NumberOf(value.get<std::string>())) return path;
@@ -165,8 +165,8 @@
     means[curve][x].Add(point["result"][figure.key].get<double>());
   }
   const auto& first = means[order.front()];
-  const double least_x = first.begin()->first;
-  chart.log_x = least_x > 0 && first.rbegin()->first >= kLogScaleRatio * least_x;
+  const double min_x = first.begin()->first;
+  chart.log_x = min_x > 0 && first.rbegin()->first >= kLogScaleRatio * min_x;
   for (const std::string& name : order) {
     Curve curve{name, {}};
     for (const auto& [x, mean] : means[name]) {
@@ -181,7 +181,8 @@
 
 std::vector<Chart> ChartsOfSweep(const std::vector<ordered_json>& results) {
   const std::string x_path = FirstNumericKey(results.front()["values"]);
-  if (x_path.empty()) throw std::runtime_error("none of the varied keys is a number: nothing to draw over");
+  if (x_path.empty())
+    throw std::runtime_error("cannot draw a chart: expected a varied key with numeric values for the x axis");
   std::vector<Chart> charts;
   for (const Figure& figure : kSweepFigures) charts.push_back(SweepChart(figure, x_path, results));
   for (Chart& chart : RecoveryHeatMaps(results)) charts.push_back(std::move(chart));
--- a/src/simulation/report/sweep_table.cpp
+++ b/src/simulation/report/sweep_table.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::ordered_json;
 
-constexpr std::size_t kMinLabelWidth = 8;  // columns
+constexpr std::size_t kMinLabelWidth = 8;  // characters
 
 struct MeanScore {
   double sum = 0;
@@ -63,7 +63,7 @@
   return scores;
 }
 
-// How a policy's runs went on after their faults; empty if none has a fault that ends.
+// Summarizes how a policy's runs recovered after their faults; empty if none of them has a recovery.
 std::string RecoveryLine(const std::vector<ordered_json>& results, const std::string& policy) {
   int runs = 0;
   int recovered = 0;
@@ -80,7 +80,8 @@
   }
   if (runs == 0) return "";
   return fmt::format(
-      "{}: back within {:.0f} s in {} of {} runs; goodput of that time {:.4f}; attempts per request {:.3f}\n",
+      "{}: recovered within {:.0f} s in {} of {} runs; goodput in that time {:.4f}; attempts per request "
+      "{:.3f}\n",
       policy, Recovery::kAfterS, recovered, runs, goodput / runs, attempts / runs);
 }
 
--- a/src/simulation/report/sweep_table.h
+++ b/src/simulation/report/sweep_table.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The table of a sweep's results.
+// Formats the results of a sweep as a table for people.
 #ifndef COPPERPOINT_SIMULATION_REPORT_SWEEP_TABLE_H_
 #define COPPERPOINT_SIMULATION_REPORT_SWEEP_TABLE_H_
 
@@ -10,10 +10,11 @@
 
 namespace copperpoint::simulation {
 
-// `results` as ReadSweep returns them. The scenario's objective (goodput, if it sets none) in the mean of the
-// seeds: a line for each combination of values, a column for each policy, and the share of the oracle's that
-// the program's own policy reaches, where both ran. Then, where runs have a fault that ends, how many of them
-// recovered within Recovery::kAfterS, and the goodput of that time.
+// `results` are as ReadSweep returns them. The table shows the objective score (goodput if a result has
+// none), averaged over the seeds: a line for each combination of values and a column for each policy. If both
+// the balancer and the oracle ran, a further column has the ratio of their scores. For runs with a recovery,
+// a line for each policy then tells how many recovered within Recovery::kAfterS, and the goodput in that
+// time.
 std::string SweepTable(const std::vector<nlohmann::ordered_json>& results);
 
 }  // namespace copperpoint::simulation
