--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -30,7 +30,7 @@
 // Some of everything: time-outs, resets, errors, failed connections, refusals, restarts, discovery
 // overbooked.
 simulation::Scenario Busy() {
-  simulation::Scenario s = simulation::Plain();
+  simulation::Scenario s = simulation::MinimalScenario();
   s.length_s = 8;
   s.load.of_capacity = 1.1;
   s.load.hint_error = 0.2;
--- a/tests/simulation/lab_testing.h
+++ b/tests/simulation/lab_testing.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Short scenarios for tests, and policies that break a rule on purpose.
+// Helpers of the simulation tests: a minimal scenario, and policies scripted by the test, which can violate a
+// rule of service deliberately.
 #ifndef COPPERPOINT_TESTS_LAB_LAB_TESTING_H_
 #define COPPERPOINT_TESTS_LAB_LAB_TESTING_H_
 
@@ -18,8 +19,9 @@
 
 namespace copperpoint::simulation {
 
-// One zone, one proxy, one backend of speed 1, no jitter, no repeats: what a test does not set is exact.
-inline Scenario Plain(const std::string& more = "") {
+// One zone, one proxy and one backend of speed 1, without jitter or client retries, so that times are exact
+// unless a test sets otherwise. `more` is TOML that is read on top of it.
+inline Scenario MinimalScenario(const std::string& more = "") {
   Scenario s;
   s.title = "plain";
   s.length_s = 5;
@@ -38,45 +40,51 @@
   return s;
 }
 
-// Sends each request to the first backend listed; what else it does is up to the test.
-class Scripted : public Policy {
+// Keeps the endpoints of the received updates and passes every event to the test's handler.
+class ScriptedPolicy : public Policy {
  public:
-  using React = std::function<void(Scripted&, TimePoint, const Event&, std::vector<Action>*)>;
-  explicit Scripted(React react) : react_(std::move(react)) {}
+  using Handler = std::function<void(ScriptedPolicy&, TimePoint, const Event&, std::vector<Action>*)>;
+  explicit ScriptedPolicy(Handler handler) : handler_(std::move(handler)) {}
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) override {
     if (const auto* list = std::get_if<EndpointUpdate>(&event)) {
-      for (const Endpoint& e : list->endpoints) known[e.backend] = e;
+      for (const Endpoint& e : list->endpoints) endpoints[e.backend] = e;
     }
-    react_(*this, now, event, actions);
+    handler_(*this, now, event, actions);
   }
-  std::map<BackendId, Endpoint> known;
+  std::map<BackendId, Endpoint> endpoints;
 
  private:
-  React react_;
+  Handler handler_;
 };
 
-inline RunResult RunScripted(const Scenario& scenario, const Scripted::React& react, std::uint64_t seed = 1) {
+inline RunResult RunScripted(const Scenario& scenario, const ScriptedPolicy::Handler& handler,
+                             std::uint64_t seed = 1) {
   RunOptions options;
   options.policy = "scripted";
   options.seed = seed;
-  options.make_policy = [&](const std::string&, PolicyContext) { return std::make_unique<Scripted>(react); };
+  options.make_policy = [&](const std::string&, PolicyContext) {
+    return std::make_unique<ScriptedPolicy>(handler);
+  };
   return RunWithTrace(scenario, options);
 }
 
-// A policy that keeps every rule: one attempt, and its end is the request's.
-inline void OneAttempt(Scripted& self, TimePoint, const Event& event, std::vector<Action>* actions) {
-  if (const auto* submit = std::get_if<RequestReceived>(&event)) {
-    if (self.known.empty()) return actions->push_back(RejectRequest{submit->request, Duration(0)});
-    actions->push_back(StartAttempt{submit->request, self.known.begin()->first, Duration(0)});
+// A handler that keeps every rule: it makes one attempt for each request, which completes the request.
+inline void OneAttempt(ScriptedPolicy& self, TimePoint, const Event& event, std::vector<Action>* actions) {
+  if (const auto* received = std::get_if<RequestReceived>(&event)) {
+    if (self.endpoints.empty()) return actions->push_back(RejectRequest{received->request, Duration(0)});
+    actions->push_back(StartAttempt{received->request, self.endpoints.begin()->first, Duration(0)});
   }
-  if (const auto* end = std::get_if<AttemptCompleted>(&event); end && !end->request_completed)
-    actions->push_back(FailRequest{end->request});
+  if (const auto* completed = std::get_if<AttemptCompleted>(&event);
+      completed && !completed->request_completed)
+    actions->push_back(FailRequest{completed->request});
 }
 
-inline int RuleBroken(const RunResult& result) {
+// Returns the number of the rule that was violated first, 0 if there was no violation.
+inline int FirstViolatedRule(const RunResult& result) {
   return result.violations == 0 ? 0 : result.json["broken"][0]["rule"].get<int>();
 }
 
+// Returns a counter of the result by its JSON key.
 inline std::int64_t Count(const RunResult& result, const char* name) {
   return result.json["counts"][name].get<std::int64_t>();
 }
--- a/tests/simulation/models_test.cpp
+++ b/tests/simulation/models_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The models against their closed forms, where there are any.
+// Checks the models of the simulation against closed-form results where these exist: an error in the event
+// queue, the backends, the arrivals or the histogram would distort every simulated figure.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -18,7 +19,7 @@
 namespace copperpoint::simulation {
 namespace {
 
-TEST(EventQueue, IsOrderedByTimeThenRankThenPush) {
+TEST(EventQueue, PopsByTimeThenPriorityThenPushOrder) {
   EventQueue queue;
   queue.Push(20, EventPriority::kControl, 1, 0, 0);
   queue.Push(10, EventPriority::kTimeout, 2, 0, 0);
@@ -30,7 +31,7 @@
   EXPECT_EQ(kinds, (std::vector<std::uint32_t>{5, 3, 4, 2, 1}));
 }
 
-TEST(EventQueue, ATimeInThePastIsNowAndTimeNeverGoesBack) {
+TEST(EventQueue, PushInThePastIsDueNowAndTimeNeverDecreases) {
   EventQueue queue;
   queue.Push(100, EventPriority::kControl, 1, 0, 0);
   queue.PopNext();
@@ -39,8 +40,8 @@
   EXPECT_EQ(queue.now(), 100);
 }
 
-// Response times of an M/M/c queue, first come first served (Erlang C).
-double MeanResponse(int c, double rho, double service_ms) {
+// The mean response time of an M/M/c queue with first-come, first-served order (Erlang C), in milliseconds.
+double TheoreticalMeanResponse(int c, double rho, double service_ms) {
   const double a = rho * c;
   double sum = 0, term = 1;
   for (int k = 0; k < c; ++k) {
@@ -51,8 +52,8 @@
   return service_ms + waits * service_ms / (c * (1 - rho));
 }
 
-double Simulated(int cores, double rho) {
-  Scenario s = Plain();
+double SimulatedMeanResponse(int cores, double rho) {
+  Scenario s = MinimalScenario();
   s.length_s = 400;
   s.load.rate = 1000.0 * rho * cores;
   s.classes[0].work_ms = 1;
@@ -66,22 +67,22 @@
   return simulation::Run(s, options).json["mean_ms"].get<double>();
 }
 
-TEST(Models, AnMM1QueueIsWithin3Percent) {
+TEST(Models, MeanResponseOfAnMM1QueueIsWithin3PercentOfTheory) {
   for (const double rho : {0.3, 0.6})
-    EXPECT_NEAR(Simulated(1, rho) / MeanResponse(1, rho, 1), 1, 0.03) << rho;
+    EXPECT_NEAR(SimulatedMeanResponse(1, rho) / TheoreticalMeanResponse(1, rho, 1), 1, 0.03) << rho;
 }
 
-TEST(Models, AnMMcQueueIsWithin3Percent) {
-  EXPECT_NEAR(Simulated(4, 0.5) / MeanResponse(4, 0.5, 1), 1, 0.03);
-  EXPECT_NEAR(Simulated(2, 0.7) / MeanResponse(2, 0.7, 1), 1, 0.03);
+TEST(Models, MeanResponseOfAnMMcQueueIsWithin3PercentOfTheory) {
+  EXPECT_NEAR(SimulatedMeanResponse(4, 0.5) / TheoreticalMeanResponse(4, 0.5, 1), 1, 0.03);
+  EXPECT_NEAR(SimulatedMeanResponse(2, 0.7) / TheoreticalMeanResponse(2, 0.7, 1), 1, 0.03);
 }
 
-TEST(Models, WarmUpRisesEvenlyFromTheColdShare) {
+TEST(Models, CapacityRisesLinearlyDuringSlowStart) {
   BackendType machine;
   machine.slow_start_min_capacity = 0.2;
   machine.slow_start_window_s = 10;
   Backend backend(machine, 0, 0, 2);
-  EXPECT_EQ(backend.CapacityFraction(0), 1) << "long up";
+  EXPECT_EQ(backend.CapacityFraction(0), 1) << "it started long ago";
   backend.Stop(Backend::Health::kDown);
   backend.Start(FromMs(5000));
   EXPECT_NEAR(backend.CapacityFraction(FromMs(5000)), 0.2, 1e-9);
@@ -98,7 +99,7 @@
   return started.ends_at;
 }
 
-TEST(Models, AFreezePutsOffWhatIsInWorkByItsWholeLength) {
+TEST(Models, PauseDelaysRunningWorkByItsWholeDuration) {
   BackendType machine;
   Backend backend(machine, 0, 0, 1);
   StartedJob started;
@@ -107,22 +108,22 @@
   ASSERT_EQ(backend.Arrive(0, job, &started), ArrivalResult::kStarted);
   EXPECT_EQ(started.ends_at, 10000);
   backend.Pause(4000, 9000);
-  backend.Pause(6000, 12000);  // overlaps: one freeze of 8 ms
+  backend.Pause(6000, 12000);  // overlaps the first pause: together 8 ms
   Micros postponed_to = 0;
   EXPECT_FALSE(backend.Finish(10000, started.slot, &postponed_to).has_value());
   EXPECT_EQ(postponed_to, 18000);
   EXPECT_TRUE(backend.Finish(18000, started.slot, &postponed_to).has_value());
 }
 
-TEST(Models, WhatArrivesInAFreezeBeginsAtItsEnd) {
+TEST(Models, WorkArrivingDuringAPauseStartsAtItsEnd) {
   BackendType machine;
   Backend backend(machine, 0, 0, 1);
   backend.Pause(0, 5000);
   EXPECT_EQ(StartedAt(backend, 1000, 2), 7000);
 }
 
-// How long 10 ms of work for that key take at a backend that is idle, and is idle again after it.
-Micros Takes(Backend& backend, Micros now, std::uint64_t key) {
+// Returns the time that 10 ms of work for that key take at an idle backend, which is idle again afterwards.
+Micros DurationOf(Backend& backend, Micros now, std::uint64_t key) {
   StartedJob started;
   Job job;
   job.work_ms = 10;
@@ -133,37 +134,37 @@
   return started.ends_at - now;
 }
 
-TEST(Models, AWarmKeySavesItsShareAndIsForgotten) {
+TEST(Models, CachedKeyReducesWorkUntilItExpires) {
   BackendType machine;
   machine.cores = 4;
   machine.cached_key_gain = 0.5;
   machine.cached_key_s = 2;
   Backend backend(machine, 0, 0, 1);
-  const auto takes = [&](Micros now, std::uint64_t key) { return Takes(backend, now, key); };
-  EXPECT_EQ(takes(0, 5), 10000);
-  EXPECT_EQ(takes(100000, 5), 5000);
-  EXPECT_EQ(takes(100000, 6), 10000);
-  EXPECT_EQ(takes(2200000, 5), 10000) << "two seconds are over";
+  const auto duration_of = [&](Micros now, std::uint64_t key) { return DurationOf(backend, now, key); };
+  EXPECT_EQ(duration_of(0, 5), 10000);
+  EXPECT_EQ(duration_of(100000, 5), 5000);
+  EXPECT_EQ(duration_of(100000, 6), 10000);
+  EXPECT_EQ(duration_of(2200000, 5), 10000) << "the key expired after 2 s";
 }
 
-TEST(Models, ABackendRemembersNoMoreKeysThanItCan) {
+TEST(Models, KeyCacheEvictsBeyondItsCapacity) {
   BackendType machine;
   machine.cached_key_gain = 0.5;
   machine.max_cached_keys = 3;
   Backend backend(machine, 0, 0, 1);
   Micros now = 0;
-  const auto takes = [&](std::uint64_t key) {
-    const Micros took = Takes(backend, now, key);
+  const auto duration_of = [&](std::uint64_t key) {
+    const Micros took = DurationOf(backend, now, key);
     now += took;
     return took;
   };
-  for (const std::uint64_t key : {1, 2, 3, 4}) EXPECT_EQ(takes(key), 10000);
-  EXPECT_EQ(takes(4), 5000);
-  EXPECT_EQ(takes(1), 10000) << "pushed out";
+  for (const std::uint64_t key : {1, 2, 3, 4}) EXPECT_EQ(duration_of(key), 10000);
+  EXPECT_EQ(duration_of(4), 5000);
+  EXPECT_EQ(duration_of(1), 10000) << "evicted";
 }
 
-TEST(Models, ZipfSharesFollowTheLaw) {
-  Scenario s = Plain("length_s = 200\n[load]\nrate = 1000\nkeys = 50\nzipf = 1.0\n");
+TEST(Models, KeyFrequenciesFollowZipfsLaw) {
+  Scenario s = MinimalScenario("length_s = 200\n[load]\nrate = 1000\nkeys = 50\nzipf = 1.0\n");
   const DrawnScenario drawn = DrawScenario(s, 3);
   ArrivalProcess arrivals(s, drawn);
   std::map<std::uint64_t, double> seen;
@@ -176,9 +177,9 @@
     EXPECT_NEAR(seen[static_cast<std::uint64_t>(k)] / all * harmonic * k, 1, 0.05) << k;
 }
 
-TEST(Models, WorkHasItsMeanWhateverItsShape) {
+TEST(Models, MeanWorkIsAsConfiguredForEveryDistribution) {
   for (const char* shape : {"lognormal", "exponential", "constant"}) {
-    Scenario s = Plain("length_s = 100\n[load]\nrate = 1000\n");
+    Scenario s = MinimalScenario("length_s = 100\n[load]\nrate = 1000\n");
     s.classes[0].distribution = shape;
     s.classes[0].work_ms = 40;
     const DrawnScenario drawn = DrawScenario(s, 3);
@@ -189,8 +190,8 @@
   }
 }
 
-TEST(Models, ABurstRaisesTheRateWhileItLasts) {
-  const Scenario s = Plain(
+TEST(Models, BurstMultipliesTheRateForItsDuration) {
+  const Scenario s = MinimalScenario(
       "length_s = 30\n[load]\nrate = 500\n[[trouble]]\nkind = \"burst\"\nat_s = 10\nfor_s = 10\nsize = 3\n");
   const DrawnScenario drawn = DrawScenario(s, 1);
   ArrivalProcess arrivals(s, drawn);
@@ -203,7 +204,7 @@
   EXPECT_NEAR(within / 10, 1500, 40);
 }
 
-TEST(LatencyHistogram, QuantilesAreWithinAPercent) {
+TEST(LatencyHistogram, QuantilesAreWithinTheResolutionOfABin) {
   LatencyHistogram latency;
   for (int i = 1; i <= 10000; ++i) latency.Add(i * 0.1);
   EXPECT_NEAR(latency.Quantile(0.5), 500, 6);
@@ -213,7 +214,7 @@
   EXPECT_EQ(LatencyHistogram().Quantile(0.5), 0);
 }
 
-TEST(LatencyHistogram, WhatIsBeyondItsRangeIsCountedAtTheEnds) {
+TEST(LatencyHistogram, ValuesOutOfRangeAreCountedInTheOuterBins) {
   LatencyHistogram latency;
   latency.Add(0);
   latency.Add(1e9);
--- a/tests/simulation/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Sweeps that stop and go on, scenario files with faults, and pictures.
+// Tests sweeps that are interrupted and resumed, errors in scenario files, and the simulate command with its
+// charts.
 #include "simulation/run/sweep.h"
 
 #include <gtest/gtest.h>
@@ -24,48 +25,48 @@
 using testing_support::RunProgram;
 using testing_support::TemporaryFolder;
 
-constexpr char kSmall[] =
+constexpr char kSmallScenario[] =
     "title = \"small\"\nlength_s = 1\n[load]\nrate = 50\n[fleet]\nbackends = 2\n[clients]\nretry = "
     "\"none\"\n";
 
-SweepPlan Small() {
+SweepPlan SmallPlan() {
   SweepPlan plan;
   plan.scenario_file = "small.toml";
-  plan.scenario_text = kSmall;
+  plan.scenario_text = kSmallScenario;
   plan.varied = {ParseVariedKey("load.rate=20:60:20"), ParseVariedKey("clients.retry=none,fixed")};
   plan.policies = {"ours", "p2c"};
   plan.seeds = {1, 2};
   return plan;
 }
 
-TEST(VariedKey, RangesIncludeTheirEndAndListsAreTakenAsTheyAre) {
+TEST(VariedKey, RangesIncludeTheLastValueAndListsAreTakenVerbatim) {
   EXPECT_EQ(ParseVariedKey("a.b=0.1:0.3:0.1").values, (std::vector<std::string>{"0.1", "0.2", "0.3"}));
   EXPECT_EQ(ParseVariedKey("a.0.b=x,y").values, (std::vector<std::string>{"x", "y"}));
   for (const char* bad : {"", "a", "=1", "a=", "a=1:2:0", "a=2:1:1", "a=x:y:z", "a=0:1e9:1"})
     EXPECT_THROW(ParseVariedKey(bad), std::invalid_argument) << bad;
 }
 
-TEST(Edit, SetsKeysInTablesAndArraysAndMakesTables) {
+TEST(Edit, SetsKeysInTablesAndArraysAndCreatesTables) {
   const std::string text = config::SetKey("[[class]]\nname = \"a\"\n", "f", "class.0.work_ms", "5");
   EXPECT_NE(text.find("work_ms = 5"), std::string::npos) << text;
   EXPECT_NE(config::SetKey("", "f", "load.shape", "daily").find("shape = 'daily'"), std::string::npos);
   for (const char* bad : {"class.1.name", "class.x.name", "class", "title.deeper", ""}) {
-    if (std::string(bad) == "class") continue;  // a whole table may be set; the schema judges it
+    if (std::string(bad) == "class") continue;  // a complete table may be set; the schema validates it
     EXPECT_THROW(config::SetKey("title = \"t\"\n[[class]]\n", "f", bad, "1"), std::invalid_argument) << bad;
   }
   EXPECT_THROW(config::SetKey("a = = 1", "f", "b", "1"), config::InvalidFile);
 }
 
-TEST(Sweep, GoesOnWhereItStoppedAndDoesTornFilesAnew) {
+TEST(Sweep, ResumesAndRepeatsRunsWhoseFilesAreMissingOrCorrupted) {
   const TemporaryFolder folder;
   const std::string out = folder / "sweep";
-  const SweepPlan plan = Small();
+  const SweepPlan plan = SmallPlan();
   SweepReport report = Sweep(plan, out, 2, {});
   EXPECT_EQ(report.points, 3u * 2 * 2 * 2);
   EXPECT_EQ(report.reused, 0u);
-  const std::string whole = ReadFile(out + "/point-0000005.json");
+  const std::string complete = ReadFile(out + "/point-0000005.json");
   std::filesystem::remove(out + "/point-0000003.json");
-  std::ofstream(out + "/point-0000005.json") << whole.substr(0, whole.size() / 2);
+  std::ofstream(out + "/point-0000005.json") << complete.substr(0, complete.size() / 2);
   std::string altered = ReadFile(out + "/point-0000007.json");
   altered[altered.find("goodput\":") + 11] ^= 1;
   std::ofstream(out + "/point-0000007.json") << altered;
@@ -75,7 +76,7 @@
   EXPECT_EQ(ran, 3u);
   EXPECT_EQ(report.reused, 21u);
   EXPECT_EQ(report.corrupted, 2u);
-  EXPECT_EQ(ReadFile(out + "/point-0000005.json"), whole) << "the same bytes as the first time";
+  EXPECT_EQ(ReadFile(out + "/point-0000005.json"), complete) << "the repeated run must write the same bytes";
   EXPECT_EQ(ReadSweep(out).size(), 24u);
 }
 
@@ -93,24 +94,24 @@
   EXPECT_EQ(SweepTable(results).find("oracle"), std::string::npos);
 }
 
-TEST(Sweep, AFolderOfAnotherSweepIsRefusedAndKept) {
+TEST(Sweep, FolderOfAnotherSweepIsRejected) {
   const TemporaryFolder folder;
-  SweepPlan plan = Small();
+  SweepPlan plan = SmallPlan();
   plan.varied.resize(1);
   Sweep(plan, folder / "sweep", 1, {});
   plan.seeds = {3};
   EXPECT_THROW(Sweep(plan, folder / "sweep", 1, {}), std::invalid_argument);
 }
 
-TEST(Sweep, APointThatIsNoGoodScenarioStopsItBeforeTheFirstRun) {
+TEST(Sweep, InvalidScenarioOfAPointIsReportedBeforeTheFirstRun) {
   const TemporaryFolder folder;
-  SweepPlan plan = Small();
+  SweepPlan plan = SmallPlan();
   plan.varied = {ParseVariedKey("fleet.backends=1,many")};
   EXPECT_THROW(Sweep(plan, folder / "sweep", 1, {}), config::InvalidFile);
   EXPECT_FALSE(std::filesystem::exists(folder / "sweep"));
 }
 
-TEST(Scenario, FaultsOfAFileAreNamedTogether) {
+TEST(Scenario, AllErrorsOfAFileAreReportedTogether) {
   try {
     config::LoadText<Scenario>(
         "length_s = -1\n[load]\nshape = \"odd\"\n[[trouble]]\nkind = \"rain\"\n[[class]]\naim_ms = "
@@ -128,22 +129,22 @@
   }
 }
 
-TEST(Scenario, AnUnknownPolicyNamesThoseThatThereAre) {
+TEST(Scenario, ErrorOfAnUnknownPolicyListsTheKnownOnes) {
   RunOptions options;
   options.policy = "p3c";
   try {
-    simulation::Run(Plain(), options);
+    simulation::Run(MinimalScenario(), options);
     FAIL();
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("prequal"), std::string::npos);
   }
 }
 
-// ---- the command ----------------------------------------------------------------------------------------
+// ---- the simulate command ------------------------------------------------------------------------------
 
 TEST(LabCommand, ComparesAndPlots) {
   const TemporaryFolder folder;
-  const std::string scenario = folder.Write("small.toml", kSmall);
+  const std::string scenario = folder.Write("small.toml", kSmallScenario);
   const Finished compared =
       RunProgram(PROGRAM_PATH, "simulate compare " + scenario + " --json " + (folder / "out.json"));
   EXPECT_EQ(compared.code, 0) << compared.err;
@@ -157,12 +158,12 @@
   ASSERT_EQ(plotted.code, 0) << plotted.err;
   const std::string page = ReadFile(folder / "plots" + "/report.html");
   EXPECT_NE(page.find("<svg"), std::string::npos);
-  EXPECT_EQ(page.find("<img"), std::string::npos) << "the page needs nothing else";
+  EXPECT_EQ(page.find("<img"), std::string::npos) << "the page must not refer to other files";
 }
 
 TEST(LabCommand, SweepsAndPlots) {
   const TemporaryFolder folder;
-  const std::string scenario = folder.Write("small.toml", kSmall);
+  const std::string scenario = folder.Write("small.toml", kSmallScenario);
   const std::string arguments = "simulate sweep " + scenario +
                                 " --vary load.rate=20:40:10 --policies ours,p2c --out " + (folder / "sweep");
   EXPECT_EQ(RunProgram(PROGRAM_PATH, arguments).code, 0);
@@ -173,13 +174,13 @@
   EXPECT_TRUE(std::filesystem::exists(folder / "sweep" + "/sweep-p99_ms.svg"));
 }
 
-TEST(LabCommand, FaultsAreExitCode2AndBrokenFilesAreNamed) {
+TEST(LabCommand, InvalidInputExitsWith2AndTheErrorNamesTheFile) {
   const TemporaryFolder folder;
   const std::string bad = folder.Write("bad.toml", "length_s = 0\n");
   const Finished run = RunProgram(PROGRAM_PATH, "simulate run " + bad);
   EXPECT_EQ(run.code, 2);
   EXPECT_EQ(run.err, "copperpoint: " + bad + ":1:12: length_s: 0 is out of range: 0.01 to 86400 s\n");
-  const std::string good = folder.Write("good.toml", kSmall);
+  const std::string good = folder.Write("good.toml", kSmallScenario);
   EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --policy none").code, 2);
   EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --set fleet.backends=x").code, 2);
   EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --set class.3.share=1").code, 2);
@@ -187,10 +188,10 @@
   EXPECT_EQ(RunProgram(PROGRAM_PATH, "simulate run " + good + " --set fleet.backends=1").code, 0);
 }
 
-TEST(LabCommand, ThePageHasEveryKey) {
+TEST(LabCommand, ReferencePageHasEveryKey) {
   const std::string page = ReadFile(std::string(SOURCE_DIR) + "/docs/scenarios.md");
   EXPECT_NE(page.find(ScenarioReference()), std::string::npos)
-      << "write it anew: copperpoint simulate reference > docs/scenarios.md";
+      << "to update the page: copperpoint simulate reference > docs/scenarios.md";
 }
 
 }  // namespace
