--- a/src/simulation/core/random.h
+++ b/src/simulation/core/random.h
@@ -22,8 +22,8 @@
 
 class Random {
  public:
-  Random(std::uint64_t seed, std::string_view part, std::uint64_t index = 0)
-      : engine_(XXH64(part.data(), part.size(), seed ^ (index * 0x9e3779b97f4a7c15u))) {}
+  Random(std::uint64_t seed, std::string_view stream, std::uint64_t index = 0)
+      : engine_(XXH64(stream.data(), stream.size(), seed ^ (index * 0x9e3779b97f4a7c15u))) {}
 
   double Unit() { return boost::random::uniform_01<double>()(engine_); }  // in [0, 1)
   bool Chance(double p) { return p > 0 && Unit() < p; }
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -203,12 +203,13 @@
   v.Require("class", !classes.empty(), "at least one is wanted");
   v.Require("account", !tenants.empty(), "at least one is wanted");
   v.Require("machine", !backend_types.empty(), "at least one is wanted");
-  const auto any = [](const auto& items) {
+  const auto has_positive_share = [](const auto& items) {
     return std::any_of(items.begin(), items.end(), [](const auto& item) { return item.share > 0; });
   };
-  v.Require("class", classes.empty() || any(classes), "some share must be over 0");
-  v.Require("account", tenants.empty() || any(tenants), "some share must be over 0");
-  v.Require("machine", backend_types.empty() || any(backend_types), "some share must be over 0");
+  v.Require("class", classes.empty() || has_positive_share(classes), "some share must be over 0");
+  v.Require("account", tenants.empty() || has_positive_share(tenants), "some share must be over 0");
+  v.Require("machine", backend_types.empty() || has_positive_share(backend_types),
+            "some share must be over 0");
   for (const Fault& fault : faults) {
     v.Require("trouble", fault.from_zone < fleet.zones && fault.to_zone < fleet.zones,
               "from_zone or to_zone is no zone of the fleet");
@@ -217,10 +218,10 @@
 
 double Scenario::Capacity() const {
   double type_share = 0;
-  double power = 0;
+  double capacity = 0;
   for (const BackendType& type : backend_types) {
     type_share += type.share;
-    power += type.share * type.cores * type.speed;
+    capacity += type.share * type.cores * type.speed;
   }
   double class_share = 0;
   double work_ms = 0;
@@ -228,7 +229,7 @@
     class_share += c.share;
     work_ms += c.share * c.work_ms;
   }
-  return fleet.backends * power / type_share * kMsPerSecond * class_share / work_ms;
+  return fleet.backends * capacity / type_share * kMsPerSecond * class_share / work_ms;
 }
 
 double Scenario::MaxDeadlineMs() const {
--- a/src/simulation/world/arrival_process.cpp
+++ b/src/simulation/world/arrival_process.cpp
@@ -13,7 +13,7 @@
 constexpr double kMsPerSecond = 1000;
 constexpr double kQuotaBurstSeconds = 2;  // depth of a tenant's token bucket
 constexpr double kMinQuotaBurst = 1;      // requests
-constexpr double kMinSpellSeconds = 0.05;
+constexpr double kMinPhaseSeconds = 0.05;
 constexpr double kMinWorkMs = 1e-3;
 
 template <typename Items>
@@ -66,11 +66,11 @@
   if (load.shape == ArrivalShape::kDaily) {
     rate *= 1 + load.swing * std::sin(2 * std::numbers::pi * at_s / load.period_s);
   } else if (load.shape == ArrivalShape::kBursty) {
-    while (at_s >= spell_until_s_) {
-      spell_until_s_ += std::max(kMinSpellSeconds, attributes_.Exponential(load.period_s));
-      spell_factor_ = attributes_.Between(1 - load.swing, 1 + load.swing);
+    while (at_s >= phase_end_s_) {
+      phase_end_s_ += std::max(kMinPhaseSeconds, attributes_.Exponential(load.period_s));
+      phase_factor_ = attributes_.Between(1 - load.swing, 1 + load.swing);
     }
-    rate *= spell_factor_;
+    rate *= phase_factor_;
   }
   for (const Fault& fault : scenario_.faults) {
     const bool active = at_s >= fault.at_s && at_s < fault.at_s + fault.for_s;
--- a/src/simulation/world/arrival_process.h
+++ b/src/simulation/world/arrival_process.h
@@ -47,8 +47,8 @@
   double rate_;
   double max_rate_;
   double at_s_ = 0;
-  double spell_until_s_ = 0;  // of the bursty shape
-  double spell_factor_ = 1;
+  double phase_end_s_ = 0;  // of the bursty shape
+  double phase_factor_ = 1;
   std::vector<double> quota_tokens_;  // by tenant
   double quota_tokens_at_s_ = 0;
 };
--- a/src/simulation/world/attempt_handler.cpp
+++ b/src/simulation/world/attempt_handler.cpp
@@ -128,38 +128,40 @@
   ProxyState& proxy = world_.proxies[request.proxy];
   ConnectionPool& pool = proxy.connections[attempt.backend];
   CloseExpiredConnections(&backend, &pool);
-  const Micros there = world_.network.Delay(world_.now(), proxy.zone, backend.zone());
+  const Micros request_delay = world_.network.Delay(world_.now(), proxy.zone, backend.zone());
   ++request.references;
   pool.last_used = world_.now();
-  if (pool.idle == 0) return SendOnNewConnection(slot, index, &pool, there);
+  if (pool.idle == 0) return SendOnNewConnection(slot, index, &pool, request_delay);
   --pool.idle;
   attempt.connected = true;
   attempt.incarnation = pool.incarnation;
-  world_.queue.Push(world_.now() + there, EventPriority::kBackend, kAttemptReceived, index, slot);
+  world_.queue.Push(world_.now() + request_delay, EventPriority::kBackend, kAttemptReceived, index, slot);
 }
 
 void AttemptHandler::SendOnNewConnection(std::uint32_t slot, std::uint32_t index, ConnectionPool* pool,
-                                         Micros there) {
+                                         Micros request_delay) {
   ClientRequest& request = world_.RequestAt(slot);
   Attempt& attempt = request.attempts[index];
   Backend& backend = world_.backends[attempt.backend];
   const NetworkSettings& settings = world_.network.settings();
   const Micros timeout = FromMs(settings.connect_timeout_ms);
-  const Micros back = world_.network.Delay(world_.now(), backend.zone(), world_.proxies[request.proxy].zone);
-  const auto handshake = static_cast<Micros>(settings.handshake_rtts * static_cast<double>(there + back));
+  const Micros response_delay =
+      world_.network.Delay(world_.now(), backend.zone(), world_.proxies[request.proxy].zone);
+  const auto handshake =
+      static_cast<Micros>(settings.handshake_rtts * static_cast<double>(request_delay + response_delay));
   const auto fail_after = [&](Micros delay) {
     world_.queue.Push(world_.now() + delay, EventPriority::kBackend, kConnectFailure, index, slot);
   };
   if (backend.health() == Backend::Health::kUnresponsive || handshake > timeout) return fail_after(timeout);
   if (backend.health() == Backend::Health::kDown || !backend.AcceptConnection())
-    return fail_after(std::min(timeout, there + back));
+    return fail_after(std::min(timeout, request_delay + response_delay));
   ++world_.metrics.connections;
   world_.LogTo(request.proxy, log::events::kConnectionOpened, {{log::fields::kBackend, attempt.backend}});
   if (pool->incarnation != backend.incarnation()) *pool = {0, 0, backend.incarnation(), world_.now()};
   ++pool->open;
   attempt.connected = true;
   attempt.incarnation = backend.incarnation();
-  world_.queue.Push(world_.now() + handshake + there, EventPriority::kBackend, kAttemptReceived,
+  world_.queue.Push(world_.now() + handshake + request_delay, EventPriority::kBackend, kAttemptReceived,
                     index | kNewConnection, slot);
 }
 
@@ -178,7 +180,7 @@
   const bool new_connection = attempt_and_connection != index;
   const Attempt& attempt = world_.RequestAt(slot).attempts[index];
   Backend& backend = world_.backends[attempt.backend];
-  if (backend.health() == Backend::Health::kUnresponsive) return backends_.HoldUnresponsive(slot, index);
+  if (backend.health() == Backend::Health::kUnresponsive) return backends_.EnqueueUnresponsive(slot, index);
   if (backend.health() == Backend::Health::kDown || attempt.incarnation != backend.incarnation())
     return Respond(slot, index, AttemptOutcome::kConnectionReset);
   const Job job = DrawJob(slot, index, new_connection);
@@ -266,9 +268,9 @@
   const Backend& backend = world_.backends[request.attempts[index].backend];
   if (backend.type().cancelled != "runs_on") {
     ++request.references;
-    const Micros there =
+    const Micros request_delay =
         world_.network.Delay(world_.now(), world_.proxies[request.proxy].zone, backend.zone());
-    world_.queue.Push(world_.now() + there, EventPriority::kBackend, kAttemptCancelled, index, slot);
+    world_.queue.Push(world_.now() + request_delay, EventPriority::kBackend, kAttemptCancelled, index, slot);
   }
   Complete(slot, index, AttemptOutcome::kTimeout);
 }
--- a/src/simulation/world/attempt_handler.h
+++ b/src/simulation/world/attempt_handler.h
@@ -40,7 +40,8 @@
   void CompleteNotSent(std::uint32_t slot, const StartAttempt& action);
   void ScheduleTimeout(std::uint32_t slot, std::uint32_t index, Duration timeout);
   void Send(std::uint32_t slot, std::uint32_t index);
-  void SendOnNewConnection(std::uint32_t slot, std::uint32_t index, ConnectionPool* pool, Micros there);
+  void SendOnNewConnection(std::uint32_t slot, std::uint32_t index, ConnectionPool* pool,
+                           Micros request_delay);
   void CloseExpiredConnections(Backend* backend, ConnectionPool* pool);
   Job DrawJob(std::uint32_t slot, std::uint32_t index, bool new_connection);
   bool Overloads(std::uint32_t slot, const Attempt& attempt, const Job& job);
--- a/src/simulation/world/backend.cpp
+++ b/src/simulation/world/backend.cpp
@@ -38,8 +38,9 @@
 double Backend::CapacityFraction(Micros now) const {
   const Micros window = FromMs(type_->slow_start_window_s * kMsPerSecond);
   if (up_since_ == 0 || window <= 0 || now - up_since_ >= window) return 1;
-  const double least = type_->slow_start_min_capacity;
-  return least + (1 - least) * static_cast<double>(now - up_since_) / static_cast<double>(window);
+  const double min_capacity = type_->slow_start_min_capacity;
+  return min_capacity +
+         (1 - min_capacity) * static_cast<double>(now - up_since_) / static_cast<double>(window);
 }
 
 double Backend::Capacity(Micros now) const {
@@ -174,8 +175,8 @@
   job.work_ms = static_cast<float>(work_ms);
   job.key = key;
   const double pause = ToMs(std::max<Micros>(0, paused_until_ - now));
-  const double ahead = free_slots_.empty() ? queued_ms_ + kMeanProgressLeft * busy_ * work_ms : 0;
-  return pause + ahead / std::max(Capacity(now), kMinRate) + ServiceTime(now, job);
+  const double work_ahead_ms = free_slots_.empty() ? queued_ms_ + kMeanProgressLeft * busy_ * work_ms : 0;
+  return pause + work_ahead_ms / std::max(Capacity(now), kMinRate) + ServiceTime(now, job);
 }
 
 bool Backend::AcceptConnection() {
--- a/src/simulation/world/backend_runtime.cpp
+++ b/src/simulation/world/backend_runtime.cpp
@@ -6,7 +6,7 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kCrashAfter = 0.5;        // of a poison request's work
+constexpr double kPoisonCrashShare = 0.5;  // of a poison request's work
 constexpr double kLatencySmoothing = 0.2;  // weight of the latest in the recent latency
 
 }  // namespace
@@ -18,7 +18,7 @@
       unresponsive_(world.backends.size()),
       recent_ms_(world.backends.size(), 0) {}
 
-void BackendRuntime::HoldUnresponsive(std::uint32_t slot, std::uint32_t index) {
+void BackendRuntime::EnqueueUnresponsive(std::uint32_t slot, std::uint32_t index) {
   const std::uint32_t backend = world_.RequestAt(slot).attempts[index].backend;
   world_.Trace(slot, "backend {} is silent", backend);
   unresponsive_[backend].push_back({slot, index});
@@ -59,7 +59,7 @@
   Micros ends_at = started.ends_at;
   if (world_.attempt_faults.poison_active && job.key == world_.drawn.poison_key) {
     const auto work = static_cast<double>(ends_at - world_.now());
-    ends_at = world_.now() + static_cast<Micros>(kCrashAfter * work);
+    ends_at = world_.now() + static_cast<Micros>(kPoisonCrashShare * work);
   }
   world_.queue.Push(ends_at, EventPriority::kBackend, kWorkCompleted, id,
                     WithIncarnation(started.slot, backend.incarnation()));
--- a/src/simulation/world/backend_runtime.h
+++ b/src/simulation/world/backend_runtime.h
@@ -23,7 +23,7 @@
   // An attempt arrives: it runs, waits, or is rejected.
   void Enqueue(std::uint32_t slot, std::uint32_t index, const Job& job);
   // An attempt arrives at an unresponsive machine: it is answered when the machine is back.
-  void HoldUnresponsive(std::uint32_t slot, std::uint32_t index);
+  void EnqueueUnresponsive(std::uint32_t slot, std::uint32_t index);
   // The proxy no longer waits for the attempt. True if its job will not run to its end.
   bool Cancel(std::uint32_t slot, std::uint32_t index);
   // Starts queued jobs while slots are free.
--- a/src/simulation/world/client_retry_accuracy.h
+++ b/src/simulation/world/client_retry_accuracy.h
@@ -26,10 +26,10 @@
                              Metrics* metrics) {
     DetectedRequest detected{FingerprintOf(request), {}};
     detected.logical_request = detector_.OnReceived(detected.fingerprint, now);
-    const bool taken_for_retry = detected.logical_request.client_attempts > 1;
+    const bool detected_as_retry = detected.logical_request.client_attempts > 1;
     metrics->client_retries_at_same_proxy += seen_here;
-    metrics->detected_retries += taken_for_retry && is_retry;
-    metrics->false_retries += taken_for_retry && !is_retry;
+    metrics->detected_retries += detected_as_retry && is_retry;
+    metrics->false_retries += detected_as_retry && !is_retry;
     return detected;
   }
 
--- a/src/simulation/world/discovery_service.cpp
+++ b/src/simulation/world/discovery_service.cpp
@@ -13,7 +13,7 @@
 
 constexpr double kMsPerSecond = 1000;
 constexpr double kMinCallsPerSecond = 1e-6;
-constexpr double kRefusedCallMs = 1;  // until a call fails while discovery is down
+constexpr double kFailedCallMs = 1;  // until a call fails while discovery is down
 
 }  // namespace
 
@@ -140,7 +140,7 @@
       FromMs(kMsPerSecond / std::max(kMinCallsPerSecond, settings.calls_per_s * capacity_share_));
   const Micros wait = std::max<Micros>(0, busy_until_ - world_.now());
   if (down_ || wait > timeout) {
-    const Micros failure = world_.now() + (down_ ? FromMs(kRefusedCallMs) : timeout);
+    const Micros failure = world_.now() + (down_ ? FromMs(kFailedCallMs) : timeout);
     world_.queue.Push(failure, EventPriority::kControl, kPollFailed, proxy, incarnation);
     return;
   }
--- a/src/simulation/world/drawn_scenario.cpp
+++ b/src/simulation/world/drawn_scenario.cpp
@@ -107,8 +107,8 @@
     drawn.backends.push_back(DrawBackend(scenario, static_cast<int>(i), types[i], &random));
   for (int p = 0; p < scenario.fleet.proxies; ++p) drawn.proxy_zones.push_back(p % scenario.fleet.zones);
   for (std::size_t i = 0; i < scenario.faults.size(); ++i) {
-    Random of_fault(seed, "trouble", i);
-    drawn.fault_targets.push_back(DrawTargets(drawn, scenario.faults[i], &of_fault));
+    Random fault_random(seed, "trouble", i);
+    drawn.fault_targets.push_back(DrawTargets(drawn, scenario.faults[i], &fault_random));
   }
   if (scenario.load.keys > 0)
     drawn.poison_key = static_cast<std::uint64_t>(std::min(kPoisonRank, scenario.load.keys));
--- a/src/simulation/world/network.h
+++ b/src/simulation/world/network.h
@@ -24,8 +24,8 @@
 
   // One way, between proxies and backends of two zones.
   Micros Delay(Micros now, int from, int to) {
-    const Micros healed = partitioned_until_[Index(from, to)];
-    return std::max<Micros>(0, healed - now) + Draw(MeanDelay(from, to));
+    const Micros partition_end = partitioned_until_[Index(from, to)];
+    return std::max<Micros>(0, partition_end - now) + Draw(MeanDelay(from, to));
   }
   // One way, between clients and proxies.
   Micros ClientDelay() { return Draw(settings_.client_ms); }
@@ -36,8 +36,8 @@
 
   // From now until then nothing gets from one zone to the other; the reverse direction is not affected.
   void Partition(int from, int to, Micros until) {
-    Micros& healed = partitioned_until_[Index(from, to)];
-    healed = std::max(healed, until);
+    Micros& partition_end = partitioned_until_[Index(from, to)];
+    partition_end = std::max(partition_end, until);
   }
   bool IsPartitioned(Micros now, int from, int to) const { return now < partitioned_until_[Index(from, to)]; }
   const NetworkSettings& settings() const { return settings_; }
--- a/src/simulation/world/probe_handler.cpp
+++ b/src/simulation/world/probe_handler.cpp
@@ -14,8 +14,9 @@
 void ProbeHandler::Send(std::uint32_t proxy, std::uint32_t backend) {
   ++world_.metrics.probes;
   const ProxyState& state = world_.proxies[proxy];
-  const Micros there = world_.network.Delay(world_.now(), state.zone, world_.backends[backend].zone());
-  world_.queue.Push(world_.now() + there, EventPriority::kBackend, kProbeReceived, proxy,
+  const Micros request_delay =
+      world_.network.Delay(world_.now(), state.zone, world_.backends[backend].zone());
+  world_.queue.Push(world_.now() + request_delay, EventPriority::kBackend, kProbeReceived, proxy,
                     WithIncarnation(backend, state.incarnation));
 }
 
@@ -38,8 +39,9 @@
   const std::uint64_t index = NewResponse();
   responses_[index] = {IncarnationOf(backend_and_incarnation), id, backend.requests(),
                        backends_.RecentLatencyMs(id)};
-  const Micros back = world_.network.Delay(world_.now(), backend.zone(), world_.proxies[proxy].zone);
-  world_.queue.Push(world_.now() + back, EventPriority::kBackend, kProbeResponse, proxy, index);
+  const Micros response_delay =
+      world_.network.Delay(world_.now(), backend.zone(), world_.proxies[proxy].zone);
+  world_.queue.Push(world_.now() + response_delay, EventPriority::kBackend, kProbeResponse, proxy, index);
 }
 
 void ProbeHandler::OnResponse(std::uint32_t proxy, std::uint64_t index) {
