--- a/src/simulation/core/random.h
+++ b/src/simulation/core/random.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random streams: one for each part of the world, so that what one part draws does not move another's draws.
-// Boost's engines and distributions give the same numbers on every platform.
+// Streams of pseudo-random numbers. Each part of the simulation draws from its own stream, so that a draw
+// in one part does not change the numbers that another part gets. Boost's engines and distributions give the
+// same numbers on every platform.
 #ifndef COPPERPOINT_SIMULATION_CORE_RANDOM_H_
 #define COPPERPOINT_SIMULATION_CORE_RANDOM_H_
 
@@ -20,22 +21,26 @@
 
 namespace copperpoint::simulation {
 
+// One stream. Its numbers depend only on the seed, the stream's name and its index among those of that name.
 class Random {
  public:
   Random(std::uint64_t seed, std::string_view stream, std::uint64_t index = 0)
       : engine_(XXH64(stream.data(), stream.size(), seed ^ (index * 0x9e3779b97f4a7c15u))) {}
 
   double Unit() { return boost::random::uniform_01<double>()(engine_); }  // in [0, 1)
+  // True with probability `p`.
   bool Chance(double p) { return p > 0 && Unit() < p; }
-  double Between(double a, double b) { return a + (b - a) * Unit(); }
+  double Between(double a, double b) { return a + (b - a) * Unit(); }  // in [a, b)
+  // An integer in [0, n); `n` must not be 0.
   std::uint64_t Below(std::uint64_t n) {
     return boost::random::uniform_int_distribution<std::uint64_t>(0, n - 1)(engine_);
   }
   double Exponential(double mean) {
     return mean * boost::random::exponential_distribution<double>(1)(engine_);
   }
+  // Of mean 0 and standard deviation 1.
   double Normal() { return boost::random::normal_distribution<double>()(engine_); }
-  // Of that mean, with that deviation over mean.
+  // `cv`: the coefficient of variation, which is the standard deviation over the mean.
   double Lognormal(double mean, double cv) {
     if (cv <= 0) return mean;
     const double variance = std::log1p(cv * cv);
@@ -48,7 +53,7 @@
   boost::random::mt19937_64 engine_;
 };
 
-// Picks an index by weight, in constant time.
+// Draws an index with a probability proportional to its weight, in constant time.
 class WeightedChoice {
  public:
   explicit WeightedChoice(const std::vector<double>& weights) : pick_(weights.begin(), weights.end()) {}
@@ -58,7 +63,7 @@
   boost::random::discrete_distribution<std::uint32_t, double> pick_;
 };
 
-// Zipf's law over `n` ranks: rank k has a weight of 1 / (k + 1)^s.
+// The weights of Zipf's law for `n` ranks: 1 / (k + 1)^s for rank k, counted from 0.
 inline std::vector<double> ZipfWeights(std::int64_t n, double s) {
   std::vector<double> weights(static_cast<std::size_t>(n));
   for (std::size_t k = 0; k < weights.size(); ++k) weights[k] = std::pow(static_cast<double>(k + 1), -s);
--- a/src/simulation/scenario/fault.cpp
+++ b/src/simulation/scenario/fault.cpp
@@ -23,14 +23,18 @@
                      {"lost_answers", FaultKind::kLostResponses},
                      {"resets", FaultKind::kConnectionResets},
                      {"impatience", FaultKind::kShortTimeouts}},
-                    {.text = "see docs/lab.md"});
-  v.Number("at_s", at_s, {.text = "its start", .unit = "s"});
-  v.Number("for_s", for_s, {.text = "its length", .unit = "s"});
-  v.Number("part", part, {.text = "of the backends or proxies, at least one", .max = 1});
-  v.Number("size", size, {.text = "how bad: see docs/lab.md", .max = 1e6});
-  v.Number("every_ms", every_ms, {.text = "mean time between pauses", .unit = "ms", .min = 1});
-  v.Int32("from_zone", from_zone, {.text = "of a cut; the lost zone", .max = 63});
-  v.Int32("to_zone", to_zone, {.text = "of a cut", .max = 63});
+                    {.text = "the fault; docs/lab.md describes each"});
+  v.Number("at_s", at_s, {.text = "start of the fault, from the start of the run", .unit = "s"});
+  v.Number("for_s", for_s, {.text = "length of the fault", .unit = "s"});
+  v.Number("part", part,
+           {.text = "share of the backends or proxies affected, at least one; `impatience`: of the clients",
+            .max = 1});
+  v.Number("size", size, {.text = "severity; its meaning depends on the kind, see docs/lab.md", .max = 1e6});
+  v.Number("every_ms", every_ms,
+           {.text = "`pauses`: mean time between two pauses of a backend", .unit = "ms", .min = 1});
+  v.Int32("from_zone", from_zone,
+          {.text = "`cut`: the zone that messages come from; `lost_zone`: the zone that fails", .max = 63});
+  v.Int32("to_zone", to_zone, {.text = "`cut`: the zone that messages go to", .max = 63});
 }
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/world/arrival_replay.cpp
+++ b/src/simulation/world/arrival_replay.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "simulation/world/arrival_replay.h"
 
+#include <fmt/format.h>
+
 #include <boost/algorithm/string/classification.hpp>
 #include <boost/algorithm/string/split.hpp>
 #include <boost/lexical_cast.hpp>
@@ -25,17 +27,20 @@
   return std::nullopt;
 }
 
-// `earliest`: the time of the line before. Throws std::invalid_argument, or boost::bad_lexical_cast on a
-// malformed number.
+// `earliest`: the time of the arrival before, or 0. Throws std::invalid_argument, or boost::bad_lexical_cast
+// on a malformed number.
 Arrival ParseLine(const Scenario& scenario, const std::string& line, Micros earliest) {
   std::vector<std::string> columns;
   boost::algorithm::split(columns, line, boost::algorithm::is_any_of(","));
-  if (columns.size() != kColumns) throw std::invalid_argument("at_ms,class,account,key,work_ms is wanted");
+  if (columns.size() != kColumns)
+    throw std::invalid_argument(fmt::format(
+        "at_ms,class,account,key,work_ms are expected, but there are {} columns", columns.size()));
   const auto at_ms = boost::lexical_cast<double>(columns[kAtMs]);
   const auto request_class = IndexOf(scenario.classes, columns[kClass]);
   const auto tenant = IndexOf(scenario.tenants, columns[kAccount]);
   if (!(at_ms >= 0) || FromMs(at_ms) < earliest)
-    throw std::invalid_argument("times must be 0 or more and not go back");
+    throw std::invalid_argument(fmt::format(
+        "at_ms is {}, but must be at least {}, the time of the arrival before or 0", at_ms, ToMs(earliest)));
   if (!request_class)
     throw std::invalid_argument("no class of the scenario is named '" + columns[kClass] + "'");
   if (!tenant) throw std::invalid_argument("no account of the scenario is named '" + columns[kAccount] + "'");
@@ -45,7 +50,8 @@
   arrival.tenant = *tenant;
   arrival.key = boost::lexical_cast<std::uint64_t>(columns[kKey]);
   arrival.work_ms = boost::lexical_cast<float>(columns[kWorkMs]);
-  if (!(arrival.work_ms > 0)) throw std::invalid_argument("work_ms must be over 0");
+  if (!(arrival.work_ms > 0))
+    throw std::invalid_argument(fmt::format("work_ms is {}, but must be over 0", arrival.work_ms));
   return arrival;
 }
 
@@ -63,7 +69,9 @@
     try {
       arrivals.push_back(ParseLine(scenario, line, arrivals.empty() ? 0 : arrivals.back().at));
     } catch (const boost::bad_lexical_cast&) {
-      errors.push_back({number, 1, "", "a number is malformed"});
+      errors.push_back(
+          {number, 1, "",
+           "at_ms, key or work_ms is malformed: decimal numbers are expected, for key a whole one"});
     } catch (const std::invalid_argument& error) {
       errors.push_back({number, 1, "", error.what()});
     }
--- a/src/simulation/world/arrival_replay.h
+++ b/src/simulation/world/arrival_replay.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads a file of recorded arrivals.
+// Reads a file of recorded arrivals, which a simulation replays instead of drawing arrivals.
 #ifndef COPPERPOINT_SIMULATION_WORLD_ARRIVAL_REPLAY_H_
 #define COPPERPOINT_SIMULATION_WORLD_ARRIVAL_REPLAY_H_
 
@@ -11,8 +11,8 @@
 
 namespace copperpoint::simulation {
 
-// The arrivals of the file that the scenario names: "at_ms,class,account,key,work_ms" a line, '#' begins a
-// comment. Throws config::InvalidFile with all bad lines.
+// The arrivals in the file that the scenario names, one "at_ms,class,account,key,work_ms" per line. Lines
+// that start with '#' are comments. Throws config::InvalidFile with an error for each bad line.
 std::vector<Arrival> ReadArrivalReplay(const Scenario& scenario);
 
 }  // namespace copperpoint::simulation
--- a/tests/simulation/sweep_test.cpp
+++ b/tests/simulation/sweep_test.cpp
@@ -119,11 +119,11 @@
     FAIL();
   } catch (const config::InvalidFile& error) {
     const std::string what = error.what();
-    for (const char* part :
-         {"s.toml:1:12: length_s: -1 is out of range",
-          "s.toml:3:9: load.shape: 'odd' is none of steady, bursty, daily",
-          "s.toml:5:8: trouble[0].kind: 'rain' is none of", "class[0].deadline_ms: is less than aim_ms",
-          "s.toml:10:1: fleet.backend: unknown key"})
+    for (const char* part : {"s.toml:1:12: length_s: -1 is out of range",
+                             "s.toml:3:9: load.shape: 'odd' is none of steady, bursty, daily",
+                             "s.toml:5:8: trouble[0].kind: 'rain' is none of",
+                             "class[0].deadline_ms: 50 is less than aim_ms, which is 100",
+                             "s.toml:10:1: fleet.backend: unknown key"})
       EXPECT_NE(what.find(part), std::string::npos) << part << "\nin\n" << what;
   }
 }
