--- a/src/simulation/world/arrival_process.cpp
+++ b/src/simulation/world/arrival_process.cpp
@@ -30,7 +30,7 @@
   return shares;
 }
 
-// The highest factor that bursts and the shape can raise the rate by.
+// Upper bound of the factor by which the arrival shape and traffic bursts raise the mean rate.
 double MaxRateFactor(const Scenario& scenario) {
   double factor = scenario.load.shape == ArrivalShape::kSteady ? 1 : 1 + scenario.load.swing;
   for (const Fault& fault : scenario.faults) {
@@ -86,7 +86,8 @@
   return attributes_.Lognormal(request_class.work_ms, request_class.work_cv);
 }
 
-// Thinned from a steady Poisson stream at the highest rate (Lewis and Shedler 1979).
+// Draws from a Poisson process at the highest rate, and keeps each arrival with the probability of the
+// current rate over that rate: thinning (Lewis and Shedler 1979).
 bool ArrivalProcess::Draw(Arrival* arrival) {
   if (max_rate_ <= 0) return false;
   do {
@@ -109,7 +110,7 @@
   arrival->estimated_work_ms = arrival->work_ms * static_cast<float>(error);
 }
 
-// A tenant is beyond its quota while its token bucket is empty.
+// Each tenant's quota is a token bucket. An arrival that finds less than one token in it is beyond the quota.
 void ArrivalProcess::TakeFromQuota(Arrival* arrival) {
   const double at_s = ToMs(arrival->at) / kMsPerSecond;
   for (std::size_t i = 0; i < quota_tokens_.size(); ++i) {
--- a/src/simulation/world/arrival_process.h
+++ b/src/simulation/world/arrival_process.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The arrival process: what clients request and when, drawn ahead of everything else from random streams of
-// its own, so that every policy meets the same arrivals. Open loop: no client waits for a response before the
-// next arrival.
+// The arrival process: which first requests clients send, and when. They are drawn from random streams of
+// their own, so that every policy gets the same arrivals. The process is an open loop: arrivals do not wait
+// for responses to earlier ones.
 #ifndef COPPERPOINT_SIMULATION_WORLD_ARRIVAL_PROCESS_H_
 #define COPPERPOINT_SIMULATION_WORLD_ARRIVAL_PROCESS_H_
 
@@ -20,10 +20,10 @@
 
 class ArrivalProcess {
  public:
-  // Reads the replay file, if one is named; throws config::InvalidFile on a bad line of it.
+  // Reads the replay file, if the scenario names one. Throws config::InvalidFile if it has bad lines.
   ArrivalProcess(const Scenario& scenario, const DrawnScenario& drawn);
 
-  // The next arrival; none after the scenario's length.
+  // Returns the next arrival in order of time; none after the scenario's length.
   std::optional<Arrival> Next();
 
  private:
@@ -44,13 +44,13 @@
   std::optional<WeightedChoice> keys_;
   std::vector<Arrival> replay_;
   std::size_t replayed_ = 0;
-  double rate_;
-  double max_rate_;
-  double at_s_ = 0;
-  double phase_end_s_ = 0;  // of the bursty shape
-  double phase_factor_ = 1;
+  double rate_;                       // mean rate, in requests a second
+  double max_rate_;                   // upper bound of RateAt
+  double at_s_ = 0;                   // time of the latest drawn arrival
+  double phase_end_s_ = 0;            // ArrivalShape::kBursty: the end of the current period of constant rate
+  double phase_factor_ = 1;           // its rate over the mean rate
   std::vector<double> quota_tokens_;  // by tenant
-  double quota_tokens_at_s_ = 0;
+  double quota_tokens_at_s_ = 0;      // when they were last refilled
 };
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/world/attempt_handler.cpp
+++ b/src/simulation/world/attempt_handler.cpp
@@ -11,29 +11,30 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
+// The layout of an event's target: the attempt's index, and either of the other two.
 constexpr std::uint32_t kNewConnection = 0x80000000u;
 constexpr int kOutcomeShift = 8;
 constexpr std::uint32_t kAttemptMask = 0xff;
 
-// For traces.
+// The outcome's name in traces.
 const char* Describe(AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kSuccess:
-      return "an answer";
+      return "success";
     case AttemptOutcome::kServerError:
-      return "an error";
+      return "server error";
     case AttemptOutcome::kBackendRejected:
-      return "turned away";
+      return "rejected by the backend";
     case AttemptOutcome::kTimeout:
-      return "a time-out";
+      return "timeout";
     case AttemptOutcome::kConnectFailure:
-      return "no connection";
+      return "connection failure";
     case AttemptOutcome::kConnectionReset:
-      return "a reset";
+      return "connection reset";
     case AttemptOutcome::kNotSent:
       return "not sent";
     default:
-      return "something else";
+      return "unknown outcome";
   }
 }
 
@@ -61,7 +62,7 @@
           },
           std::move(on_crash)) {}
 
-// ---- the proxy sends ----------------------------------------------------------------------------------
+// ---- sent by the proxy -------------------------------------------------------------------------------
 
 void AttemptHandler::Start(std::uint32_t proxy, const StartAttempt& action) {
   const auto slot = requests_.SlotOf(proxy, action.request);
@@ -75,7 +76,7 @@
   ++world_.metrics.attempts;
   world_.metrics.cross_zone_attempts += backend.zone() != world_.proxies[proxy].zone;
   request.attempts.push_back({action.backend, backend.incarnation(), world_.now()});
-  world_.Trace(*slot, "attempt {} goes to backend {}", index, action.backend);
+  world_.Trace(*slot, "attempt {} is sent to backend {}", index, action.backend);
   world_.LogTo(proxy, log::events::kAttemptStarted,
                {{log::fields::kRequest, action.request},
                 {"attempt", index},
@@ -119,8 +120,8 @@
   pool->open -= std::exchange(pool->idle, 0);
 }
 
-// On an idle connection, or a new one if the backend accepts it. A connection from before the backend's last
-// start is found dead on arrival.
+// Sends the attempt on an idle connection, or else on a new one if the backend accepts it. An idle connection
+// from before the backend's last start fails only when the attempt arrives.
 void AttemptHandler::Send(std::uint32_t slot, std::uint32_t index) {
   ClientRequest& request = world_.RequestAt(slot);
   Attempt& attempt = request.attempts[index];
@@ -173,7 +174,7 @@
   world_.Release(slot);
 }
 
-// ---- at the backend -----------------------------------------------------------------------------------
+// ---- at the backend ----------------------------------------------------------------------------------
 
 void AttemptHandler::OnReceived(std::uint32_t slot, std::uint32_t attempt_and_connection) {
   const std::uint32_t index = attempt_and_connection & ~kNewConnection;
@@ -224,13 +225,13 @@
   return found != known_starts.end() && found->second == world_.backends[backend].up_since();
 }
 
-// The reference goes with the response.
+// Sends a response. The caller's reference to the request passes to the response's event.
 void AttemptHandler::Respond(std::uint32_t slot, std::uint32_t index, AttemptOutcome outcome) {
   const ClientRequest& request = world_.RequestAt(slot);
   const Backend& backend = world_.backends[request.attempts[index].backend];
   if (outcome == AttemptOutcome::kSuccess &&
       world_.service_random.Chance(world_.attempt_faults.lost_response_share)) {
-    world_.Trace(slot, "the answer is lost");
+    world_.Trace(slot, "the response is lost");
     return world_.Release(slot);
   }
   const Micros delay = world_.network.Delay(world_.now(), backend.zone(), world_.proxies[request.proxy].zone);
@@ -238,7 +239,7 @@
                     index | static_cast<std::uint32_t>(outcome) << kOutcomeShift, slot);
 }
 
-// ---- back at the proxy --------------------------------------------------------------------------------
+// ---- completed at the proxy --------------------------------------------------------------------------
 
 void AttemptHandler::OnResponse(std::uint32_t slot, std::uint32_t attempt_and_outcome) {
   const std::uint32_t index = attempt_and_outcome & kAttemptMask;
@@ -278,20 +279,20 @@
 void AttemptHandler::OnCancelled(std::uint32_t slot, std::uint32_t index) {
   if (backends_.Cancel(slot, index)) {
     const std::uint32_t backend = world_.RequestAt(slot).attempts[index].backend;
-    world_.Trace(slot, "backend {} drops it", backend);
+    world_.Trace(slot, "backend {} drops the cancelled attempt", backend);
     world_.Release(slot);
     backends_.RunQueued(backend);
   }
   world_.Release(slot);
 }
 
-// An attempt ends, as far as its proxy is concerned.
+// Completes an attempt at its proxy: the request is served if it succeeded, and the policy gets the outcome.
 void AttemptHandler::Complete(std::uint32_t slot, std::uint32_t index, AttemptOutcome outcome) {
   ClientRequest& request = world_.RequestAt(slot);
   Attempt& attempt = request.attempts[index];
   attempt.in_flight = false;
   attempt.may_have_run = !ProvesNotExecuted(outcome);
-  world_.Trace(slot, "attempt {} ends: {}", index, Describe(outcome));
+  world_.Trace(slot, "attempt {} completed: {}", index, Describe(outcome));
   LogCompleted(slot, index, outcome);
   ReleaseConnection(request.proxy, attempt, outcome);
   if (outcome == AttemptOutcome::kSuccess && !request.has_response) {
--- a/src/simulation/world/attempt_handler.h
+++ b/src/simulation/world/attempt_handler.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The attempts of requests, over connections and the network, at the backends and back.
+// The attempts of requests, from the proxy over connections and the network to the backend and back.
 #ifndef COPPERPOINT_SIMULATION_WORLD_ATTEMPT_HANDLER_H_
 #define COPPERPOINT_SIMULATION_WORLD_ATTEMPT_HANDLER_H_
 
@@ -16,21 +16,24 @@
 
 class AttemptHandler {
  public:
-  // `on_crash` is called when a backend crashes by the poison request that it ran.
+  // `on_crash` is called when a poison request crashes the backend that runs it.
   AttemptHandler(World& world, ProxyRuntime& proxies, RequestHandler& requests,
                  std::function<void(std::uint32_t backend)> on_crash);
 
-  // A policy starts an attempt. One that can't be sent completes at once as not sent.
+  // Starts an attempt that the proxy's policy decided on. One that must not be sent completes at once, as
+  // AttemptOutcome::kNotSent.
   void Start(std::uint32_t proxy, const StartAttempt& action);
 
-  // Events of the attempt with that index of the request in the slot.
+  // Events of the attempt that has the index `index` among those of the request in `slot`. In the first two,
+  // the second argument also holds whether the connection is new, or the outcome (see EventKind).
   void OnReceived(std::uint32_t slot, std::uint32_t attempt_and_connection);
   void OnResponse(std::uint32_t slot, std::uint32_t attempt_and_outcome);
   void OnConnectFailure(std::uint32_t slot, std::uint32_t index);
   void OnTimeout(std::uint32_t slot, std::uint32_t index);
   void OnCancelled(std::uint32_t slot, std::uint32_t index);
 
-  // The request's deadline has passed: its attempts in flight time out. True if it still has no response.
+  // Times out the request's attempts in flight, as its deadline has passed. Returns true if it still has no
+  // final response.
   bool OnRequestDeadline(std::uint32_t slot);
 
   BackendRuntime& backends() { return backends_; }
--- a/src/simulation/world/backend.cpp
+++ b/src/simulation/world/backend.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kMinRate = 1e-9;          // divisors
-constexpr double kFixedSlack = 3;          // requests that chance may add to the overload budget
-constexpr double kDeviationSlack = 2;      // the same beside the standard deviations of the type
-constexpr double kMeanProgressLeft = 0.5;  // of a running job
+constexpr double kMinRate = 1e-9;      // lower bound of divisors
+constexpr double kFixedSlack = 3;      // requests tolerated beyond the overload budget, as random variation
+constexpr double kDeviationSlack = 2;  // the same, in addition to the standard deviations of the type
+constexpr double kMeanProgressLeft = 0.5;  // mean share of a running job that is still to be done
 
 std::size_t SlotsOf(const BackendType& type) {
   return static_cast<std::size_t>(std::max(1.0, std::floor(type.cores * type.slots_per_core)));
@@ -47,7 +47,7 @@
   return type_->cores * speed_ * CapacityFraction(now) / slowdown_;
 }
 
-// Requests in progress or queued per slot slow the backend down beyond a threshold.
+// The factor by which requests beyond a threshold, running or queued per slot, slow the backend down.
 double Backend::CongestionFactor() const {
   if (type_->congestion_start <= 0) return 1;
   const double per_slot = static_cast<double>(requests()) / static_cast<double>(slots_.size());
@@ -55,7 +55,8 @@
   return 1 + excess * type_->congestion_slowdown / (1 - type_->congestion_slowdown);
 }
 
-// Milliseconds that a job takes from its start on. Slots share the cores; congestion counts at the start.
+// Milliseconds that a job takes from its start. Busy slots share the cores. Their number and congestion are
+// those at the start of the job.
 double Backend::ServiceTime(Micros now, const Job& job) const {
   const bool cached = CachesKeys() && job.key != 0 && key_cache_.Contains(now, job.key);
   const double work = job.work_ms * (cached ? 1 - type_->cached_key_gain : 1);
@@ -138,8 +139,8 @@
   --busy_;
 }
 
-// Jobs that started within a pause end after its end, as it was then: an extension postpones them by the
-// extension alone, as it does all others.
+// A job that started during a pause was scheduled from the pause's end at that time. If the pause is
+// extended, such a job is postponed by the extension alone, like all other jobs.
 void Backend::Pause(Micros now, Micros until) {
   const Micros from = std::max(now, paused_until_);
   if (until <= from) return;
@@ -185,7 +186,7 @@
   return true;
 }
 
-// What chance may add to the budget, in milliseconds of work.
+// Milliseconds of work tolerated beyond the budget, as random variation of the arrivals.
 double Backend::OverloadSlack(double budget_ms, double mean_ms, double work_ms) const {
   if (type_->overload_deviations <= 0) return kFixedSlack * work_ms;
   return (type_->overload_deviations * std::sqrt(budget_ms / mean_ms) + kDeviationSlack) * mean_ms;
--- a/src/simulation/world/backend.h
+++ b/src/simulation/world/backend.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A backend as a queueing model: slots in which jobs run, a queue before them, congestion, slow start and
-// overload in it, a cache of keys, connections, pauses. It has no clock and schedules nothing: each call is
-// given the time, and returns when the job that it started will end.
+// A backend as a queueing model: slots in which jobs run, a queue, congestion, slow start and overload during
+// slow start, a cache of keys, connections and pauses. It has no clock and schedules no events: each call
+// gets the time, and returns when the job that it started will end.
 #ifndef COPPERPOINT_SIMULATION_WORLD_BACKEND_H_
 #define COPPERPOINT_SIMULATION_WORLD_BACKEND_H_
 
@@ -26,7 +26,8 @@
   std::uint64_t key = 0;
 };
 
-// A job that started, to end then. `slot` identifies it among all jobs of the backend.
+// A job that has started, and when it will end. `slot` identifies it among all jobs of the backend: the index
+// of its slot in the lower 16 bits, the serial number of the job in that slot above.
 struct StartedJob {
   std::uint32_t slot = 0;
   Micros ends_at = 0;
@@ -43,23 +44,24 @@
 
   // ---- work ----
 
-  // A job arrives. Sets `started` if it starts at once.
+  // Accepts a job or rejects it. Sets `*started` if the job starts at once.
   ArrivalResult Arrive(Micros now, const Job& job, StartedJob* started);
-  // The end of a slot's job falls due. Returns the job if it is done. Otherwise a pause has postponed it, to
-  // `*postponed_to`, or it was cancelled: `*postponed_to` is 0 then.
+  // Called when the job in a slot is due to end. Returns the job if it is done, and frees the slot. Otherwise
+  // the job was postponed by a pause to `*postponed_to`, or cancelled, in which case `*postponed_to` is 0.
   std::optional<Job> Finish(Micros now, std::uint32_t slot, Micros* postponed_to);
   // Starts the next queued job, if a slot is free for it.
   std::optional<StartedJob> StartNext(Micros now);
-  // A proxy no longer waits for the attempt. True if it will not run, or not to its end; a slot may be free
-  // then.
+  // Called when a proxy no longer waits for the attempt. Returns true if the job was dropped from the queue
+  // or stopped; a slot may be free then.
   bool Cancel(std::uint32_t request_slot, std::uint8_t attempt);
 
   // ---- faults ----
 
-  // Running jobs are postponed by the pause; those that start meanwhile start at its end. Overlapping pauses
-  // are one.
+  // Postpones running jobs by the pause, and jobs that start during it to its end. Overlapping pauses count
+  // as one.
   void Pause(Micros now, Micros until);
-  // The process or machine fails: returns the jobs that are lost. A new incarnation begins with Start.
+  // Stops the process, or makes the machine unresponsive; returns the jobs that are lost. Start follows, with
+  // the next incarnation.
   std::vector<Job> Stop(Health to);
   void Start(Micros now);
   void SetSlowdown(double factor) { slowdown_ = factor; }
@@ -69,34 +71,36 @@
 
   Health health() const { return health_; }
   bool IsPaused(Micros now) const { return now < paused_until_; }
-  // When what it sends at `now` leaves it: a paused process sends nothing.
+  // When a message sent at `now` leaves the backend: at the end of the pause, if it is paused.
   Micros SendsAt(Micros now) const { return std::max(now, paused_until_); }
   std::uint32_t incarnation() const { return incarnation_; }
-  Micros up_since() const { return up_since_; }  // 0: from before the run
+  Micros up_since() const { return up_since_; }  // 0: since before the run
   int zone() const { return zone_; }
   int cell() const { return cell_; }
   int requests() const { return busy_ + static_cast<int>(queue_.size()); }  // running or queued
   double fast_error_share() const { return fast_error_share_; }
   const BackendType& type() const { return *type_; }
   double speed() const { return speed_; }
-  // Share of its speed that it has: below 1 in slow start.
+  // The current share of its full speed: below 1 in slow start.
   double CapacityFraction(Micros now) const;
-  // Milliseconds of work that it does in a millisecond, when not congested.
+  // Milliseconds of work that it does per millisecond when not congested.
   double Capacity(Micros now) const;
-  // Milliseconds until a job that arrives now would be done.
+  // Estimated milliseconds until a job that arrives now would be done.
   double CompletionTime(Micros now, double work_ms, std::uint64_t key) const;
   const Job& job(std::uint32_t slot) const { return slots_[slot & kIndexMask].job; }
 
   // ---- connections ----
 
-  bool AcceptConnection();  // false: it has as many as it accepts
+  // Returns false if the backend has its maximum number of connections.
+  bool AcceptConnection();
   void CloseConnections(int count = 1) { connections_ -= count; }
   int connections() const { return connections_; }
 
   // ---- overload in slow start ----
 
-  // Records work sent to it; `informed`: by a proxy that knew of its start. True if this overloads it, with
-  // the share of the work that informed proxies sent in `*informed_share`.
+  // Records work sent to the backend in slow start; `informed`: by a proxy that knew of its start. Returns
+  // true if this overloads the backend, and sets `*informed_share` to the share of the work from informed
+  // proxies.
   bool RecordSlowStartWork(Micros now, double work_ms, bool informed, double* informed_share);
 
  private:
@@ -106,9 +110,10 @@
   struct Slot {
     Job job;
     bool busy = false;
-    std::uint32_t serial = 0;  // of the job, to tell it from earlier ones in the slot
+    std::uint32_t serial = 0;  // counts the jobs of this slot, to tell them apart
     Micros paused_before = 0;  // total_paused_ when the job started
   };
+  // Work of one attempt sent to the backend in slow start.
   struct SentWork {
     Micros at;
     float work_ms;
@@ -139,7 +144,7 @@
   int busy_ = 0;
   int connections_ = 0;
   std::deque<Job> queue_;
-  double queued_ms_ = 0;
+  double queued_ms_ = 0;  // work of the queued jobs
   KeyCache key_cache_;
   std::deque<SentWork> slow_start_work_;  // of the last overload window
 };
--- a/src/simulation/world/backend_runtime.cpp
+++ b/src/simulation/world/backend_runtime.cpp
@@ -6,8 +6,8 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kPoisonCrashShare = 0.5;  // of a poison request's work
-constexpr double kLatencySmoothing = 0.2;  // weight of the latest in the recent latency
+constexpr double kPoisonCrashShare = 0.5;  // share of a poison request's service time after which it crashes
+constexpr double kLatencySmoothing = 0.2;  // weight of the latest latency in the moving average
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 void BackendRuntime::EnqueueUnresponsive(std::uint32_t slot, std::uint32_t index) {
   const std::uint32_t backend = world_.RequestAt(slot).attempts[index].backend;
-  world_.Trace(slot, "backend {} is silent", backend);
+  world_.Trace(slot, "backend {} is unresponsive", backend);
   unresponsive_[backend].push_back({slot, index});
 }
 
@@ -39,7 +39,7 @@
     case ArrivalResult::kStarted:
       return Run(id, started);
     case ArrivalResult::kQueued:
-      return world_.Trace(slot, "waits at backend {}, {} held there", id, backend.requests());
+      return world_.Trace(slot, "queued at backend {}, which now has {} requests", id, backend.requests());
     case ArrivalResult::kRejected:
       ++world_.metrics.backend_rejections;
       return respond_(slot, index, AttemptOutcome::kBackendRejected);
@@ -52,7 +52,7 @@
   ClientRequest& request = world_.RequestAt(job.request_slot);
   world_.metrics.executed_ms += job.work_ms;
   request.attempts[job.attempt].executed_ms = job.work_ms;
-  world_.Trace(job.request_slot, "begins to run at backend {}", id);
+  world_.Trace(job.request_slot, "starts to run at backend {}", id);
   if (!world_.scenario.classes[request.arrival.request_class].idempotent) {
     world_.rules.OnExecution(world_.now(), World::IdOf(job.request_slot, request), id, ++request.executions);
   }
@@ -105,7 +105,8 @@
   }
 }
 
-// A machine that was unresponsive answers what was sent to it, or is sent again by TCP, with a reset.
+// A machine that was unresponsive answers all attempts that it had received, or that TCP retransmits now,
+// with a connection reset.
 void BackendRuntime::Start(std::uint32_t backend) {
   world_.backends[backend].Start(world_.now());
   recent_ms_[backend] = 0;
--- a/src/simulation/world/backend_runtime.h
+++ b/src/simulation/world/backend_runtime.h
@@ -14,27 +14,27 @@
 
 class BackendRuntime {
  public:
-  // Sends the response to the attempt with that index of the request in the slot.
+  // Sends the response to the attempt that has the index `index` among those of the request in `slot`.
   using RespondFn = std::function<void(std::uint32_t slot, std::uint32_t index, AttemptOutcome outcome)>;
 
-  // `on_crash` is called when a backend crashes by the poison request that it ran.
+  // `on_crash` is called when a poison request crashes the backend that runs it.
   BackendRuntime(World& world, RespondFn respond, std::function<void(std::uint32_t backend)> on_crash);
 
-  // An attempt arrives: it runs, waits, or is rejected.
+  // Runs, queues or rejects an attempt that has arrived at its backend.
   void Enqueue(std::uint32_t slot, std::uint32_t index, const Job& job);
-  // An attempt arrives at an unresponsive machine: it is answered when the machine is back.
+  // Keeps an attempt that has arrived at an unresponsive machine, to be answered when the machine restarts.
   void EnqueueUnresponsive(std::uint32_t slot, std::uint32_t index);
-  // The proxy no longer waits for the attempt. True if its job will not run to its end.
+  // Cancels an attempt for which the proxy no longer waits. Returns true if its job will not run to its end.
   bool Cancel(std::uint32_t slot, std::uint32_t index);
   // Starts queued jobs while slots are free.
   void RunQueued(std::uint32_t backend);
   void OnWorkCompleted(std::uint32_t backend, std::uint64_t job_and_incarnation);
 
-  // The process stops, and its connections are reset; or the machine becomes unresponsive.
+  // Stops the process, which resets its connections, or makes the machine unresponsive.
   void Stop(std::uint32_t backend, Backend::Health health);
   void Start(std::uint32_t backend);
 
-  // Milliseconds that the next request would take at the backend, by its recent ones.
+  // Estimated milliseconds that the next request would take at the backend, from the latency of recent ones.
   double RecentLatencyMs(std::uint32_t backend) const;
 
  private:
@@ -48,8 +48,8 @@
   World& world_;
   RespondFn respond_;
   std::function<void(std::uint32_t)> on_crash_;
-  std::vector<std::vector<AttemptRef>> unresponsive_;  // by backend: attempts lost in an unresponsive machine
-  std::vector<double> recent_ms_;                      // by backend: latency per request there
+  std::vector<std::vector<AttemptRef>> unresponsive_;  // by backend: attempts at an unresponsive machine
+  std::vector<double> recent_ms_;  // by backend: smoothed latency, divided by the requests there
 };
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/world/client_population.cpp
+++ b/src/simulation/world/client_population.cpp
@@ -8,8 +8,8 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kImmediateRetryMs = 5;  // of clients with short timeouts
-constexpr std::uint8_t kMaxRefusedConnections = 50;
+constexpr double kImmediateRetryMs = 5;              // of clients with short timeouts
+constexpr std::uint8_t kMaxRefusedConnections = 50;  // then the request counts as rejected
 constexpr Micros kMinReconnect = 1000;
 
 }  // namespace
@@ -59,7 +59,8 @@
          (arrival.over_quota ? world_.scenario.rules.over_quota_weight : 1);
 }
 
-// A client with retries left gives a request up early; the last one has what is left of its deadline.
+// A client with retries left gives a request up after a share of its deadline. Its last request may take all
+// the time that is left.
 void ClientPopulation::SetDeadline(ClientRequest* request, Micros sent) const {
   const RequestClass& request_class = world_.scenario.classes[request->arrival.request_class];
   const Micros timeout = FromMs(request_class.deadline_ms * world_.scenario.clients.request_timeout_share);
@@ -69,7 +70,7 @@
     request->deadline = std::min(sent + request->short_timeout, request->client_deadline);
 }
 
-// The reference that the request was made with goes over to its timeout.
+// The reference with which the request was created passes to the event of its timeout.
 void ClientPopulation::OnSend(std::uint32_t slot) {
   const ClientRequest& request = world_.RequestAt(slot);
   if (world_.now() >= request.deadline) {
@@ -89,7 +90,7 @@
   request.received = world_.now();
   request.reached_proxy = true;
   world_.queue.Push(request.deadline, EventPriority::kTimeout, kClientTimeout, 0, slot);
-  world_.Trace(slot, "try of a client reaches proxy {}, to be over in {:.3f} ms", proxy,
+  world_.Trace(slot, "client request reaches proxy {}, timeout in {:.3f} ms", proxy,
                ToMs(request.deadline - world_.now()));
   deliver_(slot);
 }
@@ -106,7 +107,7 @@
   world_.queue.Push(world_.now() + wait, EventPriority::kClient, kClientSend, 0, slot);
 }
 
-// One of the client's zone, or of the next zone that has one.
+// A random proxy in the client's zone, or else in the next zone that has one.
 std::optional<std::uint32_t> ClientPopulation::ChooseProxy(int zone) {
   const std::size_t zones = front_end_proxies_.size();
   for (std::size_t k = 0; k < zones; ++k) {
@@ -118,7 +119,7 @@
 
 void ClientPopulation::OnFrontEndUpdate(std::uint32_t proxy, bool up) {
   const ProxyState& state = world_.proxies[proxy];
-  // It has restarted before the front end noticed its crash.
+  // The proxy has restarted before the front end detected its crash.
   if (!up && state.running && !state.draining) return;
   auto& proxies = front_end_proxies_[static_cast<std::size_t>(state.zone)];
   std::erase(proxies, proxy);
@@ -130,7 +131,7 @@
   ClientRequest& request = world_.RequestAt(slot);
   if (request.client_done) return;
   request.client_done = true;
-  world_.Trace(slot, "the client gives this try up");
+  world_.Trace(slot, "the client gives this request up");
   const RequestResult result = request.reached_proxy ? RequestResult::kFailed : RequestResult::kRejected;
   Retry(slot, result, world_.now(), Duration(0));
 }
@@ -139,7 +140,7 @@
   ClientRequest& request = world_.RequestAt(slot);
   if (request.client_done) return;
   const Micros received = world_.now() + world_.network.ClientDelay();
-  if (received > request.deadline) return;  // the client times out before: OnTimeout
+  if (received > request.deadline) return;  // the client times out first, see OnTimeout
   request.client_done = true;
   if (result != RequestResult::kServed) return Retry(slot, result, received, retry_after);
   const Arrival& arrival = request.arrival;
@@ -155,8 +156,8 @@
   world_.metrics.OnServed(response);
 }
 
-// A client retries an idempotent request after any failure, another only after a rejection. One with short
-// timeouts retries as often as there is time for.
+// A client retries an idempotent request after any failure, and any other request only after a rejection. A
+// client with short timeouts retries until its deadline, without a limit on the number of retries.
 bool ClientPopulation::MayRetry(const ClientRequest& request, RequestResult result) const {
   if (request.retries_left <= 0 && request.short_timeout == 0) return false;
   return world_.scenario.classes[request.arrival.request_class].idempotent ||
--- a/src/simulation/world/client_population.h
+++ b/src/simulation/world/client_population.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The clients, and the front end that spreads them over the proxies: first requests, what becomes of them,
-// and client retries.
+// The clients, with their first requests, timeouts and retries, and the front end that distributes requests
+// over the proxies.
 #ifndef COPPERPOINT_SIMULATION_WORLD_CLIENT_POPULATION_H_
 #define COPPERPOINT_SIMULATION_WORLD_CLIENT_POPULATION_H_
 
@@ -15,22 +15,23 @@
 
 namespace copperpoint::simulation {
 
-// How a request ended at its proxy; kLost: the proxy crashed.
+// How a request ended at its proxy; kLost: the proxy stopped or crashed before its response.
 enum class RequestResult { kServed, kRejected, kFailed, kLost };
 
 class ClientPopulation {
  public:
-  // `deliver` hands a request to its proxy, which is running.
+  // `deliver` passes a request to its proxy, which is running then.
   ClientPopulation(World& world, std::uint64_t seed, std::function<void(std::uint32_t slot)> deliver);
 
   void Start();  // schedules the first arrival
   void OnArrival();
-  // A request reaches its proxy.
+  // A request reaches the front end, which chooses a proxy.
   void OnSend(std::uint32_t slot);
-  // The client gives a request up, unless it has the response by now.
+  // The client gives a request up, unless it already has the response.
   void OnTimeout(std::uint32_t slot);
-  // The proxy's final response, or its crash. `retry_after`: zero if the proxy sends none.
+  // The proxy has sent its final response, or has stopped. `retry_after`: zero if it sends none.
   void OnResponse(std::uint32_t slot, RequestResult result, Duration retry_after);
+  // From now on the front end sends requests to the proxy, or not.
   void OnFrontEndUpdate(std::uint32_t proxy, bool up);
 
   // From now on this share of the new clients gives each request up after `timeout`, and retries at once.
--- a/src/simulation/world/client_retry_accuracy.h
+++ b/src/simulation/world/client_retry_accuracy.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Measures how well ClientRetryDetector recognizes the client retries of one proxy's requests, against the
-// truth that only the simulation knows. It changes nothing.
+// Measures how well ClientRetryDetector recognizes client retries among the requests of one proxy, compared
+// with the truth, which only the simulation knows. It does not affect the simulation.
 #ifndef COPPERPOINT_SIMULATION_WORLD_CLIENT_RETRY_ACCURACY_H_
 #define COPPERPOINT_SIMULATION_WORLD_CLIENT_RETRY_ACCURACY_H_
 
@@ -12,16 +12,17 @@
 
 namespace copperpoint::simulation {
 
-// What the detector said of one request; kept with it.
+// The detector's result for one request, which is kept with the request.
 struct DetectedRequest {
   std::uint64_t fingerprint = 0;
   LogicalRequest logical_request;
 };
 
+// Feeds one proxy's requests to a detector of its own, and counts its right and wrong results in the metrics.
 class ClientRetryAccuracy {
  public:
   // A request reaches the proxy. `is_retry`: it is not the first of its logical request; `seen_here`: an
-  // earlier one of them came to this proxy.
+  // earlier request of the same logical request reached this proxy.
   DetectedRequest OnReceived(TimePoint now, const RequestReceived& request, bool is_retry, bool seen_here,
                              Metrics* metrics) {
     DetectedRequest detected{FingerprintOf(request), {}};
@@ -33,7 +34,8 @@
     return detected;
   }
 
-  // `may_retry`: the client may send it again, as after a rejection, or any failure if it is idempotent.
+  // The request is completed. `may_retry`: the client may retry it, because it was rejected, or because it
+  // failed and is idempotent.
   void OnCompleted(TimePoint now, const DetectedRequest& detected, bool may_retry, Duration deadline) {
     if (may_retry) {
       detector_.OnUnserved(detected.fingerprint, detected.logical_request,
--- a/src/simulation/world/connection_sampler.cpp
+++ b/src/simulation/world/connection_sampler.cpp
@@ -6,7 +6,7 @@
 
 constexpr double kIntervalMs = 1000;
 constexpr double kMsPerSecond = 1000;
-constexpr double kMinUptimeMs = 5000;  // a backend that started later is still being connected to
+constexpr double kMinUptimeMs = 5000;  // proxies are still connecting to a backend that started more recently
 
 }  // namespace
 
--- a/src/simulation/world/discovery_service.cpp
+++ b/src/simulation/world/discovery_service.cpp
@@ -13,7 +13,7 @@
 
 constexpr double kMsPerSecond = 1000;
 constexpr double kMinCallsPerSecond = 1e-6;
-constexpr double kFailedCallMs = 1;  // until a call fails while discovery is down
+constexpr double kFailedCallMs = 1;  // until a poll fails while discovery is down
 
 }  // namespace
 
@@ -75,11 +75,11 @@
   if (!subscription) return;
   subscription->update_pending = false;
   if (world_.scenario.discovery.polled && !subscription->active) return;
-  if (down_) return ScheduleUpdate(proxy);  // sent again when it can be
+  if (down_) return ScheduleUpdate(proxy);  // tried again until discovery is up
   SendUpdate(proxy);
 }
 
-// All that has changed since this proxy was last sent something, each backend once.
+// Sends all backends that have changed since the proxy's last update, each once.
 void DiscoveryService::SendUpdate(std::uint32_t proxy) {
   Subscription& subscription = world_.proxies[proxy].subscription;
   const std::set<std::uint32_t> changed(
@@ -148,7 +148,7 @@
   world_.queue.Push(busy_until_, EventPriority::kControl, kPollAnswered, proxy, incarnation);
 }
 
-// Unless it subscribes, the proxy has to poll again within the maximum interval.
+// A proxy without a subscription has to poll again within the maximum interval.
 void DiscoveryService::ExpectPoll(std::uint32_t proxy) {
   ProxyState& state = world_.proxies[proxy];
   state.subscription.last_poll = world_.now();
--- a/src/simulation/world/discovery_service.h
+++ b/src/simulation/world/discovery_service.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The discovery service: it detects changes of backends late, sends them to the proxies later still, answers
-// polls one after the other, and can be down.
+// The discovery service. It detects changes of backends with a delay, sends updates to the proxies with a
+// further delay, answers polls one after the other, and can be down.
 #ifndef COPPERPOINT_SIMULATION_WORLD_DISCOVERY_SERVICE_H_
 #define COPPERPOINT_SIMULATION_WORLD_DISCOVERY_SERVICE_H_
 
@@ -15,15 +15,15 @@
 
 class DiscoveryService {
  public:
-  // `deliver` hands an event to a proxy.
+  // `deliver` passes an event to a proxy.
   DiscoveryService(World& world, std::uint64_t seed, std::function<void(std::uint32_t proxy, Event)> deliver);
 
-  // The state of a backend from now on; discovery detects it after `detection_ms`.
+  // A backend changes to this state now; discovery detects the change after `detection_ms`.
   void OnBackendChanged(std::uint32_t backend, EndpointState state, Micros up_since, double detection_ms);
   void OnChangeDetected(std::uint64_t index);
   void OnEndpointUpdate(std::uint32_t proxy, std::uint64_t incarnation);
 
-  // A proxy polls; the answer starts a subscription to updates.
+  // A proxy polls. The answer starts its subscription to updates.
   void Poll(std::uint32_t proxy);
   void OnPollAnswered(std::uint32_t proxy, std::uint64_t incarnation);
   void OnPollOverdue(std::uint32_t proxy, std::uint64_t incarnation);
@@ -31,24 +31,24 @@
 
   // Going down ends all subscriptions.
   void SetDown(bool down);
-  // It can answer only this share of its calls.
+  // Discovery can answer only this share of its normal rate of polls.
   void SetCapacityShare(double share) { capacity_share_ = share; }
 
-  // The list as discovery knows it now, for a proxy that starts with it.
+  // The endpoint list as discovery knows it now, for a proxy that starts with it.
   std::vector<Endpoint> Snapshot(std::uint32_t proxy);
 
  private:
   struct KnownState {
     EndpointState state = EndpointState::kReady;
     Micros up_since = 0;
-    std::uint64_t change = 0;  // number of the latest change detected: older ones that come later are dropped
+    std::uint64_t change = 0;  // number of the latest change detected; older ones are ignored after it
   };
   struct Change {
     std::uint32_t backend = 0;
     KnownState known;
   };
 
-  // The subscription of a proxy that runs in that incarnation; null otherwise.
+  // The subscription of a proxy, or null unless the proxy runs in this incarnation.
   Subscription* SubscriptionOf(std::uint32_t proxy, std::uint64_t incarnation);
   Endpoint EndpointOf(std::uint32_t backend) const;
   bool IsReady(std::uint32_t backend) const { return known_[backend].state == EndpointState::kReady; }
@@ -66,7 +66,7 @@
   std::vector<std::uint32_t> change_log_;  // backends, in the order in which their changes were detected
   bool down_ = false;
   double capacity_share_ = 1;
-  Micros busy_until_ = 0;
+  Micros busy_until_ = 0;  // when the answers to all accepted polls are sent
 };
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/world/drawn_scenario.cpp
+++ b/src/simulation/world/drawn_scenario.cpp
@@ -10,8 +10,8 @@
 namespace copperpoint::simulation {
 namespace {
 
-constexpr double kMinSpeedFactor = 0.05;  // of the type's mean
-constexpr std::int64_t kPoisonRank = 10;  // of the poison key by popularity: often enough to come back
+constexpr double kMinSpeedFactor = 0.05;  // lower bound, relative to the type's mean
+constexpr std::int64_t kPoisonRank = 10;  // popularity rank of the poison key: it is requested repeatedly
 constexpr double kUnlimitedQuota = 1e9;   // requests a second
 constexpr double kMsPerSecond = 1000;
 constexpr double kJsonPrecision = 1e6;
@@ -40,7 +40,7 @@
   return targets;
 }
 
-// As many of each type as its share says, in random order.
+// The type of each backend: as many backends of each type as its share gives, in random order.
 std::vector<int> DrawTypes(const Scenario& scenario, Random* random) {
   const auto backends = static_cast<std::size_t>(scenario.fleet.backends);
   double shares = 0;
@@ -79,7 +79,7 @@
   }
 }
 
-// The most careful figures of all types, as a proxy does not know which backend is of which.
+// Uses the most conservative values of all types, as a proxy does not know the type of a backend.
 void SetSlowStart(const Scenario& scenario, Settings* settings) {
   Settings& s = *settings;
   s.overload_factor = 0;
@@ -92,7 +92,7 @@
         s.overload_factor > 0 ? std::min(s.overload_factor, type.overload_factor) : type.overload_factor;
     s.overload_window = std::max(s.overload_window, Duration(type.overload_window_ms));
   }
-  // No backend crashes by overload: slow start has nothing to protect.
+  // Slow start is not needed if no backend crashes from overload.
   if (s.overload_factor <= 0) s.slow_start_window = Duration(0);
 }
 
--- a/src/simulation/world/fault_injector.cpp
+++ b/src/simulation/world/fault_injector.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kRestartMs = 2000;          // of a process that crashed or is replaced
-constexpr double kProxyRestartMs = 1000;     // of a proxy that is replaced
-constexpr double kBackendDrainMs = 4000;     // beyond discovery's delays, until a draining backend stops
-constexpr double kProxyDrainMarginMs = 700;  // beyond the longest deadline, until a draining proxy stops
+constexpr double kRestartMs = 2000;          // until a backend that crashed or was drained starts again
+constexpr double kProxyRestartMs = 1000;     // until the replacement of a drained proxy starts
+constexpr double kBackendDrainMs = 4000;     // after discovery's delays, until a draining backend stops
+constexpr double kProxyDrainMarginMs = 700;  // after the longest deadline, until a draining proxy stops
 constexpr double kFrontEndUpdateMs = 200;    // until the front end stops or starts to send to a proxy
 
 }  // namespace
@@ -102,7 +102,7 @@
   }
 }
 
-// Faults that are not of a backend or a proxy.
+// Handles faults that do not affect particular backends or proxies.
 void FaultInjector::OnSystemFault(const Fault& fault, bool starts) {
   switch (fault.kind) {
     case FaultKind::kPartition:
@@ -124,7 +124,7 @@
     case FaultKind::kShortTimeouts:
       return targets_.clients.SetShortTimeouts(starts ? fault.part : 0, FromMs(fault.size));
     default:
-      return;  // a traffic burst is part of the arrival process
+      return;  // kTrafficBurst is applied by ArrivalProcess
   }
 }
 
@@ -139,7 +139,7 @@
   SchedulePause(backend, index);
 }
 
-// `size` backends at a time, the batches evenly over the fault's length.
+// Drains the backends in batches of `size`, spread evenly over the fault's length.
 void FaultInjector::ScheduleRollingRestart(const Fault& fault, const std::vector<std::uint32_t>& backends) {
   const auto batch = static_cast<std::size_t>(std::max(1.0, fault.size));
   const std::size_t batches = (backends.size() + batch - 1) / batch;
--- a/src/simulation/world/fault_injector.h
+++ b/src/simulation/world/fault_injector.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Carries out the fault schedule of the scenario, and what operators do: restarts of backends and proxies.
-// Faults may overlap: a machine that is unresponsive stays so until its own fault ends, and one that is down
-// is not paused.
+// Carries out the scenario's fault schedule and the operators' planned restarts of backends and proxies.
+// Faults may overlap: a machine stays unresponsive until the fault that made it so ends, and a backend that
+// is down is not paused.
 #ifndef COPPERPOINT_SIMULATION_WORLD_FAULT_INJECTOR_H_
 #define COPPERPOINT_SIMULATION_WORLD_FAULT_INJECTOR_H_
 
@@ -34,23 +34,24 @@
   FaultInjector(World& world, std::uint64_t seed, const FaultTargets& targets);
 
   void Start();  // schedules the faults
+  // A fault starts or ends.
   void OnFault(std::uint64_t index, bool starts);
   void OnBackendPause(std::uint32_t backend, std::uint64_t fault);
 
   void DrainBackend(std::uint32_t backend);
   void StopBackend(std::uint32_t backend);
   void StartBackend(std::uint32_t backend);
-  // Its process crashes, and restarts by itself.
+  // The backend's process crashes, and restarts after a delay.
   void CrashBackend(std::uint32_t backend);
 
   void DrainProxy(std::uint32_t proxy);
-  // After its drain; it is replaced by a new one.
+  // Stops a proxy after its drain, and schedules the start of its replacement.
   void StopProxy(std::uint32_t proxy);
   void CrashProxy(std::uint32_t proxy);
   void StartProxy(std::uint32_t proxy);
 
  private:
-  Micros EndOf(const Fault& fault) const;  // no later than that of the arrivals
+  Micros EndOf(const Fault& fault) const;  // no later than the end of the arrivals
   bool IsOver(const Fault& fault) const { return world_.now() >= EndOf(fault); }
   bool IsUp(std::uint32_t backend) const;
   bool InBackendOutage() const;
--- a/src/simulation/world/key_cache.h
+++ b/src/simulation/world/key_cache.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keys that a backend has cached: the latest so many, each for so long after its last use.
+// The keys that a backend has cached: the most recently used ones, up to a number and an age.
 #ifndef COPPERPOINT_SIMULATION_WORLD_KEY_CACHE_H_
 #define COPPERPOINT_SIMULATION_WORLD_KEY_CACHE_H_
 
@@ -16,6 +16,7 @@
 
 class KeyCache {
  public:
+  // `lifetime`: how long a key stays cached after its last use.
   KeyCache(std::size_t max_keys, Micros lifetime) : max_keys_(max_keys), lifetime_(lifetime) {}
 
   bool Contains(Micros now, std::uint64_t key) const {
@@ -36,7 +37,7 @@
   }
 
  private:
-  // The key goes with its latest use only.
+  // Removes the oldest entry of `uses_`; its key is evicted only if it was not used again since.
   void EvictOldestUse() {
     const auto [at, key] = uses_.front();
     uses_.pop_front();
--- a/src/simulation/world/membership_model.cpp
+++ b/src/simulation/world/membership_model.cpp
@@ -10,7 +10,7 @@
 
 std::string NameOf(std::uint32_t proxy) { return fmt::format("proxy-{}", proxy); }
 
-// How long the place of a proxy that left stays in the ring.
+// How long a proxy that has left keeps its place in the ring.
 Micros RetentionTime() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              subsetting::RingPosition::Options().departed_retention)
@@ -45,7 +45,7 @@
   world_.queue.Push(world_.now() + delay, EventPriority::kControl, kMembershipUpdate, 0, 0);
 }
 
-// The proxies that have a place in the ring.
+// Updates the members from the state of the proxies, and returns those that have a place in the ring.
 std::vector<subsetting::Peer> MembershipModel::UpdateMembers() {
   const Micros retention = RetentionTime();
   std::vector<subsetting::Peer> peers;
--- a/src/simulation/world/membership_model.h
+++ b/src/simulation/world/membership_model.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What proxies know of each other by their membership (docs/membership.md), as far as the service is affected
-// by it: their ring offsets among the proxies of their zone, updated some time after each change. The
-// membership protocol itself is tested by `copperpoint fault-test`.
+// A model of the proxies' membership (docs/membership.md), as far as it affects the service: the ring offset
+// of each proxy among the proxies of its zone, updated with a delay after each change. `copperpoint
+// fault-test` tests the membership protocol itself.
 #ifndef COPPERPOINT_SIMULATION_WORLD_MEMBERSHIP_MODEL_H_
 #define COPPERPOINT_SIMULATION_WORLD_MEMBERSHIP_MODEL_H_
 
@@ -17,17 +17,17 @@
 
 class MembershipModel {
  public:
-  // `deliver` hands an event to a proxy.
+  // `deliver` passes an event to a proxy.
   MembershipModel(World& world, std::function<void(std::uint32_t proxy, Event)> deliver);
 
-  void Start();
-  void OnProxyChanged();  // one started, drains or stopped
-  void OnUpdate();
+  void Start();           // sends the first ring offsets
+  void OnProxyChanged();  // a proxy started, drains or stopped
+  void OnUpdate();        // the proxies learn of changes
 
  private:
   struct Member {
-    bool known = false;
-    Micros left_at = -1;  // -1: it serves
+    bool known = false;   // it has a place in the ring
+    Micros left_at = -1;  // -1: it has not left
   };
   struct SentOffset {
     std::uint32_t incarnation = 0;
--- a/src/simulation/world/network.h
+++ b/src/simulation/world/network.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The network between clients, proxies and backends: delays between zones. What is lost is sent again after a
-// while, as TCP does; what meets a partition arrives when it is over.
+// The network between clients, proxies and backends, modelled by the delay of each message. Lost messages are
+// retransmitted after a time-out, as by TCP. Messages sent during a partition arrive after its end.
 #ifndef COPPERPOINT_SIMULATION_WORLD_NETWORK_H_
 #define COPPERPOINT_SIMULATION_WORLD_NETWORK_H_
 
@@ -22,19 +22,19 @@
         partitioned_until_(zones_ * zones_, 0),
         random_(seed, "network") {}
 
-  // One way, between proxies and backends of two zones.
+  // The delay of one message from a proxy to a backend or back, between these zones.
   Micros Delay(Micros now, int from, int to) {
     const Micros partition_end = partitioned_until_[Index(from, to)];
     return std::max<Micros>(0, partition_end - now) + Draw(MeanDelay(from, to));
   }
-  // One way, between clients and proxies.
+  // The delay of one message from a client to a proxy or back.
   Micros ClientDelay() { return Draw(settings_.client_ms); }
-  // In milliseconds, without jitter, loss and partitions.
+  // The delay between two zones in milliseconds, without jitter, loss and partitions.
   double MeanDelay(int from, int to) const {
     return from == to ? settings_.same_zone_ms : settings_.cross_zone_ms;
   }
 
-  // From now until then nothing gets from one zone to the other; the reverse direction is not affected.
+  // Messages from one zone to the other are held until `until`. The reverse direction is not affected.
   void Partition(int from, int to, Micros until) {
     Micros& partition_end = partitioned_until_[Index(from, to)];
     partition_end = std::max(partition_end, until);
--- a/src/simulation/world/proxy_runtime.cpp
+++ b/src/simulation/world/proxy_runtime.cpp
@@ -91,7 +91,7 @@
 
 void ProxyRuntime::Execute(std::uint32_t proxy, const SetTimer& action) {
   const double in_ms = (action.at - world_.time()).count();
-  // Rounded up: a policy that is woken a moment early would not set the timer again.
+  // Rounded up: if the timer fired a fraction of a microsecond early, the policy would not set it again.
   const Micros at =
       world_.now() + static_cast<Micros>(std::ceil(std::clamp(in_ms * kMicrosPerMs, 0.0, kMaxTimerMicros)));
   world_.queue.Push(at, EventPriority::kTimeout, kProxyTimer, proxy,
--- a/src/simulation/world/proxy_runtime.h
+++ b/src/simulation/world/proxy_runtime.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Runs the policies of the proxies: starts and stops them, delivers events, and passes their actions on.
+// Runs the policies of the proxies: starts and stops them, delivers events and executes their actions.
 #ifndef COPPERPOINT_SIMULATION_WORLD_PROXY_RUNTIME_H_
 #define COPPERPOINT_SIMULATION_WORLD_PROXY_RUNTIME_H_
 
@@ -13,7 +13,7 @@
 
 namespace copperpoint::simulation {
 
-// Executes what a policy decides about requests and discovery.
+// Executes the actions of policies that concern requests and discovery.
 class ActionHandler {
  public:
   virtual ~ActionHandler() = default;
@@ -29,11 +29,11 @@
 
   ProxyRuntime(World& world, ActionHandler& actions, MakePolicy make_policy);
 
-  // Starts an incarnation of the proxy that knows these endpoints.
+  // Starts a new incarnation of the proxy, with `known` as its first endpoint list.
   void Start(std::uint32_t proxy, std::vector<Endpoint> known);
-  // Its connections break; its requests are the caller's concern.
+  // Stops the proxy and closes its connections. The caller takes care of its requests.
   void Stop(std::uint32_t proxy);
-  // Hands an event to the policy. One that arises while another is handled waits for it.
+  // Passes an event to the policy. An event that arises while the policy handles another waits for it.
   void Deliver(std::uint32_t proxy, Event event);
   void OnTimer(std::uint32_t proxy, std::uint64_t token_and_incarnation);
 
@@ -49,8 +49,8 @@
   World& world_;
   ActionHandler& actions_;
   MakePolicy make_policy_;
-  std::vector<Action> action_buffer_;  // used again, to save allocations
-  std::uint64_t started_ = 0;          // incarnations of all proxies
+  std::vector<Action> action_buffer_;  // kept between calls, to save allocations
+  std::uint64_t started_ = 0;          // incarnations started so far, of all proxies
 };
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/world/proxy_state.h
+++ b/src/simulation/world/proxy_state.h
@@ -18,28 +18,29 @@
 // A proxy's connections to one backend.
 struct ConnectionPool {
   int idle = 0;
-  int open = 0;                   // with the idle ones
-  std::uint32_t incarnation = 0;  // of the backend, when they were opened
+  int open = 0;                   // including the idle ones
+  std::uint32_t incarnation = 0;  // of the backend when the connections were opened
   Micros last_used = 0;
 };
 
 // What discovery has sent to a proxy.
 struct Subscription {
-  std::size_t revision = 0;     // of the change log, up to which it has been sent
-  bool active = false;          // it polled, and gets updates from then on
-  bool update_pending = false;  // one is on its way
-  bool overdue = false;         // it has not polled for so long that all changes count as known to it
+  std::size_t revision = 0;     // position in discovery's change log up to which changes have been sent
+  bool active = false;          // the proxy has polled and gets updates
+  bool update_pending = false;  // an update is on its way
+  bool overdue = false;  // no poll within the maximum interval: all changes count as known to the proxy
   Micros last_poll = 0;
-  boost::unordered_flat_map<std::uint32_t, Micros> known_starts;  // of backends that started: when
+  boost::unordered_flat_map<std::uint32_t, Micros> known_starts;  // by backend: start that it was sent
 };
 
+// A proxy, running or not. `incarnation` counts its starts.
 struct ProxyState {
   std::unique_ptr<Policy> policy;
   int zone = 0;
   std::uint32_t incarnation = 0;
   bool running = false;
   bool draining = false;
-  std::deque<Event> events;  // until the policy has handled the current one
+  std::deque<Event> events;  // not yet handled by the policy
   bool handling_event = false;
   ClientRetryAccuracy retry_accuracy;
   boost::unordered_flat_map<std::uint32_t, ConnectionPool> connections;  // by backend
--- a/src/simulation/world/request_handler.cpp
+++ b/src/simulation/world/request_handler.cpp
@@ -53,7 +53,8 @@
                 {log::fields::kWorkMs, event.estimated_work_ms}});
 }
 
-// On a large fleet a retry hardly ever meets the same proxy, and a request's set of proxies has 64 bits.
+// Retry detection is measured only on fleets of up to 64 proxies: the set of proxies that a request has
+// visited has 64 bits, and on a larger fleet a client retry rarely reaches the same proxy again.
 bool RequestHandler::MeasuresRetryDetection() const { return world_.proxies.size() <= kVisitedProxyBits; }
 
 void RequestHandler::DetectClientRetry(ClientRequest* request, const RequestReceived& event) {
@@ -112,7 +113,7 @@
     world_.proxies[request.proxy].retry_accuracy.OnCompleted(world_.time(), request.detected, may_retry,
                                                              Duration(request_class.deadline_ms));
   }
-  world_.Trace(slot, "final answer: {}", NameOf(result));
+  world_.Trace(slot, "final response: {}", NameOf(result));
   clients_.OnResponse(slot, result, retry_after);
 }
 
@@ -132,7 +133,7 @@
   ClientRequest& request = world_.RequestAt(slot);
   if (request.has_response) return;
   const RequestId id = World::IdOf(slot, request);
-  world_.Trace(slot, "still without a final answer");
+  world_.Trace(slot, "still without a final response");
   world_.rules.OnResponseOverdue(world_.now(), id, request.proxy);
   request.has_response = true;
   if (world_.ProxyIsRunning(request)) proxies_.Deliver(request.proxy, ClientDisconnected{id});
@@ -145,8 +146,8 @@
     const bool at_proxy = request.references > 0 && request.reached_proxy && request.proxy == proxy &&
                           request.proxy_incarnation == incarnation;
     if (!at_proxy || request.has_response) continue;
-    request.has_response = true;  // there will be none, and no rule asks for one
-    world_.Trace(slot, "its proxy dies");
+    request.has_response = true;  // no response will follow, and the rules require none
+    world_.Trace(slot, "the proxy stops before its final response");
     clients_.OnResponse(slot, RequestResult::kLost, Duration(0));
   }
 }
--- a/src/simulation/world/request_handler.h
+++ b/src/simulation/world/request_handler.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests at their proxies: they are received, answered, rejected or failed, and must have a final response
-// in time.
+// Requests at their proxies: receives them, completes them as served, rejected or failed, and checks that
+// each has a final response in time.
 #ifndef COPPERPOINT_SIMULATION_WORLD_REQUEST_HANDLER_H_
 #define COPPERPOINT_SIMULATION_WORLD_REQUEST_HANDLER_H_
 
@@ -18,20 +18,22 @@
  public:
   RequestHandler(World& world, ProxyRuntime& proxies, ClientPopulation& clients);
 
-  // The request reaches its proxy.
+  // The request in the slot reaches its proxy.
   void OnReceived(std::uint32_t slot);
+  // The policy decides to reject or fail a request. Ignored if the request already has its final response.
   void Reject(std::uint32_t proxy, const RejectRequest& action);
   void Fail(std::uint32_t proxy, const FailRequest& action);
-  // A backend served it.
+  // A backend has served the request.
   void OnServed(std::uint32_t slot);
-  // The slack after the request's deadline is over.
+  // The response slack after the request's deadline has passed.
   void OnResponseOverdue(std::uint32_t slot);
-  // The requests of a proxy that stopped are lost.
+  // Completes all requests of a proxy that stopped as lost.
   void OnProxyStopped(std::uint32_t proxy);
 
-  // The slot of a request that this incarnation of the proxy has received; nothing if there is none of that
-  // id.
+  // The slot of the request with this id, if the current incarnation of the proxy has received it; nothing
+  // otherwise.
   std::optional<std::uint32_t> SlotOf(std::uint32_t proxy, RequestId id) const;
+  // Whether the request is idempotent, and whether one of its attempts may have been executed.
   AttemptHistory HistoryOf(const ClientRequest& request) const;
 
  private:
--- a/src/simulation/world/rule_checker.cpp
+++ b/src/simulation/world/rule_checker.cpp
@@ -9,7 +9,7 @@
 namespace copperpoint::simulation {
 namespace {
 
-// Of the work that overloaded a backend: from this share on informed proxies are the cause.
+// Share of the work that overloaded a backend from which on informed proxies count as the cause.
 constexpr double kInformedShare = 2.0 / 3;
 constexpr double kPercent = 100;
 constexpr int kProxyShift = 32;
@@ -41,43 +41,48 @@
 
 void RuleChecker::OnAttemptStarted(Micros now, std::uint64_t request, std::uint32_t proxy,
                                    std::uint32_t backend, const AttemptHistory& history, bool has_response) {
-  if (has_response) Report({Rule::kOneResponse, now, request, proxy, backend, "sent after its final answer"});
+  if (has_response)
+    Report({Rule::kOneResponse, now, request, proxy, backend, "attempt sent after the final response"});
   if (!history.idempotent && history.may_have_run) {
-    Report(
-        {Rule::kRunOnce, now, request, proxy, backend, "sent again though an earlier attempt may have run"});
+    Report({Rule::kRunOnce, now, request, proxy, backend,
+            "non-idempotent request sent again after an attempt that may have been executed"});
   }
   const auto unusable = unusable_since_.find(PairOf(proxy, backend));
   if (unusable == unusable_since_.end() || now <= unusable->second + drain_grace_) return;
   Report({Rule::kDrain, now, request, proxy, backend,
-          fmt::format("sent {:.1f} ms after the news that the backend is not to be used",
+          fmt::format("attempt sent {:.1f} ms after the update that the backend drains or was removed",
                       ToMs(now - unusable->second))});
 }
 
 void RuleChecker::OnRejected(Micros now, std::uint64_t request, std::uint32_t proxy,
                              const AttemptHistory& history) {
   if (history.idempotent || !history.may_have_run) return;
-  Report({Rule::kRunOnce, now, request, proxy, 0, "refused as harmless though an attempt may have run"});
+  Report({Rule::kRunOnce, now, request, proxy, 0,
+          "non-idempotent request rejected after an attempt that may have been executed"});
 }
 
 void RuleChecker::OnResponse(Micros now, std::uint64_t request, std::uint32_t proxy, bool has_response) {
-  if (has_response) Report({Rule::kOneResponse, now, request, proxy, 0, "a second final answer"});
+  if (has_response) Report({Rule::kOneResponse, now, request, proxy, 0, "second final response"});
 }
 
 void RuleChecker::OnResponseOverdue(Micros now, std::uint64_t request, std::uint32_t proxy) {
-  Report({Rule::kOneResponse, now, request, proxy, 0, "no final answer within its time and the slack"});
+  Report({Rule::kOneResponse, now, request, proxy, 0,
+          "no final response within the request's timeout and the response slack"});
 }
 
 void RuleChecker::OnExecution(Micros now, std::uint64_t request, std::uint32_t backend, int times) {
   if (times > 1)
-    Report({Rule::kRunOnce, now, request, 0, backend, fmt::format("ran for the {}. time", times)});
+    Report({Rule::kRunOnce, now, request, 0, backend,
+            fmt::format("non-idempotent request executed {} times", times)});
 }
 
 void RuleChecker::OnOverload(Micros now, std::uint32_t backend, double informed_share) {
   if (informed_share < kInformedShare) return;
   Report(
       {Rule::kSlowStart, now, 0, 0, backend,
-       fmt::format("a cold backend fell over; {:.0f}% of its work came from proxies that knew of its start",
-                   kPercent * informed_share)});
+       fmt::format(
+           "backend overloaded in slow start; {:.0f}% of the work was sent by proxies that knew of its start",
+           kPercent * informed_share)});
 }
 
 }  // namespace copperpoint::simulation
--- a/src/simulation/world/rule_checker.h
+++ b/src/simulation/world/rule_checker.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Checks the four rules of service from what happened alone. It shares no code with the decision module and
-// knows nothing of how it decides:
-//   1. each request that a running proxy received gets one final response, no later than the slack after its
-//      timeout;
-//   2. a request that is not idempotent is neither sent again nor rejected once it may have run;
-//   3. no new attempt goes to a backend later than the grace period after the update that it drains or was
-//      removed;
+// Checks the four rules of service, using only the observed events. It shares no code with the decision
+// module and does not depend on how that decides:
+//   1. each request that a running proxy received gets exactly one final response, no later than the response
+//      slack after its timeout;
+//   2. a request that is not idempotent is neither sent again nor rejected once it may have been executed;
+//   3. no new attempt is sent to a backend later than the grace period after the update that it drains or
+//      was removed;
 //   4. no backend in slow start is overloaded by proxies that knew of its start.
 #ifndef COPPERPOINT_SIMULATION_WORLD_RULE_CHECKER_H_
 #define COPPERPOINT_SIMULATION_WORLD_RULE_CHECKER_H_
@@ -20,12 +20,13 @@
 
 namespace copperpoint::simulation {
 
+// The values are the numbers of the rules above.
 enum class Rule : int { kOneResponse = 1, kRunOnce = 2, kDrain = 3, kSlowStart = 4 };
 
 struct RuleViolation {
   Rule rule = Rule::kOneResponse;
   Micros at = 0;
-  std::uint64_t request = 0;  // 0: not about one
+  std::uint64_t request = 0;  // 0: the violation does not concern a request
   std::uint32_t proxy = 0;
   std::uint32_t backend = 0;
   std::string description;
@@ -34,7 +35,7 @@
 // What is known of the attempts of a request so far.
 struct AttemptHistory {
   bool idempotent = true;
-  bool may_have_run = false;  // some earlier attempt is in flight or may have been executed
+  bool may_have_run = false;  // an earlier attempt is in flight, or ended and may have been executed
 };
 
 class RuleChecker {
@@ -43,8 +44,10 @@
 
   explicit RuleChecker(double drain_grace_ms) : drain_grace_(FromMs(drain_grace_ms)) {}
 
-  // The update that a proxy got of a backend, or counts as having got at `at`.
+  // A proxy receives an update about a backend at `at`, or counts as having received it. `usable`: the
+  // backend neither drains nor was removed.
   void OnEndpointUpdate(std::uint32_t proxy, std::uint32_t backend, bool usable, Micros at);
+  // A new incarnation of the proxy starts, which has received no updates yet.
   void OnProxyStarted(std::uint32_t proxy);
 
   // `has_response`: the request already had its final response.
@@ -53,9 +56,10 @@
   void OnRejected(Micros now, std::uint64_t request, std::uint32_t proxy, const AttemptHistory& history);
   void OnResponse(Micros now, std::uint64_t request, std::uint32_t proxy, bool has_response);
   void OnResponseOverdue(Micros now, std::uint64_t request, std::uint32_t proxy);
-  // An attempt of a request that is not idempotent starts to run, for the `times`-th time.
+  // A backend starts to execute a request that is not idempotent; `times`: how often this has now happened.
   void OnExecution(Micros now, std::uint64_t request, std::uint32_t backend, int times);
-  // `informed_share`: of the work that overloaded it, sent by proxies that knew of its start.
+  // A backend in slow start is overloaded. `informed_share`: share of the work that overloaded it which was
+  // sent by proxies that knew of its start.
   void OnOverload(Micros now, std::uint32_t backend, double informed_share);
 
   std::int64_t violation_count() const { return violation_count_; }
@@ -65,7 +69,7 @@
   void Report(RuleViolation violation);
 
   Micros drain_grace_;
-  // By proxy and backend: since when the proxy knows that the backend is not to be used.
+  // By proxy and backend: when the proxy learned that the backend drains or was removed.
   boost::unordered_flat_map<std::uint64_t, Micros> unusable_since_;
   std::vector<RuleViolation> violations_;
   std::int64_t violation_count_ = 0;
--- a/src/simulation/world/true_response_times.cpp
+++ b/src/simulation/world/true_response_times.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 constexpr double kNever = -1;
-constexpr double kMaxFastErrorShare = 0.2;  // beyond, the oracle does not use a backend
-constexpr double kMinCapacityFraction =
-    0.2;  // a backend in slow start counts as slower by at most its inverse
+// The oracle does not use a backend that fails more than this share of its requests at once.
+constexpr double kMaxFastErrorShare = 0.2;
+// Lower bound of the capacity by whose inverse a backend in slow start counts as slower.
+constexpr double kMinCapacityFraction = 0.2;
 
 }  // namespace
 
--- a/src/simulation/world/true_response_times.h
+++ b/src/simulation/world/true_response_times.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When responses would really be back, for the oracle policy.
+// The true response times of backends, which only the oracle policy gets to know.
 #ifndef COPPERPOINT_SIMULATION_WORLD_TRUE_RESPONSE_TIMES_H_
 #define COPPERPOINT_SIMULATION_WORLD_TRUE_RESPONSE_TIMES_H_
 
@@ -11,6 +11,7 @@
 
 namespace copperpoint::simulation {
 
+// Computes response times from the current state of the world; see BackendTruth.
 class TrueResponseTimes : public BackendTruth {
  public:
   explicit TrueResponseTimes(const World& world) : world_(world) {}
--- a/src/simulation/world/world.h
+++ b/src/simulation/world/world.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The state that the parts of a simulation share: the drawn scenario, the event queue, backends, proxies and
-// requests. Each part handles the kinds of events listed for it below; run/run.cpp dispatches them.
+// requests. Each part handles the kinds of events listed under its name below; run/run.cpp dispatches them.
 #ifndef COPPERPOINT_SIMULATION_WORLD_WORLD_H_
 #define COPPERPOINT_SIMULATION_WORLD_WORLD_H_
 
@@ -28,22 +28,22 @@
 
 namespace copperpoint::simulation {
 
-// Behind each kind: the target and the argument of the event. `slot` is that of a ClientRequest, an
-// incarnation stands in the upper 32 bits.
+// The kinds of events, each with the meaning of its target and argument. "slot" is that of a ClientRequest.
+// "| incarnation" means that the upper 32 bits of the argument hold an incarnation.
 enum EventKind : std::uint32_t {
   // ClientPopulation
   kArrival,         // the next first request is sent
-  kClientSend,      // argument: slot of a request that reaches its proxy
+  kClientSend,      // argument: slot of a request that reaches the front end
   kClientTimeout,   // argument: slot; the client gives this request up
-  kFrontEndUpdate,  // target: proxy, argument: 1: it is up, 0: it is not
+  kFrontEndUpdate,  // target: proxy, argument: 1 if it is up, 0 otherwise
   // RequestHandler
-  kResponseOverdue,  // argument: slot; the final response must be there
+  kResponseOverdue,  // argument: slot of a request that must have its final response by now
   // AttemptHandler
   kAttemptReceived,   // target: attempt, bit 31 set on a new connection; argument: slot
   kResponse,          // target: attempt | outcome << 8; argument: slot
   kConnectFailure,    // target: attempt, argument: slot
   kAttemptTimeout,    // target: attempt, argument: slot
-  kAttemptCancelled,  // target: attempt, argument: slot; the backend learns that nobody waits
+  kAttemptCancelled,  // target: attempt, argument: slot; the cancellation reaches the backend
   kWorkCompleted,     // target: backend, argument: slot of the job | incarnation
   // ProxyRuntime
   kProxyTimer,  // target: proxy, argument: token | incarnation
@@ -51,10 +51,10 @@
   kProbeReceived,  // target: proxy, argument: backend | incarnation of the proxy
   kProbeResponse,  // target: proxy, argument: index of the response
   // DiscoveryService
-  kChangeDetected,  // argument: index of a change that discovery gets to know
+  kChangeDetected,  // argument: index of a change that discovery detects
   kEndpointUpdate,  // target: proxy, argument: its incarnation
   kPollAnswered,    // as above
-  kPollOverdue,     // as above; unless it has polled since
+  kPollOverdue,     // as above; ignored if the proxy has polled since
   kPollFailed,      // as above
   // FaultInjector
   kFaultStart,  // argument: index of the fault
@@ -72,20 +72,22 @@
   kConnectionSample,
 };
 
-// Two 32-bit numbers in an event's argument.
+// Two 32-bit numbers in one argument of an event: the incarnation is in the upper half.
 constexpr std::uint64_t WithIncarnation(std::uint64_t low, std::uint32_t incarnation) {
   return low | static_cast<std::uint64_t>(incarnation) << 32;
 }
 constexpr std::uint32_t LowHalf(std::uint64_t both) { return static_cast<std::uint32_t>(both); }
 constexpr std::uint32_t IncarnationOf(std::uint64_t both) { return static_cast<std::uint32_t>(both >> 32); }
 
-// Faults of attempts that are in force.
+// The faults of attempts that are in force now.
 struct AttemptFaults {
   bool poison_active = false;         // requests of the poison key crash the backend that runs them
   double lost_response_share = 0;     // responses that never arrive
   double connection_reset_share = 0;  // attempts that find their connection reset
 };
 
+// The parts hold references to the world, which must outlive them. It refers to the scenario, which must
+// outlive it in turn.
 class World {
  public:
   World(const Scenario& scenario, std::uint64_t seed);
@@ -96,27 +98,27 @@
   Network network;
   RuleChecker rules;
   Metrics metrics;
-  Random service_random;  // of attempts: noise of their work, errors
+  Random service_random;  // of attempts: variation of their work, errors, lost responses
   std::vector<Backend> backends;
   std::vector<ProxyState> proxies;
   std::deque<ClientRequest> requests;
   AttemptFaults attempt_faults;
 
   Micros now() const { return queue.now(); }
-  // As the policies see it.
+  // The time as policies see it.
   static TimePoint Time(Micros at) { return TimePoint(kPolicyTimeOrigin + Duration(ToMs(at))); }
   TimePoint time() const { return Time(now()); }
 
-  // The slot of a fresh request, with one reference.
+  // Creates a request with one reference and returns its slot.
   std::uint32_t NewRequest();
   ClientRequest& RequestAt(std::uint64_t slot) { return requests[slot]; }
-  // Drops a reference; the slot is free after the last.
+  // Drops a reference to the request. The slot is free after the last one.
   void Release(std::uint32_t slot);
-  // The request's id for its proxy: never the same twice.
+  // The id of the request for its proxy. No id is used twice.
   static RequestId IdOf(std::uint32_t slot, const ClientRequest& request) {
     return static_cast<RequestId>(request.generation) << 32 | slot;
   }
-  // How often a client sends a request again at most.
+  // The largest number of client retries of a logical request.
   int MaxClientRetries() const {
     return scenario.clients.retry == ClientRetryMode::kNone ? 0 : scenario.clients.retries;
   }
@@ -131,7 +133,7 @@
     return proxy.running && proxy.incarnation == request.proxy_incarnation;
   }
 
-  // Adds a line to the trace, if the request is the traced one.
+  // Adds a line with the virtual time to the trace if the request is the traced one.
   template <typename... Args>
   void Trace(std::uint32_t slot, fmt::format_string<Args...> text, Args&&... args) {
     if (traced_request == 0 || IdOf(slot, requests[slot]) != traced_request) return;
@@ -141,14 +143,14 @@
   RequestId traced_request = 0;  // 0: none
   std::vector<std::string> trace;
 
-  // Writes a line to the log of a proxy, if logs are written.
+  // Writes an event to the log of a proxy if logs are written.
   void LogTo(std::uint32_t proxy, std::string_view event, std::initializer_list<log::Field> fields) {
     if (logs) logs->Write(proxy, ToMs(now()), event, fields);
   }
   std::optional<ProxyLogs> logs;
 
  private:
-  // An origin of 0 would mean "never" to policies.
+  // Time 0 of the simulation for policies. It is not 0, which means "never" to policies.
   static constexpr Duration kPolicyTimeOrigin{1e9};
 
   std::vector<std::uint32_t> free_slots_;
--- a/tests/simulation/rules_observer_test.cpp
+++ b/tests/simulation/rules_observer_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_EQ(RuleBroken(result), 1);
   EXPECT_EQ(result.violations, Count(result, "first_tries"));
   ASSERT_FALSE(result.trace.empty());
-  EXPECT_NE(result.trace.back().find("without a final answer"), std::string::npos) << result.trace.back();
+  EXPECT_NE(result.trace.back().find("without a final response"), std::string::npos) << result.trace.back();
 }
 
 TEST(RulesObserver, Rule1SentAfterTheFinalAnswer) {
@@ -77,7 +77,7 @@
 TEST(RulesObserver, Rule3ANewSendToADrainingBackend) {
   const RunResult result = RunScripted(Plain(kRelease), OneAttempt);
   EXPECT_EQ(RuleBroken(result), 3);
-  EXPECT_NE(result.json["broken"][0]["what"].get<std::string>().find("after the news"), std::string::npos);
+  EXPECT_NE(result.json["broken"][0]["what"].get<std::string>().find("after the update"), std::string::npos);
 }
 
 TEST(RulesObserver, Rule3IsKeptByOneThatHeedsTheList) {
