--- a/src/simulation/world/attempt_handler.cpp
+++ b/src/simulation/world/attempt_handler.cpp
@@ -11,29 +11,30 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
+// The layout of an event's target: the attempt's index, and either of the other two.
 constexpr std::uint32_t kNewConnection = 0x80000000u;
 constexpr int kOutcomeShift = 8;
 constexpr std::uint32_t kAttemptMask = 0xff;
 
-// For traces.
+// The outcome's name in traces.
 const char* Describe(AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kSuccess:
-      return "an answer";
+      return "success";
     case AttemptOutcome::kServerError:
-      return "an error";
+      return "server error";
     case AttemptOutcome::kBackendRejected:
-      return "turned away";
+      return "rejected by the backend";
     case AttemptOutcome::kTimeout:
-      return "a time-out";
+      return "timeout";
     case AttemptOutcome::kConnectFailure:
-      return "no connection";
+      return "connection failure";
     case AttemptOutcome::kConnectionReset:
-      return "a reset";
+      return "connection reset";
     case AttemptOutcome::kNotSent:
       return "not sent";
     default:
-      return "something else";
+      return "unknown outcome";
   }
 }
 
@@ -61,7 +62,7 @@
           },
           std::move(on_crash)) {}
 
-// ---- the proxy sends ----------------------------------------------------------------------------------
+// ---- sent by the proxy -------------------------------------------------------------------------------
 
 void AttemptHandler::Start(std::uint32_t proxy, const StartAttempt& action) {
   const auto slot = requests_.SlotOf(proxy, action.request);
@@ -75,7 +76,7 @@
   ++world_.metrics.attempts;
   world_.metrics.cross_zone_attempts += backend.zone() != world_.proxies[proxy].zone;
   request.attempts.push_back({action.backend, backend.incarnation(), world_.now()});
-  world_.Trace(*slot, "attempt {} goes to backend {}", index, action.backend);
+  world_.Trace(*slot, "attempt {} is sent to backend {}", index, action.backend);
   world_.LogTo(proxy, log::events::kAttemptStarted,
                {{log::fields::kRequest, action.request},
                 {"attempt", index},
@@ -119,8 +120,8 @@
   pool->open -= std::exchange(pool->idle, 0);
 }
 
-// On an idle connection, or a new one if the backend accepts it. A connection from before the backend's last
-// start is found dead on arrival.
+// Sends the attempt on an idle connection, or else on a new one if the backend accepts it. An idle connection
+// from before the backend's last start fails only when the attempt arrives.
 void AttemptHandler::Send(std::uint32_t slot, std::uint32_t index) {
   ClientRequest& request = world_.RequestAt(slot);
   Attempt& attempt = request.attempts[index];
@@ -128,38 +129,40 @@
   ProxyState& proxy = world_.proxies[request.proxy];
   ConnectionPool& pool = proxy.connections[attempt.backend];
   CloseExpiredConnections(&backend, &pool);
-  const Micros there = world_.network.Delay(world_.now(), proxy.zone, backend.zone());
+  const Micros request_delay = world_.network.Delay(world_.now(), proxy.zone, backend.zone());
   ++request.references;
   pool.last_used = world_.now();
-  if (pool.idle == 0) return SendOnNewConnection(slot, index, &pool, there);
+  if (pool.idle == 0) return SendOnNewConnection(slot, index, &pool, request_delay);
   --pool.idle;
   attempt.connected = true;
   attempt.incarnation = pool.incarnation;
-  world_.queue.Push(world_.now() + there, EventPriority::kBackend, kAttemptReceived, index, slot);
+  world_.queue.Push(world_.now() + request_delay, EventPriority::kBackend, kAttemptReceived, index, slot);
 }
 
 void AttemptHandler::SendOnNewConnection(std::uint32_t slot, std::uint32_t index, ConnectionPool* pool,
-                                         Micros there) {
+                                         Micros request_delay) {
   ClientRequest& request = world_.RequestAt(slot);
   Attempt& attempt = request.attempts[index];
   Backend& backend = world_.backends[attempt.backend];
   const NetworkSettings& settings = world_.network.settings();
   const Micros timeout = FromMs(settings.connect_timeout_ms);
-  const Micros back = world_.network.Delay(world_.now(), backend.zone(), world_.proxies[request.proxy].zone);
-  const auto handshake = static_cast<Micros>(settings.handshake_rtts * static_cast<double>(there + back));
+  const Micros response_delay =
+      world_.network.Delay(world_.now(), backend.zone(), world_.proxies[request.proxy].zone);
+  const auto handshake =
+      static_cast<Micros>(settings.handshake_rtts * static_cast<double>(request_delay + response_delay));
   const auto fail_after = [&](Micros delay) {
     world_.queue.Push(world_.now() + delay, EventPriority::kBackend, kConnectFailure, index, slot);
   };
   if (backend.health() == Backend::Health::kUnresponsive || handshake > timeout) return fail_after(timeout);
   if (backend.health() == Backend::Health::kDown || !backend.AcceptConnection())
-    return fail_after(std::min(timeout, there + back));
+    return fail_after(std::min(timeout, request_delay + response_delay));
   ++world_.metrics.connections;
   world_.LogTo(request.proxy, log::events::kConnectionOpened, {{log::fields::kBackend, attempt.backend}});
   if (pool->incarnation != backend.incarnation()) *pool = {0, 0, backend.incarnation(), world_.now()};
   ++pool->open;
   attempt.connected = true;
   attempt.incarnation = backend.incarnation();
-  world_.queue.Push(world_.now() + handshake + there, EventPriority::kBackend, kAttemptReceived,
+  world_.queue.Push(world_.now() + handshake + request_delay, EventPriority::kBackend, kAttemptReceived,
                     index | kNewConnection, slot);
 }
 
@@ -171,14 +174,14 @@
   world_.Release(slot);
 }
 
-// ---- at the backend -----------------------------------------------------------------------------------
+// ---- at the backend ----------------------------------------------------------------------------------
 
 void AttemptHandler::OnReceived(std::uint32_t slot, std::uint32_t attempt_and_connection) {
   const std::uint32_t index = attempt_and_connection & ~kNewConnection;
   const bool new_connection = attempt_and_connection != index;
   const Attempt& attempt = world_.RequestAt(slot).attempts[index];
   Backend& backend = world_.backends[attempt.backend];
-  if (backend.health() == Backend::Health::kUnresponsive) return backends_.HoldUnresponsive(slot, index);
+  if (backend.health() == Backend::Health::kUnresponsive) return backends_.EnqueueUnresponsive(slot, index);
   if (backend.health() == Backend::Health::kDown || attempt.incarnation != backend.incarnation())
     return Respond(slot, index, AttemptOutcome::kConnectionReset);
   const Job job = DrawJob(slot, index, new_connection);
@@ -222,13 +225,13 @@
   return found != known_starts.end() && found->second == world_.backends[backend].up_since();
 }
 
-// The reference goes with the response.
+// Sends a response. The caller's reference to the request passes to the response's event.
 void AttemptHandler::Respond(std::uint32_t slot, std::uint32_t index, AttemptOutcome outcome) {
   const ClientRequest& request = world_.RequestAt(slot);
   const Backend& backend = world_.backends[request.attempts[index].backend];
   if (outcome == AttemptOutcome::kSuccess &&
       world_.service_random.Chance(world_.attempt_faults.lost_response_share)) {
-    world_.Trace(slot, "the answer is lost");
+    world_.Trace(slot, "the response is lost");
     return world_.Release(slot);
   }
   const Micros delay = world_.network.Delay(world_.now(), backend.zone(), world_.proxies[request.proxy].zone);
@@ -236,7 +239,7 @@
                     index | static_cast<std::uint32_t>(outcome) << kOutcomeShift, slot);
 }
 
-// ---- back at the proxy --------------------------------------------------------------------------------
+// ---- completed at the proxy --------------------------------------------------------------------------
 
 void AttemptHandler::OnResponse(std::uint32_t slot, std::uint32_t attempt_and_outcome) {
   const std::uint32_t index = attempt_and_outcome & kAttemptMask;
@@ -266,9 +269,9 @@
   const Backend& backend = world_.backends[request.attempts[index].backend];
   if (backend.type().cancelled != "runs_on") {
     ++request.references;
-    const Micros there =
+    const Micros request_delay =
         world_.network.Delay(world_.now(), world_.proxies[request.proxy].zone, backend.zone());
-    world_.queue.Push(world_.now() + there, EventPriority::kBackend, kAttemptCancelled, index, slot);
+    world_.queue.Push(world_.now() + request_delay, EventPriority::kBackend, kAttemptCancelled, index, slot);
   }
   Complete(slot, index, AttemptOutcome::kTimeout);
 }
@@ -276,20 +279,20 @@
 void AttemptHandler::OnCancelled(std::uint32_t slot, std::uint32_t index) {
   if (backends_.Cancel(slot, index)) {
     const std::uint32_t backend = world_.RequestAt(slot).attempts[index].backend;
-    world_.Trace(slot, "backend {} drops it", backend);
+    world_.Trace(slot, "backend {} drops the cancelled attempt", backend);
     world_.Release(slot);
     backends_.RunQueued(backend);
   }
   world_.Release(slot);
 }
 
-// An attempt ends, as far as its proxy is concerned.
+// Completes an attempt at its proxy: the request is served if it succeeded, and the policy gets the outcome.
 void AttemptHandler::Complete(std::uint32_t slot, std::uint32_t index, AttemptOutcome outcome) {
   ClientRequest& request = world_.RequestAt(slot);
   Attempt& attempt = request.attempts[index];
   attempt.in_flight = false;
   attempt.may_have_run = !ProvesNotExecuted(outcome);
-  world_.Trace(slot, "attempt {} ends: {}", index, Describe(outcome));
+  world_.Trace(slot, "attempt {} completed: {}", index, Describe(outcome));
   LogCompleted(slot, index, outcome);
   ReleaseConnection(request.proxy, attempt, outcome);
   if (outcome == AttemptOutcome::kSuccess && !request.has_response) {
--- a/tests/simulation/rules_observer_test.cpp
+++ b/tests/simulation/rules_observer_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_EQ(FirstViolatedRule(result), 1);
   EXPECT_EQ(result.violations, Count(result, "first_tries"));
   ASSERT_FALSE(result.trace.empty());
-  EXPECT_NE(result.trace.back().find("without a final answer"), std::string::npos) << result.trace.back();
+  EXPECT_NE(result.trace.back().find("without a final response"), std::string::npos) << result.trace.back();
 }
 
 TEST(RulesObserver, Rule1DetectsAnAttemptAfterTheFinalResponse) {
@@ -90,7 +90,7 @@
 TEST(RulesObserver, Rule3DetectsANewAttemptAtADrainingBackend) {
   const RunResult result = RunScripted(MinimalScenario(kReleaseScenario), OneAttempt);
   EXPECT_EQ(FirstViolatedRule(result), 3);
-  EXPECT_NE(result.json["broken"][0]["what"].get<std::string>().find("after the news"), std::string::npos);
+  EXPECT_NE(result.json["broken"][0]["what"].get<std::string>().find("after the update"), std::string::npos);
 }
 
 TEST(RulesObserver, Rule3AcceptsAPolicyThatFollowsTheEndpointList) {
