--- a/src/cli/rollout_simulate_command.cpp
+++ b/src/cli/rollout_simulate_command.cpp
@@ -21,7 +21,7 @@
 #include "cli/subcommands.h"
 #include "config/read.h"
 #include "fault_testing/quantile.h"
-#include "fault_testing/trial.h"
+#include "fault_testing/simulate_rollout.h"
 #include "simulation/run/parallel.h"
 
 namespace copperpoint::cli {
--- a/src/fault_testing/processes/directory.h
+++ b/src/fault_testing/processes/directory.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "fault_testing/plan.h"
-#include "fault_testing/processes/troubles.h"
+#include "fault_testing/processes/service_faults.h"
 #include "simulation/core/event_queue.h"
 #include "simulation/world/rule_checker.h"
 
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The implementation of play.h: a run with real processes. Split by concern into play.cpp (the run),
-// members.cpp (the processes), faults.cpp (fault injection) and watch.cpp (queries of members and commands).
+// members.cpp (the processes), faults.cpp (fault injection) and view_query.cpp (queries of members and
+// commands).
 #ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
 #define COPPERPOINT_FAULT_TESTING_PROCESSES_FLEET_H_
 
@@ -24,7 +25,6 @@
 
 #include "config/read.h"
 #include "fault_testing/conditions.h"
-#include "fault_testing/judge.h"
 #include "fault_testing/links.h"
 #include "fault_testing/processes/child.h"
 #include "fault_testing/processes/control.h"
@@ -32,7 +32,8 @@
 #include "fault_testing/processes/play.h"
 #include "fault_testing/processes/relay.h"
 #include "fault_testing/processes/service.h"
-#include "fault_testing/processes/troubles.h"
+#include "fault_testing/processes/service_faults.h"
+#include "fault_testing/run_evaluator.h"
 #include "membership/options.h"
 #include "peers/transport.h"
 
--- a/src/fault_testing/processes/troubles.cpp
+++ b/src/fault_testing/processes/service_faults.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fault_testing/processes/troubles.h"
+#include "fault_testing/processes/service_faults.h"
 
 #include <algorithm>
 
--- a/src/fault_testing/processes/troubles.h
+++ b/src/fault_testing/processes/service_faults.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The active service faults: the faults of each stand-in backend, and the proxies that are cut off from it.
-#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
-#define COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
+#ifndef COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_FAULTS_H_
+#define COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_FAULTS_H_
 
 #include <cstdint>
 #include <set>
@@ -40,4 +40,4 @@
 
 }  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_TROUBLES_H_
+#endif  // COPPERPOINT_FAULT_TESTING_PROCESSES_SERVICE_FAULTS_H_
--- a/src/fault_testing/judge.cpp
+++ b/src/fault_testing/run_evaluator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fault_testing/judge.h"
+#include "fault_testing/run_evaluator.h"
 
 #include <fmt/format.h>
 
--- a/src/fault_testing/judge.h
+++ b/src/fault_testing/run_evaluator.h
@@ -2,8 +2,8 @@
 //
 // Evaluates the properties of a run from the faults injected and the behaviour observed. Independent of the
 // membership protocol; used for runs with processes and in virtual time.
-#ifndef COPPERPOINT_FAULT_TESTING_JUDGE_H_
-#define COPPERPOINT_FAULT_TESTING_JUDGE_H_
+#ifndef COPPERPOINT_FAULT_TESTING_RUN_EVALUATOR_H_
+#define COPPERPOINT_FAULT_TESTING_RUN_EVALUATOR_H_
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -107,4 +107,4 @@
 
 }  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_FAULT_TESTING_JUDGE_H_
+#endif  // COPPERPOINT_FAULT_TESTING_RUN_EVALUATOR_H_
--- a/src/fault_testing/trial.cpp
+++ b/src/fault_testing/simulate_rollout.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fault_testing/trial.h"
+#include "fault_testing/simulate_rollout.h"
 
 #include <fmt/format.h>
 
--- a/src/fault_testing/trial.h
+++ b/src/fault_testing/simulate_rollout.h
@@ -3,8 +3,8 @@
 // Simulates rollouts in virtual time: the members' real agents (src/rollout) on an emulated fleet with
 // emulated traffic and injected faults. Checks whether a rollout stops exactly when it should, counts the
 // members that ever ran the new version, and checks that the guarantees of the agents hold under any fault.
-#ifndef COPPERPOINT_FAULT_TESTING_TRIAL_H_
-#define COPPERPOINT_FAULT_TESTING_TRIAL_H_
+#ifndef COPPERPOINT_FAULT_TESTING_SIMULATE_ROLLOUT_H_
+#define COPPERPOINT_FAULT_TESTING_SIMULATE_ROLLOUT_H_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -72,4 +72,4 @@
 
 }  // namespace copperpoint::fault_testing
 
-#endif  // COPPERPOINT_FAULT_TESTING_TRIAL_H_
+#endif  // COPPERPOINT_FAULT_TESTING_SIMULATE_ROLLOUT_H_
--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -8,8 +8,8 @@
 #include <utility>
 
 #include "fault_testing/conditions.h"
-#include "fault_testing/judge.h"
 #include "fault_testing/links.h"
+#include "fault_testing/run_evaluator.h"
 #include "membership/membership.h"
 #include "simulation/core/event_queue.h"
 #include "simulation/core/random.h"
--- a/tests/rollout/simulated_rollout_test.cpp
+++ b/tests/rollout/simulated_rollout_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-#include "fault_testing/trial.h"
+#include "fault_testing/simulate_rollout.h"
 #include "rollout_testing.h"
 
 namespace copperpoint::rollout {
