--- a/src/config/edit.h
+++ b/src/config/edit.h
@@ -9,9 +9,9 @@
 
 namespace copperpoint::config {
 
-// `path` is dotted, with indices into arrays, which must be there: "load.rate", "trouble.0.size". Tables on
-// the way are made. `value` is read as TOML; what is no TOML value is taken as text. Throws InvalidFile,
-// which names `file`, on a text that is no TOML, and std::invalid_argument on a path that can't be followed.
+// Returns `text` with the key at `path` set. `path` is dotted; array items are named by index and must exist:
+// "load.rate", "trouble.0.size". Missing tables are created. A `value` that is not valid TOML is set as text.
+// Throws InvalidFile, which names `file`, if `text` is not TOML; std::invalid_argument on an invalid path.
 std::string SetKey(std::string_view text, const std::string& file, const std::string& path,
                    const std::string& value);
 
--- a/src/config/read.h
+++ b/src/config/read.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads TOML 1.0 (toml.io) into a described struct and finds every diagnostic of the file at once.
+// Reads TOML 1.0 (toml.io) into a struct that describes its keys, and reports all errors of a file at once.
 #ifndef COPPERPOINT_CONFIG_READ_H_
 #define COPPERPOINT_CONFIG_READ_H_
 
@@ -14,17 +14,17 @@
 
 namespace copperpoint::config {
 
-// An error of a file. Lines and columns count from 1; 0 where it has no one place.
+// An error in a file. Lines and columns count from 1; both are 0 if the error has no position.
 struct Diagnostic {
   int line = 0, column = 0;
   std::string key;      // dotted, as in "patience.kept_ms"; empty for a syntax error
-  std::string message;  // without a place
+  std::string message;  // without file, position and key
 };
 
 // "FILE:LINE:COLUMN: KEY: MESSAGE", one line.
 std::string Describe(const std::string& file, const Diagnostic& diagnostic);
 
-// All errors of one file, in the order of their lines; what() has one line for each.
+// Holds all errors of one file, in the order of their lines; what() has one line for each.
 class InvalidFile : public std::runtime_error {
  public:
   InvalidFile(const std::string& file, std::vector<Diagnostic> diagnostics);
@@ -34,15 +34,15 @@
   std::vector<Diagnostic> diagnostics_;
 };
 
-// All of a file. Throws InvalidFile if it can't be read.
+// Returns the contents of `file`. Throws InvalidFile if it can't be read.
 std::string ReadFileContents(const std::string& file);
 
-// Passes a reading visitor to `describe`. Throws InvalidFile on unknown keys, wrong types, values out of
-// range and what the struct requires itself; the struct is then incomplete and must be discarded.
+// Parses `text` and passes `describe` a visitor that assigns the values. Throws InvalidFile on unknown keys,
+// wrong types, values out of range and unmet Require() conditions; the struct must then be discarded.
 void ParseText(std::string_view text, const std::string& file,
                const std::function<void(FieldVisitor&)>& describe);
 
-// The same of a file.
+// As ParseText, on the contents of `file`. LoadFile and LoadText return a `Struct` read by its Describe().
 void ParseFile(const std::string& file, const std::function<void(FieldVisitor&)>& describe);
 
 template <typename Struct>
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How a settings struct describes its own keys, once, for every purpose: parsing a TOML file, formatting the
-// values in force, and formatting the reference page. A struct offers `void Describe(config::FieldVisitor&)`
-// and passes each field with its unit, range and one line of text; see read.h and show.h for the visitors.
+// A settings struct describes its keys once, for parsing a TOML file, formatting the values in force and
+// formatting the reference page. It has a method `void Describe(config::FieldVisitor&)`, which passes each
+// field with its unit, range and one line of text to the visitor; read.h and show.h provide the visitors.
 #ifndef COPPERPOINT_CONFIG_SCHEMA_H_
 #define COPPERPOINT_CONFIG_SCHEMA_H_
 
@@ -17,7 +17,7 @@
 
 namespace copperpoint::config {
 
-// The description of a key. Ranges are inclusive and hold for numbers only.
+// The description of a key. `min` and `max` are inclusive and apply to numbers only.
 struct FieldInfo {
   std::string_view text;
   std::string_view unit = "";
@@ -31,23 +31,23 @@
   virtual void Number(std::string_view key, double& value, const FieldInfo& info) = 0;
   virtual void Integer(std::string_view key, std::int64_t& value, const FieldInfo& info) = 0;
   virtual void Boolean(std::string_view key, bool& value, const FieldInfo& info) = 0;
-  // One of `choices`; any text if `choices` is empty.
+  // A string, which must be one of `choices` unless `choices` is empty.
   virtual void Text(std::string_view key, std::string& value, const std::vector<std::string>& choices,
                     const FieldInfo& info) = 0;
-  // A table of its own; absent, its fields keep their defaults.
+  // A nested table. If it is absent, its fields keep their defaults.
   virtual void Table(std::string_view key, std::string_view text,
                      const std::function<void(FieldVisitor&)>& fields) = 0;
   // An array of tables. `resize` sets the number of items; `fields` describes the one at an index.
   virtual void TableArray(std::string_view key, std::string_view text, std::size_t size,
                           const std::function<void(std::size_t)>& resize,
                           const std::function<void(std::size_t, FieldVisitor&)>& fields) = 0;
-  // An array of texts.
+  // An array of strings.
   virtual void TextList(std::string_view key, std::vector<std::string>& values, const FieldInfo& info) = 0;
 
   // Reports `message` unless a condition over several keys holds. Ignored by visitors that do not parse.
   virtual void Require(std::string_view /*key*/, bool /*holds*/, const std::string& /*message*/) {}
 
-  // ---- conveniences over the above ----
+  // ---- helpers based on the methods above ----
   void Milliseconds(std::string_view key, std::chrono::milliseconds& value, FieldInfo info) {
     auto count = static_cast<std::int64_t>(value.count());
     info.unit = "ms";
--- a/src/config/show.cpp
+++ b/src/config/show.cpp
@@ -9,9 +9,10 @@
 namespace copperpoint::config {
 namespace {
 
-class Writer : public FieldVisitor {
+// Inserts the value of each key into a TOML table.
+class TomlWriter : public FieldVisitor {
  public:
-  explicit Writer(toml::table& table) : table_(table) {}
+  explicit TomlWriter(toml::table& table) : table_(table) {}
 
   void Number(std::string_view key, double& value, const FieldInfo&) override { table_.insert(key, value); }
   void Integer(std::string_view key, std::int64_t& value, const FieldInfo&) override {
@@ -30,7 +31,7 @@
   void Table(std::string_view key, std::string_view,
              const std::function<void(FieldVisitor&)>& fields) override {
     toml::table inner;
-    Writer writer(inner);
+    TomlWriter writer(inner);
     fields(writer);
     table_.insert(key, std::move(inner));
   }
@@ -40,7 +41,7 @@
     toml::array array;
     for (std::size_t i = 0; i < size; ++i) {
       toml::table inner;
-      Writer writer(inner);
+      TomlWriter writer(inner);
       fields(i, writer);
       array.push_back(std::move(inner));
     }
@@ -51,9 +52,10 @@
   toml::table& table_;
 };
 
-class Reference : public FieldVisitor {
+// Formats the table of one section; nested sections follow it.
+class ReferenceWriter : public FieldVisitor {
  public:
-  explicit Reference(std::string path) : path_(std::move(path)) {}
+  explicit ReferenceWriter(std::string path) : path_(std::move(path)) {}
 
   std::string Text() const {
     std::string text;
@@ -63,33 +65,33 @@
   }
 
   void Number(std::string_view key, double& value, const FieldInfo& info) override {
-    Row(key, fmt::format("{}", value), Range(info), info);
+    AddRow(key, fmt::format("{}", value), Range(info), info);
   }
   void Integer(std::string_view key, std::int64_t& value, const FieldInfo& info) override {
-    Row(key, fmt::format("{}", value), Range(info), info);
+    AddRow(key, fmt::format("{}", value), Range(info), info);
   }
   void Boolean(std::string_view key, bool& value, const FieldInfo& info) override {
-    Row(key, value ? "true" : "false", "true, false", info);
+    AddRow(key, value ? "true" : "false", "true, false", info);
   }
   void Text(std::string_view key, std::string& value, const std::vector<std::string>& choices,
             const FieldInfo& info) override {
-    Row(key, fmt::format("\"{}\"", value),
-        choices.empty() ? "text" : fmt::format("{}", fmt::join(choices, ", ")), info);
+    AddRow(key, fmt::format("\"{}\"", value),
+           choices.empty() ? "text" : fmt::format("{}", fmt::join(choices, ", ")), info);
   }
   void TextList(std::string_view key, std::vector<std::string>& values, const FieldInfo& info) override {
     const char* quote = values.empty() ? "" : "\"";
-    Row(key, fmt::format("[{}{}{}]", quote, fmt::join(values, "\", \""), quote), "array of texts", info);
+    AddRow(key, fmt::format("[{}{}{}]", quote, fmt::join(values, "\", \""), quote), "array of texts", info);
   }
   void Table(std::string_view key, std::string_view text,
              const std::function<void(FieldVisitor&)>& fields) override {
-    Inner(key, "[{}]", text, fields);
+    AddSection(key, "[{}]", text, fields);
   }
   void TableArray(std::string_view key, std::string_view text, std::size_t,
                   const std::function<void(std::size_t)>& resize,
                   const std::function<void(std::size_t, FieldVisitor&)>& fields) override {
     resize(0);
     resize(1);
-    Inner(key, "[[{}]]", text, [&](FieldVisitor& v) { fields(0, v); });
+    AddSection(key, "[[{}]]", text, [&](FieldVisitor& v) { fields(0, v); });
   }
 
  private:
@@ -98,12 +100,13 @@
     return info.max >= 1e12 ? fmt::format("{} or more{}{}", info.min, blank, info.unit)
                             : fmt::format("{} to {}{}{}", info.min, info.max, blank, info.unit);
   }
-  void Row(std::string_view key, const std::string& value, const std::string& range, const FieldInfo& info) {
+  void AddRow(std::string_view key, const std::string& value, const std::string& range,
+              const FieldInfo& info) {
     rows_ += fmt::format("| `{}` | `{}` | {} | {} |\n", key, value, range, info.text);
   }
-  void Inner(std::string_view key, fmt::string_view heading, std::string_view text,
-             const std::function<void(FieldVisitor&)>& fields) {
-    Reference inner(path_.empty() ? std::string(key) : fmt::format("{}.{}", path_, key));
+  void AddSection(std::string_view key, fmt::string_view heading, std::string_view text,
+                  const std::function<void(FieldVisitor&)>& fields) {
+    ReferenceWriter inner(path_.empty() ? std::string(key) : fmt::format("{}.{}", path_, key));
     fields(inner);
     inner_ += fmt::format("\n## `{}`\n\n{}\n\n{}", fmt::format(fmt::runtime(heading), inner.path_), text,
                           inner.Text());
@@ -117,7 +120,7 @@
 
 std::string FormatValues(const std::function<void(FieldVisitor&)>& describe) {
   toml::table root;
-  Writer writer(root);
+  TomlWriter writer(root);
   describe(writer);
   std::ostringstream out;
   out << toml::toml_formatter(root) << '\n';
@@ -125,7 +128,7 @@
 }
 
 std::string FormatReference(const std::function<void(FieldVisitor&)>& describe) {
-  Reference reference("");
+  ReferenceWriter reference("");
   describe(reference);
   return reference.Text();
 }
--- a/src/config/show.h
+++ b/src/config/show.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The other two readings of a described struct: its values as TOML, and its reference page.
+// Formats a struct that describes its keys: its values as TOML, and its reference page in Markdown.
 #ifndef COPPERPOINT_CONFIG_SHOW_H_
 #define COPPERPOINT_CONFIG_SHOW_H_
 
@@ -11,11 +11,11 @@
 
 namespace copperpoint::config {
 
-// TOML that reads back to the same values.
+// Returns TOML that reads back to the same values.
 std::string FormatValues(const std::function<void(FieldVisitor&)>& describe);
 
-// A Markdown table for each section, with key, default, range, unit and text. Of a list of tables the fields
-// of one item are shown, with the defaults of an item that says nothing.
+// Returns a Markdown table for each section, with key, default, range, unit and text. For an array of tables
+// it lists the fields of one item, with the defaults of an item that sets no key.
 std::string FormatReference(const std::function<void(FieldVisitor&)>& describe);
 
 }  // namespace copperpoint::config
--- a/src/log/event_names.h
+++ b/src/log/event_names.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The names of the log's events and fields that a reader of logs relies on: the proxy and the simulation
+// The names of log events and fields that programs reading the logs rely on: the proxy and the simulation
 // write them, and log_analysis counts them. docs/operations.md says what each event means.
 #ifndef COPPERPOINT_LOG_EVENT_NAMES_H_
 #define COPPERPOINT_LOG_EVENT_NAMES_H_
@@ -53,16 +53,15 @@
 
 inline constexpr std::string_view kBackend = "backend";
 inline constexpr std::string_view kCount = "count";
-inline constexpr std::string_view kDeadlineMs = "deadline_ms";  // from the request's arrival
+inline constexpr std::string_view kDeadlineMs = "deadline_ms";  // after the request's arrival
 inline constexpr std::string_view kDurationMs = "duration_ms";
-inline constexpr std::string_view kEndpoints = "endpoints";  // how many a list has
-inline constexpr std::string_view kFingerprint =
-    "fingerprint";  // what all retries of a logical request share
+inline constexpr std::string_view kEndpoints = "endpoints";      // number in the list
+inline constexpr std::string_view kFingerprint = "fingerprint";  // shared by all retries of a logical request
 inline constexpr std::string_view kId = "id";
 inline constexpr std::string_view kKind = "kind";
 inline constexpr std::string_view kOutcome = "outcome";  // of an attempt
 inline constexpr std::string_view kReason = "reason";
-inline constexpr std::string_view kRequest = "request";  // its number in this process
+inline constexpr std::string_view kRequest = "request";  // number of the request in this process
 inline constexpr std::string_view kResult = "result";    // of a request
 inline constexpr std::string_view kState = "state";
 inline constexpr std::string_view kText = "text";
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -39,7 +39,7 @@
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(seconds), ms % 1000);
 }
 
-// Text that could be taken for more than one value or line is quoted as JSON does it.
+// Appends `text`, as a JSON string if it could be mistaken for several values or lines.
 void AppendText(std::string& line, std::string_view text) {
   const bool plain = !text.empty() && std::none_of(text.begin(), text.end(), [](unsigned char c) {
     return c <= ' ' || c >= 0x7f || c == '"' || c == '=' || c == '\\';
@@ -51,8 +51,8 @@
   }
 }
 
-std::string Text(std::chrono::system_clock::time_point at, Level level, std::string_view event,
-                 std::initializer_list<Field> fields) {
+std::string FormatText(std::chrono::system_clock::time_point at, Level level, std::string_view event,
+                       std::initializer_list<Field> fields) {
   std::string line = Timestamp(at);
   line += ' ';
   line += NameOf(level);
@@ -75,8 +75,8 @@
   return line;
 }
 
-std::string Json(std::chrono::system_clock::time_point at, Level level, std::string_view event,
-                 std::initializer_list<Field> fields) {
+std::string FormatJson(std::chrono::system_clock::time_point at, Level level, std::string_view event,
+                       std::initializer_list<Field> fields) {
   nlohmann::ordered_json object{{"time", Timestamp(at)}, {"level", NameOf(level)}, {"event", event}};
   for (const Field& field : fields) {
     std::visit([&](const auto& value) { object[std::string(field.name)] = value; }, field.value);
@@ -101,7 +101,8 @@
 
 std::string FormatLine(Format format, std::chrono::system_clock::time_point at, Level level,
                        std::string_view event, std::initializer_list<Field> fields) {
-  return format == Format::kJson ? Json(at, level, event, fields) : Text(at, level, event, fields);
+  return format == Format::kJson ? FormatJson(at, level, event, fields)
+                                 : FormatText(at, level, event, fields);
 }
 
 class Logger::Output {
@@ -140,12 +141,12 @@
 
 bool Logger::Allowed(Level level, std::chrono::system_clock::time_point now) {
   const double elapsed = std::chrono::duration<double>(now - refilled_).count();
-  // The wall clock may step: back it earns nothing, forward a second's worth at the most.
+  // The wall clock may step: a step back adds no tokens, a step forward at most those of one second.
   tokens_ = std::min<double>(settings_.lines_per_s,
                              tokens_ + std::clamp(elapsed, 0.0, 1.0) * settings_.lines_per_s);
   refilled_ = now;
   if (level < Level::kError && tokens_ < 1) {
-    ++left_out_;
+    ++dropped_lines_;
     return false;
   }
   tokens_ = std::max(0.0, tokens_ - 1);
@@ -155,9 +156,9 @@
 void Logger::WriteLine(Level level, std::string_view event, std::initializer_list<Field> fields) {
   const auto now = now_();
   if (!Allowed(level, now)) return;
-  if (const std::int64_t left_out = std::exchange(left_out_, 0); left_out > 0)
+  if (const std::int64_t dropped_lines = std::exchange(dropped_lines_, 0); dropped_lines > 0)
     output_->Put(FormatLine(settings_.format, now, Level::kWarn, log::events::kLogLinesDropped,
-                            {{log::fields::kCount, left_out}}));
+                            {{log::fields::kCount, dropped_lines}}));
   output_->Put(FormatLine(settings_.format, now, level, event, fields));
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The program's log: each event has a name and typed fields. Lines go to standard error through spdlog, as
-// `TIME LEVEL EVENT key=value ...` or as one JSON object a line.
+// The process's log: each event has a name and typed fields. Lines go to standard error through spdlog, as
+// `TIME LEVEL EVENT key=value ...` or as one JSON object per line.
 //
-// A line whose level is off costs one comparison; its fields are views and are not formatted. A storm is
-// bounded: beyond `lines_per_s` (a bucket of one second's worth), lines of a level below error are left out
-// and counted, and the next line that goes out is preceded by `log_lines_dropped count=N`.
+// A line below the configured level costs one comparison; its fields are views and are not formatted. The
+// rate is limited by a token bucket of one second's lines: beyond `lines_per_s`, lines of a level below error
+// are dropped and counted, and the next line that is written is preceded by `log_lines_dropped count=N`.
 #ifndef COPPERPOINT_LOG_LOG_H_
 #define COPPERPOINT_LOG_LOG_H_
 
@@ -28,7 +28,7 @@
 enum class Level { kDebug, kInfo, kWarn, kError, kOff };
 enum class Format { kText, kJson };
 
-// What they are called in files and on the command line.
+// The names of the levels and formats in configuration files and on the command line.
 const std::vector<std::pair<std::string, Level>>& LevelNames();
 const std::vector<std::pair<std::string, Format>>& FormatNames();
 
@@ -40,7 +40,7 @@
   void Describe(config::FieldVisitor& v);
 };
 
-// Names are snake_case; a value of text may hold anything.
+// One field of a line. Names are snake_case; text values may contain any bytes and are not copied.
 struct Field {
   using Value = std::variant<std::string_view, double, std::int64_t, bool>;
 
@@ -62,13 +62,13 @@
   Value value;
 };
 
-// Takes finished lines, without their ends.
+// Receives each formatted line, without a line end. `Now` returns the time that lines are stamped with.
 using Sink = std::function<void(const std::string& line)>;
 using Now = std::function<std::chrono::system_clock::time_point()>;
 
 class Logger {
  public:
-  // To standard error, at the system's clock.
+  // Writes to standard error and reads the system clock.
   Logger();
   Logger(Settings settings, Sink sink, Now now);
   ~Logger();
@@ -106,17 +106,17 @@
   Now now_;
   double tokens_ = 0;
   std::chrono::system_clock::time_point refilled_{};
-  std::int64_t left_out_ = 0;
+  std::int64_t dropped_lines_ = 0;
 };
 
-// Sixteen hexadecimal digits: numbers beyond 53 bits don't survive every reader of JSON.
+// `number` as 16 hexadecimal digits, since many JSON readers lose the precision of integers over 53 bits.
 std::string Hex(std::uint64_t number);
 
-// One line in the given form.
+// Returns one line in `format`, without a line end.
 std::string FormatLine(Format format, std::chrono::system_clock::time_point at, Level level,
                        std::string_view event, std::initializer_list<Field> fields);
 
-// The program's one logger.
+// The logger that the whole process shares.
 Logger& Global();
 
 }  // namespace copperpoint::log
--- a/src/log_analysis/log_counter.cpp
+++ b/src/log_analysis/log_counter.cpp
@@ -13,7 +13,7 @@
 namespace fields = log::fields;
 
 constexpr double kMsPerSecond = 1000;
-constexpr std::string_view kCachedList = "cached";  // the list that a process starts with
+constexpr std::string_view kCachedList = "cached";  // kind of the list that a process starts with
 
 std::int64_t SecondOf(const LogRecord& record) {
   return static_cast<std::int64_t>(std::floor(record.at_ms / kMsPerSecond));
@@ -37,7 +37,7 @@
   traced_.clear();
 }
 
-// A process that ended, or a log that did, before discovery had sent it a list.
+// Counts the current process as one without a list if discovery had sent it none when it or its log ended.
 void LogCounter::EndProcess() {
   without_list_ += started_ms_ >= 0 ? 1 : 0;
   started_ms_ = -1;
@@ -123,7 +123,7 @@
   }
 }
 
-// "backend N ejected: ..."
+// Counts an ejection if `text` is "backend N ejected: ..."; other decisions are not counted.
 void LogCounter::CountDecision(std::string_view text) {
   constexpr std::string_view kBackend = "backend ";
   const std::size_t verb = text.find(" ejected");
--- a/src/log_analysis/log_counter.h
+++ b/src/log_analysis/log_counter.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a fleet of proxies did, counted over their logs in one pass: how requests and attempts ended, by
-// second; what each backend was sent, and a warming up one beside the others; connections, polls of
-// discovery, the age of the first endpoint list. No I/O. Memory is bounded by seconds times reasons and by
-// backends, not by lines.
+// Counts what a fleet of proxies did, in one pass over their logs: how requests and attempts ended, by
+// second; what each backend was sent, separately while it was warming up; connections, polls of discovery
+// and the time to the first endpoint list. Does no I/O. Memory grows with the number of seconds times reasons
+// and with the number of backends, not with the number of lines.
 #ifndef COPPERPOINT_LOG_ANALYSIS_LOG_COUNTER_H_
 #define COPPERPOINT_LOG_ANALYSIS_LOG_COUNTER_H_
 
@@ -20,7 +20,7 @@
 
 namespace copperpoint::log_analysis {
 
-// Occurrences by name.
+// Number of occurrences by name.
 using Counts = std::map<std::string, std::int64_t, std::less<>>;
 
 struct CountOptions {
@@ -41,7 +41,7 @@
 struct LoadCounts {
   std::int64_t attempts = 0;
   double work_ms = 0;
-  std::unordered_set<std::string> backends;  // that were sent something
+  std::unordered_set<std::string> backends;  // that were sent at least one attempt
 };
 
 struct SecondCounts {
@@ -50,22 +50,22 @@
   LoadCounts warm, slow_start;
 };
 
-// Owns all counts. Lines of one proxy come in the order they were written; proxies in any order, one after
-// the other.
+// Owns all counts. The lines of one proxy are added in the order in which they were written; proxies are
+// added one after the other, in any order.
 class LogCounter {
  public:
   static constexpr std::size_t kMaxTraceLines = 10000;
 
   explicit LogCounter(CountOptions options) : options_(std::move(options)) {}
 
-  // The lines that follow are of this proxy.
+  // The lines added from now on are those of `proxy`.
   void StartProxy(std::string proxy);
   void AddLine(std::string_view line);
 
   std::int64_t proxies() const { return proxies_; }
   std::int64_t lines() const { return lines_; }
-  std::int64_t unreadable() const { return unreadable_; }        // lines that are not of a proxy's log
-  std::int64_t dropped_lines() const { return dropped_lines_; }  // that proxies left out, over their limit
+  std::int64_t unreadable() const { return unreadable_; }        // lines that are not from a proxy's log
+  std::int64_t dropped_lines() const { return dropped_lines_; }  // dropped by proxies over their line limit
   const std::map<std::int64_t, SecondCounts>& seconds() const { return seconds_; }  // by Unix time
   const std::map<std::string, BackendCounts>& backends() const { return backends_; }
   Counts Requests() const;
@@ -74,11 +74,11 @@
   std::int64_t discovery_polls() const { return discovery_polls_; }
   std::int64_t discovery_failures() const { return discovery_failures_; }
   std::int64_t ejections() const { return ejections_; }
-  // From a process's start to its first list from discovery, for each process that got one.
+  // Time from a process's start to its first list from discovery, for each process that received one.
   const std::vector<double>& first_list_after_ms() const { return first_list_after_ms_; }
-  // Processes that got none.
+  // Number of processes that received no list from discovery.
   std::int64_t without_list() const { return without_list_ + (started_ms_ >= 0 ? 1 : 0); }
-  // The lines about CountOptions::request by time, each preceded by its proxy.
+  // The lines about CountOptions::request in order of time, each preceded by the name of its proxy.
   std::vector<std::string> Trace() const;
 
  private:
@@ -95,8 +95,8 @@
   CountOptions options_;
   std::string proxy_;
   std::unordered_map<std::string, double> up_since_;  // of backends, as this proxy was notified; 0: long ago
-  std::unordered_set<std::string> traced_;            // this proxy's numbers of the requests that are traced
-  double started_ms_ = -1;  // start of this proxy's process while it has no list; else below 0
+  std::unordered_set<std::string> traced_;            // numbers, in this proxy, of the traced requests
+  double started_ms_ = -1;  // start of this proxy's process while it has no list; else negative
   std::map<std::int64_t, SecondCounts> seconds_;
   std::map<std::string, BackendCounts> backends_;
   std::vector<std::pair<double, std::string>> trace_;
--- a/src/log_analysis/log_record.cpp
+++ b/src/log_analysis/log_record.cpp
@@ -54,7 +54,7 @@
   return record;
 }
 
-// Removes the word up to the next space, and that space, from `rest`.
+// Removes the word up to the next space, and that space, from `rest`, and returns the word.
 std::string_view TakeWord(std::string_view& rest) {
   const std::size_t end = std::min(rest.find(' '), rest.size());
   const std::string_view word = rest.substr(0, end);
@@ -62,7 +62,7 @@
   return word;
 }
 
-// Removes a value from `rest`; one in quotation marks is text as JSON writes it.
+// Removes a value from `rest` and returns it; a quoted value is a JSON string. Nullopt if it is malformed.
 std::optional<std::string> TakeValue(std::string_view& rest) {
   if (rest.empty() || rest.front() != '"') return std::string(TakeWord(rest));
   std::size_t end = 1;
--- a/src/log_analysis/log_record.h
+++ b/src/log_analysis/log_record.h
@@ -17,14 +17,14 @@
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
 
-  // The value of a field; empty if there is none.
+  // The value of a field; empty if the record has no such field.
   std::string_view Text(std::string_view name) const;
-  // The value of a field as a number; `fallback` if there is none or it is no number.
+  // The value of a field as a number; `fallback` if the field is absent or not a number.
   double Number(std::string_view name, double fallback = 0) const;
 };
 
-// Nothing if the line is not one of a proxy's log. What a collector of logs puts before the line is skipped.
-// Lines of older versions come with today's names.
+// Returns nullopt if `line` is not from a proxy's log. A prefix added by a log collector is skipped. The
+// names of older versions are replaced by the current ones.
 std::optional<LogRecord> ParseLine(std::string_view line);
 
 }  // namespace copperpoint::log_analysis
--- a/src/log_analysis/log_report.cpp
+++ b/src/log_analysis/log_report.cpp
@@ -13,13 +13,13 @@
 
 constexpr std::size_t kMaxBackendsShown = 12;
 
-std::int64_t Get(const Counts& counts, std::string_view name) {
+std::int64_t CountOf(const Counts& counts, std::string_view name) {
   const auto found = counts.find(name);
   return found == counts.end() ? 0 : found->second;
 }
 
-// All whose name is `result`, or begins with it and a colon.
-std::int64_t GetAll(const Counts& counts, const std::string& result) {
+// The sum of all counts whose name is `result` or begins with `result` and a colon.
+std::int64_t CountWithReasons(const Counts& counts, const std::string& result) {
   std::int64_t sum = 0;
   for (const auto& [name, count] : counts) {
     if (name == result || name.starts_with(result + ":")) sum += count;
@@ -27,7 +27,7 @@
   return sum;
 }
 
-// Nearest rank; 0 of no values. `fraction` is 0 to 1.
+// Percentile by nearest rank; 0 if there are no values. `fraction` is from 0 to 1.
 double Percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
@@ -42,9 +42,10 @@
   const LoadCounts &warm = counts.warm, &slow_start = counts.slow_start;
   return fmt::format(
       "{:6} {:8} {:8} {:7} | {:11} {:7} {:7} {:7} {:8} {:7} | {:6.1f} {:6.0f}  {:6.1f} {:6.0f}\n", second,
-      Get(counts.requests, "served"), GetAll(counts.requests, "rejected"), GetAll(counts.requests, "failed"),
-      Get(attempts, "success"), Get(attempts, "timeout"), Get(attempts, "connect_failure"),
-      Get(attempts, "connection_reset"), Get(attempts, "backend_rejected"), Get(attempts, "server_error"),
+      CountOf(counts.requests, "served"), CountWithReasons(counts.requests, "rejected"),
+      CountWithReasons(counts.requests, "failed"), CountOf(attempts, "success"), CountOf(attempts, "timeout"),
+      CountOf(attempts, "connect_failure"), CountOf(attempts, "connection_reset"),
+      CountOf(attempts, "backend_rejected"), CountOf(attempts, "server_error"),
       Mean(static_cast<double>(warm.attempts), warm.backends.size()),
       Mean(warm.work_ms, warm.backends.size()),
       Mean(static_cast<double>(slow_start.attempts), slow_start.backends.size()),
@@ -60,14 +61,14 @@
 std::string ConnectionsLine(const LogCounter& counter) {
   std::int64_t max = 0;
   for (const auto& [name, backend] : counter.backends()) max = std::max(max, backend.connections);
-  return fmt::format("connections opened: {}, {:.1f} a backend, {} at most\n", counter.connections(),
+  return fmt::format("connections opened: {}, {:.1f} per backend, {} at most to one\n", counter.connections(),
                      Mean(static_cast<double>(counter.connections()), counter.backends().size()), max);
 }
 
 std::string DiscoveryLine(const LogCounter& counter) {
   return fmt::format(
-      "polls of discovery: {}, {} failed; first list after {:.0f} ms at the median, {:.0f} for 95%; none for "
-      "{}\n",
+      "polls of discovery: {}, {} failed; first list after {:.0f} ms (median), {:.0f} ms (p95); "
+      "{} processes without one\n",
       counter.discovery_polls(), counter.discovery_failures(), Percentile(counter.first_list_after_ms(), 0.5),
       Percentile(counter.first_list_after_ms(), 0.95), counter.without_list());
 }
@@ -76,7 +77,7 @@
   std::vector<const std::pair<const std::string, BackendCounts>*> backends;
   for (const auto& backend : counter.backends()) backends.push_back(&backend);
   const auto failed = [](const BackendCounts& counts) {
-    return counts.attempts - Get(counts.outcomes, "success");
+    return counts.attempts - CountOf(counts.outcomes, "success");
   };
   std::sort(backends.begin(), backends.end(),
             [&](const auto* a, const auto* b) { return failed(a->second) > failed(b->second); });
@@ -130,7 +131,7 @@
 
 std::string TableReport(const LogCounter& counter) {
   std::string out =
-      fmt::format("{} proxies, {} lines, {} of them not of a proxy's log, {} dropped by proxies\n",
+      fmt::format("{} proxies, {} lines, {} of them not from a proxy's log, {} dropped by proxies\n",
                   counter.proxies(), counter.lines(), counter.unreadable(), counter.dropped_lines());
   out +=
       "second   served rejected  failed | attempts ok timeout connect   reset rejected   error | to each "
--- a/src/log_analysis/log_report.h
+++ b/src/log_analysis/log_report.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a LogCounter has counted, as a table for people and as JSON for programs.
+// Formats the counts of a LogCounter as a table for people and as JSON for programs.
 #ifndef COPPERPOINT_LOG_ANALYSIS_LOG_REPORT_H_
 #define COPPERPOINT_LOG_ANALYSIS_LOG_REPORT_H_
 
@@ -11,10 +11,10 @@
 
 namespace copperpoint::log_analysis {
 
-// The names of the JSON's members are those of every version.
+// The names of the JSON's members are the same in all versions, since programs read them.
 nlohmann::ordered_json JsonReport(const LogCounter& counter);
 
-// A line a second, then the sums and the backends with the most failed attempts.
+// Returns one line per second, then the sums and the backends with the most failed attempts.
 std::string TableReport(const LogCounter& counter);
 
 }  // namespace copperpoint::log_analysis
--- a/src/log_analysis/old_names.h
+++ b/src/log_analysis/old_names.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Logs of versions that used other names: their events, fields and values are read as today's.
+// Replaces the names of events, fields and values in logs of older versions by the current ones.
 #ifndef COPPERPOINT_LOG_ANALYSIS_OLD_NAMES_H_
 #define COPPERPOINT_LOG_ANALYSIS_OLD_NAMES_H_
 
@@ -8,8 +8,8 @@
 
 namespace copperpoint::log_analysis {
 
-// Gives an event of an older version, its fields and their values the names of today. Leaves other records as
-// they are.
+// Replaces the names of an event of an older version, of its fields and of their values by the current ones.
+// Other records are left unchanged.
 void UseCurrentNames(LogRecord* record);
 
 }  // namespace copperpoint::log_analysis
