--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -27,7 +27,7 @@
 boost::asio::ip::tcp::endpoint EndpointOf(const std::string& address) {
   boost::asio::ip::udp::endpoint parsed;
   if (!peers::ParseAddress(address, &parsed))
-    throw std::invalid_argument("'" + address + "' is no ADDRESS:PORT");
+    throw std::invalid_argument("admin address '" + address + "' is invalid; expected ADDRESS:PORT");
   return {parsed.address(), parsed.port()};
 }
 
@@ -63,14 +63,14 @@
   const auto& response = parser.get();
   if (response.result() != http::status::ok) {
     const std::string first_line = response.body().substr(0, response.body().find('\n'));
-    throw std::runtime_error(fmt::format("{}: {} {}", address, response.result_int(), first_line));
+    throw std::runtime_error(fmt::format("{}: status {}: {}", address, response.result_int(), first_line));
   }
   return response.body();
 }
 
 nlohmann::ordered_json GetAdminJson(const std::string& address, const std::string& target) {
   auto json = nlohmann::ordered_json::parse(CallAdmin(address, target), nullptr, /*allow_exceptions=*/false);
-  if (json.is_discarded()) throw std::runtime_error(address + ": not JSON");
+  if (json.is_discarded()) throw std::runtime_error(address + ": the response is not JSON");
   return json;
 }
 
--- a/src/cli/admin_client.h
+++ b/src/cli/admin_client.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Calls of a proxy's admin interface.
+// HTTP calls to a proxy's admin interface.
 #ifndef COPPERPOINT_CLI_ADMIN_CLIENT_H_
 #define COPPERPOINT_CLI_ADMIN_CLIENT_H_
 
@@ -20,7 +20,8 @@
 std::string CallAdmin(const std::string& address, const std::string& target,
                       AdminMethod method = AdminMethod::kGet, const std::string& body = "");
 
-// The JSON that a GET of `target` answers. Throws as CallAdmin, and std::runtime_error if it is not JSON.
+// Returns the JSON that a GET of `target` responds with. Throws as CallAdmin, and std::runtime_error if it is
+// not JSON.
 nlohmann::ordered_json GetAdminJson(const std::string& address, const std::string& target);
 
 }  // namespace copperpoint::cli
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -7,7 +7,7 @@
 namespace copperpoint::cli {
 namespace {
 
-// The longest path of commands, as in "simulate run".
+// The number of words in the longest command, as in "simulate run".
 constexpr std::size_t kMaxCommandDepth = 2;
 
 struct RenamedWord {
@@ -37,7 +37,7 @@
   return word;
 }
 
-// `argument` is an option, perhaps with its value behind '='.
+// `argument` is an option, with or without a value after '='.
 std::string CurrentOption(const std::string& path, const std::string& argument) {
   const std::string name = argument.substr(0, argument.find('='));
   for (const RenamedWord& renamed : kRenamedOptions) {
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The words of the command line. Commands and options that were renamed are understood under their old names
-// too, which help texts do not list; the table of these names is in command_line.cpp.
+// Replaces old names on the command line. Commands and options that were renamed are still accepted under
+// their old names, which help texts do not list; command_line.cpp has the table of these names.
 #ifndef COPPERPOINT_CLI_COMMAND_LINE_H_
 #define COPPERPOINT_CLI_COMMAND_LINE_H_
 
@@ -10,8 +10,8 @@
 
 namespace copperpoint::cli {
 
-// The arguments after the program's name, with each old name of a command or option replaced by the one in
-// use. Arguments behind "--" stay as they are.
+// Returns the arguments, which come after the program's name, with each old name of a command or option
+// replaced by the current one. Arguments after "--" are left unchanged.
 std::vector<std::string> CurrentArguments(std::vector<std::string> arguments);
 
 }  // namespace copperpoint::cli
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -13,7 +13,7 @@
   kSuccess = 0,
   kFailure = 1,  // the run found a failure or a violated rule, or could not continue
   kUsage = 2,    // wrong usage or configuration
-  kInvalid = 3,  // the fault test itself ran late: its result means nothing
+  kInvalid = 3,  // the fault test's own process ran late, so its result is void
 };
 
 // Each adds one command to `app`. `exit_code` is set when the command has run, and must outlive the parsing;
--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint config`: checks and prints the operator's file, and the reference page of its keys.
+// `copperpoint config`: checks and prints the operator's file, and prints the reference page of its keys.
 #include <iostream>
 #include <memory>
 #include <string>
@@ -18,15 +18,15 @@
 
 void CheckOperatorFile(const std::string& file) {
   config::LoadFile<proxy::OperatorSettings>(file);
-  std::cout << file << ": good\n";
+  std::cout << file << ": valid\n";
 }
 
-// Reads the platform's JSON as `serve` does, which finds its path in the environment.
+// Reads the platform's JSON as `serve` does; the path is passed in an environment of its own.
 void CheckPlatformFile(const std::string& file) {
   proxy::LoadConfig([&](const char* name) -> const char* {
     return std::string_view(name) == "ROUTER_CONFIG" ? file.c_str() : nullptr;
   });
-  std::cout << file << ": good\n";
+  std::cout << file << ": valid\n";
 }
 
 void PrintValues(const std::string& file) {
@@ -43,7 +43,7 @@
 void AddCheck(CLI::App* config) {
   auto options = std::make_shared<CheckOptions>();
   CLI::App* check =
-      config->add_subcommand("check", "Print every error of a file; exit code 2 if there is one");
+      config->add_subcommand("check", "Check files and print all errors; exit code 2 if there are any");
   check->footer("Example: copperpoint config check deploy/copperpoint.toml --platform proxy.json");
   CLI::Option* file = check->add_option("FILE", options->operator_file, "The operator's file");
   CLI::Option* platform = check->add_option("--platform", options->platform_file, "The platform's JSON");
@@ -64,7 +64,8 @@
 }
 
 void AddReference(CLI::App* config) {
-  CLI::App* reference = config->add_subcommand("reference", "Print the page of all keys, in Markdown");
+  CLI::App* reference =
+      config->add_subcommand("reference", "Print the reference page of all keys, in Markdown");
   reference->footer("Example: copperpoint config reference > docs/configuration.md");
   reference->callback([] { std::cout << proxy::ConfigurationReference(); });
 }
--- a/src/cli/demo_command.cpp
+++ b/src/cli/demo_command.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint demo`: a few proxies, backends and clients on loopback, with calls that inject faults.
+// `copperpoint demo`: runs a few proxies, backends and clients on loopback and prints calls that inject
+// faults.
 #include <fmt/format.h>
 
 #include <CLI/App.hpp>
@@ -51,7 +52,7 @@
       second.name, live.control, second.name, second.name, live.control, first.name, first.name);
 }
 
-// One line for the last second.
+// Prints one line of figures for the last second.
 void PrintSecond(const fault_testing::Live& live) {
   std::string members_seen;
   std::string requests_by_backend;
@@ -64,7 +65,7 @@
   for (const std::uint64_t count : live.runs) requests_by_backend += fmt::format("{:>4}", count);
   std::cout
       << fmt::format(
-             "{:5.0f} s  served {:3} of {:3}, refused {}  | backends{}, ejections {} | proxies up {}, each "
+             "{:5.0f} s  served {:3} of {:3}, rejected {}  | backends{}, ejections {} | proxies up {}, each "
              "sees {}, {} view{}\n",
              live.at_s, live.served, live.asked, live.refused, requests_by_backend, live.ejections, running,
              members_seen, live.views, live.views == 1 ? "" : "s")
@@ -86,7 +87,7 @@
     PrintMembers(live);
     PrintExampleCalls(live);
   };
-  std::cout << fmt::format("Starting {} proxies and {} backends; it ends by itself after {:.0f} s.\n",
+  std::cout << fmt::format("Starting {} proxies and {} backends; the demo ends after {:.0f} s.\n",
                            options.proxies, options.backends, options.length_s)
             << std::flush;
   const fault_testing::ProcessOutcome result = fault_testing::PlayProcesses(plan, run);
@@ -104,7 +105,7 @@
   demo->add_option("--proxies", options->proxies, "Number of proxies")->check(CLI::Range(1, 100));
   demo->add_option("--backends", options->backends, "Number of backends")->check(CLI::Range(1, 100));
   demo->add_option("--seconds", options->length_s, "Length")->check(CLI::Range(4.0, 86400.0));
-  demo->add_option("--rate", options->rate_per_s, "Requests a second over all proxies")
+  demo->add_option("--rate", options->rate_per_s, "Requests per second over all proxies")
       ->check(CLI::Range(1.0, 2000.0));
   demo->callback([options, exit_code] { *exit_code = RunDemo(*options); });
 }
--- a/src/cli/fault_test_command.cpp
+++ b/src/cli/fault_test_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint fault-test`: many processes of the program, and faults between them (docs/membership.md).
+// `copperpoint fault-test`: runs many processes of the program with faults between them (docs/membership.md).
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <algorithm>
@@ -33,7 +33,7 @@
 
 void AddFaultTestListCommand(CLI::App& fault_test) {
   auto folder = std::make_shared<std::string>(kDefaultFolder);
-  CLI::App* list = fault_test.add_subcommand("list", "Print the fault tests of a folder, a line each");
+  CLI::App* list = fault_test.add_subcommand("list", "Print the fault tests of a folder, one per line");
   list->footer("Example: copperpoint fault-test list lab/rig");
   list->add_option("FOLDER", *folder, "Folder of fault tests")->check(CLI::ExistingDirectory);
   list->callback([folder] { ListPlans(*folder); });
--- a/src/cli/fault_test_plot_command.cpp
+++ b/src/cli/fault_test_plot_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint fault-test plot`: results of `fault-test run --json` side by side.
+// `copperpoint fault-test plot`: plots results of `fault-test run --json` side by side.
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <iostream>
@@ -31,28 +31,35 @@
   std::string output_folder;
 };
 
-// The runs of one file, which has at least one.
+// One result file, which has at least one run.
 struct ResultFile {
   std::string label;
   Json runs;
 };
 
 struct FaultTestCharts {
-  Chart spread{"spread", "How an end becomes known", "seconds after it", "share that knows", {}, {}};
-  Chart views{"views", "Different views among the living", "seconds", "views", {}, {}};
+  Chart spread{"spread",
+               "Spread of the news that a member ended",
+               "seconds after its end",
+               "share of members that know",
+               {},
+               {}};
+  Chart views{"views", "Different views among running members", "seconds", "views", {}, {}};
   std::map<std::string, Chart> figures;  // a bar for each file, by the figure's name
 };
 
 ResultFile ReadResultFile(const std::string& file) {
   const Json json = Json::parse(config::ReadFileContents(file), nullptr, /*allow_exceptions=*/false);
-  if (!json.is_object()) throw std::runtime_error(file + ": is no result of fault-test run --json");
+  if (!json.is_object())
+    throw std::runtime_error(file + ": expected a JSON object written by fault-test run --json");
   Json runs = json.contains("runs") ? json["runs"] : Json::array({json});
   if (runs.empty() || !runs[0].contains("properties"))
-    throw std::runtime_error(file + ": is no result of fault-test run --json");
+    throw std::runtime_error(file +
+                             ": expected a result of fault-test run --json, with 'properties' of each run");
   return {json.value("label", file), std::move(runs)};
 }
 
-// The share of the other members that knew of a member's end, over the time since.
+// The share of the other members that knew of a member's end, over the time since that end.
 Curve SpreadCurve(const std::string& label, const Json& run) {
   Curve curve{label, {{0, 0}}};
   const Json& spread = run["spread"];
@@ -125,7 +132,8 @@
   if (!collected.spread.curves.empty()) charts.push_back(std::move(collected.spread));
   if (!collected.views.curves.empty()) charts.push_back(std::move(collected.views));
   for (auto& [name, chart] : collected.figures) charts.push_back(std::move(chart));
-  std::cout << simulation::WriteCharts(charts, "The rig: " + options.files.front(), "", options.output_folder)
+  std::cout << simulation::WriteCharts(charts, "Fault test: " + options.files.front(), "",
+                                       options.output_folder)
             << '\n';
 }
 
@@ -133,9 +141,9 @@
 
 void AddFaultTestPlotCommand(CLI::App& fault_test) {
   auto options = std::make_shared<PlotOptions>();
-  CLI::App* plot = fault_test.add_subcommand(
-      "plot",
-      "Plot results of `fault-test run --json` side by side: how an end spreads, views over time, figures");
+  CLI::App* plot = fault_test.add_subcommand("plot",
+                                             "Plot results of `fault-test run --json` side by side: how the "
+                                             "news of an end spreads, views over time, figures");
   plot->footer("Example: copperpoint fault-test plot with.json without.json --out found/suspicion");
   plot->add_option("RESULTS", options->files, "Files that `fault-test run --json` wrote")
       ->required()
--- a/src/cli/fault_test_run_command.cpp
+++ b/src/cli/fault_test_run_command.cpp
@@ -59,7 +59,7 @@
   if (mechanism == "sync") options->with_anti_entropy = false;
 }
 
-// The command that repeats the run of one seed.
+// Returns the command that repeats the run of one seed.
 std::string ReplayCommand(const FaultTestOptions& options, std::uint64_t seed) {
   std::string line = "copperpoint fault-test run " + options.file + " --seed " + std::to_string(seed);
   if (options.members > 0) line += " --members " + std::to_string(options.members);
@@ -69,7 +69,7 @@
   return line + (options.in_virtual_time ? " --virtual" : "");
 }
 
-// Names this result in plots.
+// Returns the name of this result in plots.
 std::string Label(const FaultTestOptions& options) {
   std::string label = std::filesystem::path(options.file).stem().string();
   if (options.members > 0) label += ", " + std::to_string(options.members);
@@ -108,7 +108,7 @@
   return failed;
 }
 
-// The spread of one property's figures over the runs, in one line.
+// Prints the distribution of one property's figures over the runs, in one line.
 void PrintProperty(const Json& runs, std::size_t index) {
   const Json& property = runs[0]["properties"][index];
   std::cout << property["kind"].get<std::string>();
@@ -118,7 +118,7 @@
     for (const Json& run : runs) values.push_back(run["properties"][index][name].get<double>());
     std::cout << "  " << name << ' ' << fault_testing::Quantile(values, kMedian);
     if (values.size() > 1) {
-      std::cout << " (p99 " << fault_testing::Quantile(values, kHighPercentile) << ", most "
+      std::cout << " (p99 " << fault_testing::Quantile(values, kHighPercentile) << ", max "
                 << fault_testing::Quantile(values, kMaximum) << ')';
     }
   }
@@ -141,14 +141,15 @@
   return failed > 0 ? kFailure : kSuccess;
 }
 
-// Throws std::invalid_argument on what only virtual time can play.
+// Throws std::invalid_argument if the test can be played in virtual time only.
 void CheckPlayableAsProcesses(const FaultTestOptions& options, const fault_testing::Plan& plan) {
   if (plan.members > kMaxProcesses) {
-    throw std::invalid_argument(options.file + ": " + std::to_string(plan.members) + " members; at most " +
-                                std::to_string(kMaxProcesses) +
-                                " are played as processes (--members, --virtual)");
+    throw std::invalid_argument(options.file + ": " + std::to_string(plan.members) +
+                                " members; expected at most " + std::to_string(kMaxProcesses) +
+                                " as processes: give a smaller --members, or --virtual");
   }
-  if (options.seeds != 1) throw std::invalid_argument("--seeds goes with --virtual");
+  if (options.seeds != 1)
+    throw std::invalid_argument("--seeds requires --virtual: processes run one seed at a time");
 }
 
 int PrintProcessOutcome(const FaultTestOptions& options, const fault_testing::ProcessOutcome& result) {
@@ -159,7 +160,7 @@
   const fault_testing::Outcome& outcome = result.outcome;
   for (const auto& property : outcome.json["properties"]) std::cout << property.dump() << '\n';
   if (result.is_void) {
-    std::cout << options.file << ": void, the rig itself was late by "
+    std::cout << options.file << ": void, because the fault test's own process was late by "
               << outcome.json["rig_late_ms"].get<double>() << " ms\n";
     return kInvalid;
   }
@@ -194,15 +195,16 @@
 }
 
 void AddSizeOptions(CLI::App* run, FaultTestOptions* options) {
-  run->add_option("--members", options->members, "Number of proxies, overrides the file's")
+  run->add_option("--members", options->members, "Number of proxies; overrides the file's")
       ->check(CLI::Range(1, 10000));
-  run->add_option("--backends", options->backends, "Number of backends, overrides the file's")
+  run->add_option("--backends", options->backends, "Number of backends; overrides the file's")
       ->check(CLI::Range(1, 500));
 }
 
 void AddVirtualTimeOptions(CLI::App* run, FaultTestOptions* options) {
-  run->add_flag("--virtual", options->in_virtual_time, "In virtual time, with the same protocol objects");
-  run->add_option("--seeds", options->seeds, "In virtual time: so many seeds, from --seed on")
+  run->add_flag("--virtual", options->in_virtual_time,
+                "Run in virtual time instead of processes, with the same protocol code");
+  run->add_option("--seeds", options->seeds, "In virtual time: number of seeds, from --seed on")
       ->check(CLI::Range(1, 1000000));
   run->add_option("--threads", options->threads, "Concurrent seeds; 0: one for each core")
       ->check(CLI::NonNegativeNumber);
@@ -215,11 +217,11 @@
 }
 
 void AddProcessOptions(CLI::App* run, FaultTestOptions* options) {
-  run->add_flag("--alone", options->alone, "Processes without membership, for comparison");
-  run->add_option("--other", options->other_program, "The program that `replace` puts in place of this one")
+  run->add_flag("--alone", options->alone, "Run the processes without membership, for comparison");
+  run->add_option("--other", options->other_program, "The program that `replace` starts instead of this one")
       ->check(CLI::ExistingFile);
   run->add_option("--other-settings", options->other_settings,
-                  "Lines that version v2 has in the operator's file besides v1's")
+                  "File with the lines that version v2 adds to the operator's file")
       ->check(CLI::ExistingFile);
   run->add_option("--logs", options->log_folder, "Write the members' logs into this folder");
 }
--- a/src/cli/fleet_check_command.cpp
+++ b/src/cli/fleet_check_command.cpp
@@ -21,7 +21,7 @@
 namespace copperpoint::cli {
 namespace {
 
-// Of one member: the proxies that see it in the same status, incarnation and address.
+// For one member: the proxies that see it, by the status, incarnation and address in which they see it.
 using ObserversByState = std::map<std::string, std::vector<std::string>>;
 
 struct FleetViews {
@@ -59,16 +59,16 @@
   return views;
 }
 
-// Whether all observers see the member in one state; prints the states otherwise.
+// Returns whether all observers see the member in the same state; prints the states if not.
 bool CheckMember(const std::string& member, const ObserversByState& states, std::size_t observer_count) {
   std::size_t seen_by = 0;
   for (const auto& [state, observers] : states) seen_by += observers.size();
   if (states.size() == 1 && seen_by == observer_count) return true;
   std::cout << member << ':';
   for (const auto& [state, observers] : states)
-    std::cout << fmt::format(" {} for {};", state, fmt::join(observers, " "));
+    std::cout << fmt::format(" {} according to {};", state, fmt::join(observers, " "));
   if (seen_by < observer_count)
-    std::cout << fmt::format(" not there for {} of {}", observer_count - seen_by, observer_count);
+    std::cout << fmt::format(" unknown to {} of {} proxies", observer_count - seen_by, observer_count);
   std::cout << '\n';
   return false;
 }
@@ -79,7 +79,7 @@
   for (const auto& [member, states] : views.members)
     failures += !CheckMember(member, states, views.observers.size());
   if (failures > 0) return kFailure;
-  std::cout << views.observers.size() << " proxies have one view of " << views.members.size() << " members\n";
+  std::cout << views.observers.size() << " proxies agree on " << views.members.size() << " members\n";
   return kSuccess;
 }
 
--- a/src/cli/fleet_count_command.cpp
+++ b/src/cli/fleet_count_command.cpp
@@ -37,12 +37,12 @@
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     if (entry.is_regular_file()) files.push_back(entry.path());
   }
-  if (files.empty()) throw std::invalid_argument(folder + ": no files in it");
+  if (files.empty()) throw std::invalid_argument(folder + ": no log files in this folder");
   std::sort(files.begin(), files.end());
   return files;
 }
 
-// Throws std::invalid_argument if a file can't be read or no line is of a proxy's log.
+// Throws std::invalid_argument if a file can't be read or no line is from a proxy's log.
 void CountLogs(const std::string& folder, LogCounter* counter) {
   for (const auto& file : LogFiles(folder)) {
     std::ifstream in(file, std::ios::binary);
@@ -51,10 +51,10 @@
     for (std::string line; std::getline(in, line);) counter->AddLine(line);
   }
   if (counter->lines() == counter->unreadable())
-    throw std::invalid_argument(folder + ": no line of it is one of a proxy's log");
+    throw std::invalid_argument(folder + ": no line of its files is from a proxy's log");
 }
 
-// A curve for each name: its count in each second of the logs.
+// Adds a curve for each name to `chart`: its count in each second of the logs.
 Chart CountsChart(Chart chart, const LogCounter& counter, const log_analysis::Counts& totals,
                   log_analysis::Counts log_analysis::SecondCounts::*counts_of_second) {
   const auto& seconds = counter.seconds();
@@ -86,7 +86,7 @@
     AddMeanLoad(&warm, second, counts.warm);
     AddMeanLoad(&slow_start, second, counts.slow_start);
   }
-  Chart load{"load", "Sent to each backend", "second", "requests a second", {}, {}};
+  Chart load{"load", "Sent to each backend", "second", "requests per second", {}, {}};
   for (Curve* curve : {&warm, &slow_start}) {
     if (!curve->points.empty()) load.curves.push_back(std::move(*curve));
   }
@@ -95,8 +95,8 @@
 
 std::vector<Chart> CountCharts(const LogCounter& counter) {
   using log_analysis::SecondCounts;
-  const Chart requests{"requests", "How requests ended", "second", "a second", {}, {}};
-  const Chart attempts{"attempts", "How attempts ended", "second", "a second", {}, {}};
+  const Chart requests{"requests", "How requests ended", "second", "per second", {}, {}};
+  const Chart attempts{"attempts", "How attempts ended", "second", "per second", {}, {}};
   std::vector<Chart> charts;
   charts.push_back(CountsChart(requests, counter, counter.Requests(), &SecondCounts::requests));
   charts.push_back(CountsChart(attempts, counter, counter.Attempts(), &SecondCounts::attempts));
@@ -109,7 +109,7 @@
   const auto trace = counter.Trace();
   for (const std::string& line : trace) std::cout << line << '\n';
   if (!trace.empty()) return kSuccess;
-  std::cerr << "copperpoint: " << request << ": in none of these logs\n";
+  std::cerr << "copperpoint: " << request << ": found in none of these logs\n";
   return kFailure;
 }
 
@@ -131,8 +131,8 @@
 
 void AddFleetCountCommand(CLI::App& fleet, int* exit_code) {
   auto options = std::make_shared<CountCommandOptions>();
-  CLI::App* count =
-      fleet.add_subcommand("count", "Count over the logs of all proxies, a file each (docs/fleet.md)");
+  CLI::App* count = fleet.add_subcommand(
+      "count", "Count requests and attempts in the logs of all proxies, one file per proxy (docs/fleet.md)");
   count->footer("Example: copperpoint fleet count logs --json counted.json");
   count->add_option("LOGDIR", options->log_folder, "A folder of logs of level debug, text or JSON")
       ->required()
--- a/src/cli/fleet_view.h
+++ b/src/cli/fleet_view.h
@@ -9,8 +9,8 @@
 
 namespace copperpoint::cli {
 
-// The answer of the proxy whose admin interface is at `address` to GET /fleet. Throws std::invalid_argument
-// if `address` is not ADDRESS:PORT, std::runtime_error, one line, if there is no such answer.
+// Returns the response to GET /fleet of the proxy whose admin interface is at `address`. Throws
+// std::invalid_argument if `address` is not ADDRESS:PORT, std::runtime_error, one line, on any other failure.
 nlohmann::json GetFleetView(const std::string& address);
 
 }  // namespace copperpoint::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -21,7 +21,7 @@
 
 using copperpoint::cli::ExitCode;
 
-// Prints each line of `message` behind the program's name, so that every one can be found by it.
+// Prints each line of `message` after the program's name, so that a search for the name finds every line.
 ExitCode PrintError(const std::string& message, ExitCode code) {
   std::istringstream lines(message);
   for (std::string line; std::getline(lines, line);) std::cerr << "copperpoint: " << line << '\n';
@@ -30,7 +30,7 @@
 
 void AddCommands(CLI::App& app, bool serves, int* exit_code) {
   copperpoint::cli::AddServeCommand(app);
-  if (serves) return;  // a proxy's start does not pay for the options of the other commands
+  if (serves) return;  // spares the start of a proxy the options of the other commands
   copperpoint::cli::AddConfigCommand(app);
   copperpoint::cli::AddSimulateCommand(app, exit_code);
   copperpoint::cli::AddFleetCommand(app, exit_code);
--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint rollout`: staged changes of a whole fleet (docs/rollout.md); here the calls that control one.
+// `copperpoint rollout`: staged changes of a whole fleet (docs/rollout.md). This file has the calls that
+// control a change.
 #include <iostream>
 #include <memory>
 #include <string>
@@ -20,9 +21,9 @@
   const char* description;
 };
 constexpr ControlCall kControlCalls[] = {
-    {"pause", "Let no further member change"},
+    {"pause", "Pause the change: no further member changes"},
     {"resume", "Continue a paused change"},
-    {"abort", "Stop the change for good and roll it back"},
+    {"abort", "Stop the change permanently and roll it back"},
 };
 
 struct StartOptions {
@@ -39,9 +40,11 @@
 
 void AddStart(CLI::App& rollout) {
   auto options = std::make_shared<StartOptions>();
-  CLI::App* start =
-      AddRolloutSubcommand(rollout, "start", "Start a change", "start change.toml 127.0.0.1:9901");
-  start->add_option("FILE", options->plan_file, "The plan")->required()->check(CLI::ExistingFile);
+  CLI::App* start = AddRolloutSubcommand(rollout, "start", "Start the change that a plan describes",
+                                         "start change.toml 127.0.0.1:9901");
+  start->add_option("FILE", options->plan_file, "The plan (docs/rollout.md)")
+      ->required()
+      ->check(CLI::ExistingFile);
   AddAdminAddress(start, &options->address);
   start->callback([options] { Start(*options); });
 }
--- a/src/cli/rollout_history_command.cpp
+++ b/src/cli/rollout_history_command.cpp
@@ -41,8 +41,9 @@
 
 void AddRolloutHistoryCommand(CLI::App& rollout) {
   auto options = std::make_shared<HistoryOptions>();
-  CLI::App* history = AddRolloutSubcommand(rollout, "history", "Print each decision, its time and its reason",
-                                           "history 127.0.0.1:9901 --html change.html");
+  CLI::App* history =
+      AddRolloutSubcommand(rollout, "history", "Print each decision on the change, with its time and reason",
+                           "history 127.0.0.1:9901 --html change.html");
   AddAdminAddress(history, &options->address);
   history->add_option("--html", options->html_file, "Write one self-contained page to this file");
   history->callback([options] { History(*options); });
--- a/src/cli/rollout_options.h
+++ b/src/cli/rollout_options.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the subcommands of `copperpoint rollout` share.
+// Options that the subcommands of `copperpoint rollout` have in common.
 #ifndef COPPERPOINT_CLI_ROLLOUT_OPTIONS_H_
 #define COPPERPOINT_CLI_ROLLOUT_OPTIONS_H_
 
@@ -9,7 +9,7 @@
 
 namespace copperpoint::cli {
 
-// A subcommand of `rollout` whose help ends with `example`, which begins with the subcommand's name.
+// Adds a subcommand to `rollout` whose help ends with `example`, which begins with the subcommand's name.
 CLI::App* AddRolloutSubcommand(CLI::App& rollout, const char* name, const char* description,
                                const std::string& example);
 
--- a/src/cli/rollout_plan_command.cpp
+++ b/src/cli/rollout_plan_command.cpp
@@ -43,7 +43,7 @@
   double missed_share = 0.01;        // of requests that are not served in time today
 };
 
-// As many members as asked for, dealt out to the zones in turn.
+// Returns `members` made-up members, assigned to the zones in turn.
 std::vector<rollout::MemberInfo> HypotheticalMembers(int members, int zones) {
   std::vector<rollout::MemberInfo> named;
   for (int i = 0; i < members; ++i) {
@@ -66,18 +66,21 @@
 std::vector<rollout::MemberInfo> MembersOf(const PlanOptions& options) {
   auto members = options.address.empty() ? HypotheticalMembers(options.members, options.zones)
                                          : LiveMembers(options.address);
-  if (members.empty()) throw std::invalid_argument("whose change? --at ADDRESS, or --members N");
+  if (members.empty())
+    throw std::invalid_argument(
+        "the members are unknown: give --at ADDRESS of a proxy of the fleet, or --members N");
   return members;
 }
 
 double RateOf(const PlanOptions& options, std::size_t members) {
   if (options.rate_per_s >= 0) return options.rate_per_s;
   if (options.address.empty())
-    throw std::invalid_argument("how much traffic? --rate, requests a second over all, or --at ADDRESS");
+    throw std::invalid_argument(
+        "the request rate is unknown: give --rate N, requests per second over all members, or --at ADDRESS");
   return GetAdminJson(options.address, "/rollout").value("rate_per_s", 0.0) * static_cast<double>(members);
 }
 
-// The members that change in a stage: those of rank `first` to `end`, the first few by name.
+// Names the members of rank `first` to `end`, exclusive, that change in a stage; only the first few.
 std::string MemberList(const rollout::UpgradeOrder& order, int first, int end) {
   std::string list;
   for (int i = first; i < std::min(end, first + kMaxListedMembers); ++i)
@@ -96,13 +99,13 @@
                            forecast.max_duration_s, seen, compares ? needed : "-", members);
 }
 
-// Prints an error if the stage can't detect the regression that the plan guards against; true if it can.
+// Returns whether the stage can detect the regression that the plan guards against; prints an error if not.
 bool CheckStage(const std::string& file, std::size_t number, const rollout::Plan& plan,
                 const rollout::StageForecast& forecast) {
   if (forecast.baseline == 0 || forecast.detectable_fraction <= plan.guardrails.missed_fraction) return true;
   std::cerr << fmt::format(
-      "copperpoint: {}: stage {}: guard.worth = {} cannot be seen here, only {:.4f}; watch_s = {:.0f} "
-      "would do\n",
+      "copperpoint: {}: stage {}: guard.worth = {} cannot be detected in this stage (smallest detectable: "
+      "{:.4f}); expected watch_s = {:.0f} or more\n",
       file, number, plan.guardrails.missed_fraction, forecast.detectable_fraction,
       std::ceil(forecast.required_bake_time_s));
   return false;
@@ -114,7 +117,7 @@
   const auto members = MembersOf(options);
   const double rate_per_s = RateOf(options, members.size());
   const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*rollout_id=*/1);
-  std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests a second, {:.2f}% missed today\n",
+  std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests per second, {:.2f}% missed today\n",
                            plan.name, plan.old_version, plan.new_version, members.size(), rate_per_s,
                            kPercent * options.missed_share);
   std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10} {:>11} {:>12} {:>14}  {}\n", "stage", "changed",
@@ -131,7 +134,8 @@
     detects &= CheckStage(options.plan_file, number, plan, forecast);
   }
   std::cout << fmt::format(
-      "at most {:.0f} s, without waiting for requests; the others are compared with until the last stage\n",
+      "at most {:.0f} s, not counting the wait for watch_requests; the unchanged members are the baseline "
+      "until the last stage\n",
       longest_s);
   return detects ? kSuccess : kUsage;
 }
@@ -150,8 +154,9 @@
   plan->add_option("--members", options->members, "Without a fleet: number of members")
       ->check(CLI::Range(1, 32767));
   plan->add_option("--zones", options->zones, "Without a fleet: number of zones")->check(CLI::Range(1, 26));
-  plan->add_option("--rate", options->rate_per_s, "Requests a second over all members");
-  plan->add_option("--missed", options->missed_share, "Share of requests that is not served in time today");
+  plan->add_option("--rate", options->rate_per_s, "Requests per second over all members");
+  plan->add_option("--missed", options->missed_share,
+                   "Share of requests, 0 to 1, that are not served in time today");
   plan->callback([options, exit_code] { *exit_code = ShowPlan(*options); });
 }
 
--- a/src/cli/rollout_report.cpp
+++ b/src/cli/rollout_report.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::ordered_json;
 
-// Of the plot, in its own units.
+// Position and size of the plot, in units of the SVG's viewBox.
 constexpr double kPlotLeft = 10;
 constexpr double kPlotWidth = 880;
 constexpr double kPlotBottom = 200;
@@ -44,13 +44,13 @@
 }
 
 std::string Summary(const Json& change) {
-  return fmt::format("<p>{} to {}, {}; {} of {} members may have run it. Begun at {}.</p>\n",
+  return fmt::format("<p>{} to {}, {}; {} of {} members may have changed. Started by {}.</p>\n",
                      Escaped(change.value("from", "")), Escaped(change.value("to", "")),
                      Escaped(change.value("course", "")), change.value("may_have_changed", 0),
                      change.value("members", 0), Escaped(change.value("by", "")));
 }
 
-// How many members could have changed, over time.
+// Plots how many members may have changed, over time.
 std::string Plot(const Json& steps) {
   double last_s = 1;
   double max_members = 1;
--- a/src/cli/rollout_simulate_command.cpp
+++ b/src/cli/rollout_simulate_command.cpp
@@ -45,7 +45,7 @@
   fault_testing::TrialOptions trial;
 };
 
-// Figures over the seeds. Durations in seconds.
+// Results over the seeds.
 struct TrialStatistics {
   int done = 0;
   int stopped = 0;
@@ -78,13 +78,13 @@
   if (!result.stopped) return;
   statistics->time_to_stop_s.push_back(result.ended_s - result.first_s);
   if (result.last_back_s > 0) statistics->time_to_roll_back_s.push_back(result.last_back_s - result.ended_s);
-  // Without its figures, which differ between runs.
+  // Reasons are counted without their figures, which differ between runs.
   ++statistics->stop_reasons[result.why.substr(0, result.why.find_first_of("0123456789"))];
 }
 
 void PrintFailure(const SimulateOptions& options, std::uint64_t seed,
                   const fault_testing::TrialResult& result) {
-  std::cout << fmt::format("seed {}: what is promised does not hold\n", seed);
+  std::cout << fmt::format("seed {}: a property does not hold\n", seed);
   for (const std::string& line : result.story) std::cout << "  " << line << '\n';
   std::cout << fmt::format(
       "  replay: copperpoint rollout simulate {} --fault {} --amount {} --environment {} --members {}{} "
@@ -96,9 +96,9 @@
 
 void PrintStatistics(const SimulateOptions& options, const TrialStatistics& statistics) {
   std::cout << fmt::format(
-      "{} {} {}: {} seeds, {} done, {} stopped, {} broken; ran it {:.0f} (most {:.0f}); harmed {:.0f} (p99 "
-      "{:.0f}); "
-      "to the stop {:.1f} s (p99 {:.1f}), back after {:.1f} s (p99 {:.1f})\n",
+      "{} {} {}: {} seeds, {} done, {} stopped, {} failed; members changed {:.0f} (max {:.0f}); requests "
+      "harmed {:.0f} (p99 {:.0f}); time to stop {:.1f} s (p99 {:.1f}), time to roll back {:.1f} s (p99 "
+      "{:.1f})\n",
       options.fault, options.trial.amount, options.environment, options.seeds, statistics.done,
       statistics.stopped, statistics.failed, Quantile(statistics.members_changed, kMedian),
       Quantile(statistics.members_changed, kMaximum), Quantile(statistics.requests_harmed, kMedian),
@@ -144,19 +144,21 @@
 void AddFaultOptions(CLI::App* simulate, SimulateOptions* options) {
   simulate->add_option("--fault", options->fault, "What is wrong with the new version")
       ->check(CLI::IsMember(NamesOf(fault_testing::HarmNames())));
-  simulate->add_option("--amount", options->trial.amount, "How much, in the fault's unit");
-  simulate->add_option("--environment", options->environment, "What happens to the fleet meanwhile")
+  simulate->add_option("--amount", options->trial.amount, "Size of the fault, in its unit");
+  simulate->add_option("--environment", options->environment, "What happens to the fleet during the change")
       ->check(CLI::IsMember(NamesOf(fault_testing::AroundNames())));
   simulate->add_flag("--member-faults", options->trial.faults,
-                     "Partitions, kills, pauses, a second plan, an abort, by the seed");
+                     "Partitions, kills, pauses, a second plan and an abort, drawn from the seed");
 }
 
 void AddFleetOptions(CLI::App* simulate, SimulateOptions* options) {
   simulate->add_option("--members", options->trial.members, "Proxies")->check(CLI::Range(1, 2000));
-  simulate->add_option("--zones", options->trial.zones, "Zones of equal size")->check(CLI::Range(1, 26));
-  simulate->add_option("--rate", options->trial.rate, "Requests a second and proxy")
+  simulate->add_option("--zones", options->trial.zones, "Number of zones, of equal size")
+      ->check(CLI::Range(1, 26));
+  simulate->add_option("--rate", options->trial.rate, "Requests per second of each proxy")
       ->check(CLI::NonNegativeNumber);
-  simulate->add_option("--missed", options->trial.missed, "Share of requests not served in time today");
+  simulate->add_option("--missed", options->trial.missed,
+                       "Share of requests, 0 to 1, that are not served in time today");
   simulate->add_option("--length", options->trial.length_s, "Maximum length in seconds");
 }
 
--- a/src/cli/serve_command.cpp
+++ b/src/cli/serve_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint serve`: one proxy.
+// `copperpoint serve`: runs one proxy.
 #include <cstdlib>
 #include <memory>
 #include <optional>
@@ -14,7 +14,7 @@
 namespace copperpoint::cli {
 namespace {
 
-// An option that takes one of `names`. Both `names` and `value` must outlive the parsing.
+// Adds an option that takes one of `names`. Both `names` and `value` must outlive the parsing.
 template <typename Value>
 void AddNamedValueOption(CLI::App* app, const char* option,
                          const std::vector<std::pair<std::string, Value>>& names, std::optional<Value>* value,
--- a/src/cli/simulate_command.cpp
+++ b/src/cli/simulate_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint simulate`: the service in virtual time (docs/lab.md).
+// `copperpoint simulate`: simulates the service in virtual time (docs/lab.md).
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <iostream>
@@ -15,9 +15,9 @@
 namespace copperpoint::cli {
 
 void AddSimulateReferenceCommand(CLI::App& simulate) {
-  CLI::App* reference =
-      AddSimulateSubcommand(simulate, "reference", "Print the page of a scenario's keys, in Markdown",
-                            "reference > docs/scenarios.md");
+  CLI::App* reference = AddSimulateSubcommand(simulate, "reference",
+                                              "Print the reference page of a scenario's keys, in Markdown",
+                                              "reference > docs/scenarios.md");
   reference->callback([] {
     std::cout
         << "# Scenario files\n\n"
@@ -36,7 +36,8 @@
   };
   auto options = std::make_shared<DrawOptions>();
   CLI::App* draw = AddSimulateSubcommand(
-      simulate, "draw", "Print what a seed draws: backends, their speeds, and which of them have faults",
+      simulate, "draw",
+      "Print what is drawn from a seed: backends, their speeds and which of them have faults",
       "draw lab/scenarios/grey.toml --seed 3");
   AddScenarioOptions(draw, &options->scenario);
   draw->add_option("--seed", options->seed, "Seed of the random numbers");
--- a/src/cli/simulate_compare_command.cpp
+++ b/src/cli/simulate_compare_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint simulate compare`: several policies on the same arrivals.
+// `copperpoint simulate compare`: runs several policies on the same arrivals.
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <iostream>
@@ -54,7 +54,10 @@
       AddSimulateSubcommand(simulate, "compare", "Run all policies on the same arrivals and print a table",
                             "compare lab/scenarios/ordinary.toml --seed 1 --json out.json");
   AddScenarioOptions(compare, &options->scenario);
-  compare->add_option("--policies", options->policies, "Only these, separated by commas")->delimiter(',');
+  compare
+      ->add_option("--policies", options->policies,
+                   "Run only these policies, separated by commas; default: all")
+      ->delimiter(',');
   compare->add_option("--seed", options->seed, "Seed of the random numbers");
   compare->add_option("--json", options->json_file, "Write all results to this file");
   compare->add_option("--threads", options->threads, "Concurrent runs; 0: one for each core");
--- a/src/cli/simulate_options.cpp
+++ b/src/cli/simulate_options.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t kProgressWidth = 40;  // columns
-constexpr std::size_t kMaxViolations = 5;   // printed ones
+constexpr std::size_t kMaxViolations = 5;   // printed of one run
 constexpr double kMinBusySeconds = 1e-9;    // divisor of a run that took no time
 constexpr double kKilobytesPerMegabyte = 1024;
 
@@ -40,7 +40,7 @@
   for (const std::string& assignment : options.overrides) {
     const std::size_t equals = assignment.find('=');
     if (equals == std::string::npos)
-      throw std::invalid_argument("--set " + assignment + ": KEY=VALUE is wanted");
+      throw std::invalid_argument("--set " + assignment + ": expected KEY=VALUE");
     text = config::SetKey(text, options.file, assignment.substr(0, equals), assignment.substr(equals + 1));
   }
   return text;
@@ -62,7 +62,7 @@
 void PrintCost(std::uint64_t events, double busy_s) {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
-  std::cout << fmt::format("{} events, {:.0f} a second of a core; peak memory {:.0f} MB\n", events,
+  std::cout << fmt::format("{} events, {:.0f} per second and core; peak memory {:.0f} MB\n", events,
                            static_cast<double>(events) / std::max(busy_s, kMinBusySeconds),
                            static_cast<double>(usage.ru_maxrss) / kKilobytesPerMegabyte);
 }
@@ -72,15 +72,16 @@
   const std::size_t printed = std::min(violations.size(), kMaxViolations);
   for (std::size_t i = 0; i < printed; ++i) {
     const auto& violation = violations[i];
-    std::cout << fmt::format("rule {} broken at {:.3f} ms, request {}, proxy {}, backend {}: {}\n",
+    std::cout << fmt::format("rule {} violated at {:.3f} ms, request {}, proxy {}, backend {}: {}\n",
                              violation["rule"].get<int>(), violation["at_ms"].get<double>(),
                              violation["request"].get<std::uint64_t>(),
                              violation["proxy"].get<std::uint64_t>(),
                              violation["backend"].get<std::uint64_t>(), violation["what"].get<std::string>());
   }
-  if (run.violations > static_cast<std::int64_t>(printed)) std::cout << run.violations << " in all\n";
+  if (run.violations > static_cast<std::int64_t>(printed))
+    std::cout << run.violations << " violations in total\n";
   if (run.trace.empty()) return;
-  std::cout << "the story of request " << run.first_violating_request << ":\n";
+  std::cout << "trace of request " << run.first_violating_request << ":\n";
   for (const std::string& line : run.trace) std::cout << line << '\n';
 }
 
--- a/src/cli/simulate_options.h
+++ b/src/cli/simulate_options.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the subcommands of `copperpoint simulate` share: the scenario with its overrides, the progress line
-// and the printing of costs and violated rules.
+// What the subcommands of `copperpoint simulate` have in common: the scenario with its overrides, the
+// progress line and the printing of costs and violated rules.
 #ifndef COPPERPOINT_CLI_SIMULATE_OPTIONS_H_
 #define COPPERPOINT_CLI_SIMULATE_OPTIONS_H_
 
@@ -21,27 +21,28 @@
   std::vector<std::string> overrides;  // KEY=VALUE
 };
 
-// A subcommand of `simulate` whose help ends with `example`, which begins with the subcommand's name.
+// Adds a subcommand to `simulate` whose help ends with `example`, which begins with the subcommand's name.
 CLI::App* AddSimulateSubcommand(CLI::App& simulate, const char* name, const char* description,
                                 const char* example);
 
 // Adds SCENARIO and --set. `options` must outlive the parsing.
 void AddScenarioOptions(CLI::App* subcommand, ScenarioOptions* options);
 
-// The TOML of the scenario with its overrides. Throws std::invalid_argument on an override that is not
-// KEY=VALUE or names no key, config::InvalidFile on a file that can't be read or is not TOML.
+// Returns the TOML of the scenario with its overrides. Throws std::invalid_argument on an override that is
+// not KEY=VALUE or names no key, config::InvalidFile on a file that can't be read or is not TOML.
 std::string ScenarioText(const ScenarioOptions& options);
 
-// Throws as ScenarioText, and config::InvalidFile on unknown keys and values out of range.
+// Returns the scenario with its overrides. Throws as ScenarioText, and config::InvalidFile on unknown keys
+// and values out of range.
 simulation::Scenario LoadScenario(const ScenarioOptions& options);
 
-// On a terminal, one line that is overwritten; elsewhere nothing.
+// Prints a progress bar that overwrites itself if standard error is a terminal; otherwise prints nothing.
 void PrintProgress(std::size_t done, std::size_t total);
 
-// How many events were simulated in how many seconds of processor time, and the peak memory.
+// Prints the number of simulated events, the events per second of `busy_s` and the peak memory.
 void PrintCost(std::uint64_t events, double busy_s);
 
-// The first violated rules of the run, and the trace of the request of the first.
+// Prints the first violations of rules in the run, and the trace of the request of the first one.
 void PrintViolations(const simulation::RunResult& run);
 
 }  // namespace copperpoint::cli
--- a/src/cli/simulate_plot_command.cpp
+++ b/src/cli/simulate_plot_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint simulate plot`: plots of a sweep's folder or a result file.
+// `copperpoint simulate plot`: plots a sweep's folder or a result file.
 #include <fmt/format.h>
 
 #include <CLI/Config.hpp>
@@ -37,7 +37,9 @@
   const auto json = nlohmann::ordered_json::parse(config::ReadFileContents(options.input), nullptr,
                                                   /*allow_exceptions=*/false);
   if (!json.is_object() || !(json.contains("runs") || json.contains("windows"))) {
-    throw std::invalid_argument(options.input + ": is no result of simulate run or simulate compare");
+    throw std::invalid_argument(
+        options.input +
+        ": expected a result of simulate run or simulate compare: a JSON object with 'runs' or 'windows'");
   }
   const std::string folder = options.output_folder.empty() ? options.input + ".plots" : options.output_folder;
   const std::string title =
--- a/src/cli/simulate_run_command.cpp
+++ b/src/cli/simulate_run_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint simulate run`: one policy on one scenario.
+// `copperpoint simulate run`: runs one policy on one scenario.
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <iostream>
@@ -23,7 +23,7 @@
   bool json_logs = false;
 };
 
-// Without the long lists.
+// Returns the result without its long lists.
 nlohmann::ordered_json Summary(nlohmann::ordered_json result) {
   for (const char* list : {"windows", "broken"}) result.erase(list);
   return result;
@@ -59,7 +59,7 @@
   run->add_option("--trace", options->run.traced_request, "Print the trace of this request");
   run->add_option("--logs", options->run.log_folder,
                   "Write the log of each proxy into this folder (fleet count)");
-  run->add_flag("--json-logs", options->json_logs, "As JSON, a line each");
+  run->add_flag("--json-logs", options->json_logs, "Write the logs as JSON, one object per line");
   run->callback([options, exit_code] { *exit_code = RunOne(*options); });
 }
 
--- a/src/cli/simulate_sweep_command.cpp
+++ b/src/cli/simulate_sweep_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint simulate sweep`: runs over ranges of keys, resumed if interrupted.
+// `copperpoint simulate sweep`: runs over ranges of keys; an interrupted sweep is resumed.
 #include <fmt/format.h>
 
 #include <CLI/Config.hpp>
@@ -38,9 +38,9 @@
   const simulation::SweepReport report =
       simulation::Sweep(plan, options.folder, options.threads, PrintProgress);
   std::cout << simulation::SweepTable(simulation::ReadSweep(options.folder));
-  std::cout << fmt::format("{} points, {} of them done before, {} torn and done anew; in {}\n", report.points,
-                           report.reused, report.corrupted, options.folder);
-  if (report.violations > 0) std::cout << report.violations << " rules broken\n";
+  std::cout << fmt::format("{} points, {} reused from before, {} corrupted and run again; in {}\n",
+                           report.points, report.reused, report.corrupted, options.folder);
+  if (report.violations > 0) std::cout << report.violations << " violations of rules\n";
   PrintCost(report.events, report.busy_s);
   return report.violations > 0 ? kFailure : kSuccess;
 }
@@ -58,8 +58,9 @@
       ->add_option("--vary", options->ranges,
                    "KEY=FIRST:LAST:STEP or KEY=VALUE,VALUE; may be given several times")
       ->allow_extra_args(false);
-  sweep->add_option("--policies", options->policies, "Separated by commas; default: ours")->delimiter(',');
-  sweep->add_option("--seeds", options->seeds, "Separated by commas; default: 1")->delimiter(',');
+  sweep->add_option("--policies", options->policies, "Policies, separated by commas; default: ours")
+      ->delimiter(',');
+  sweep->add_option("--seeds", options->seeds, "Seeds, separated by commas; default: 1")->delimiter(',');
   sweep->add_option("--out", options->folder, "Folder of the results")->required();
   sweep->add_option("--threads", options->threads, "Concurrent runs; 0: one for each core");
   sweep->callback([options, exit_code] { *exit_code = SweepAll(*options); });
--- a/src/cli/supervise_command.cpp
+++ b/src/cli/supervise_command.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint supervise`: the process that starts and replaces the proxy of one machine (docs/rollout.md).
+// `copperpoint supervise`: runs the process that starts and replaces the proxy of one machine
+// (docs/rollout.md).
 #include <CLI/Config.hpp>
 #include <CLI/Formatter.hpp>
 #include <iostream>
--- a/src/cli/version_command.cpp
+++ b/src/cli/version_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `copperpoint version`: the version and what it was built with.
+// `copperpoint version`: prints the version, the compiler and the version of Boost.
 #include <boost/version.hpp>
 #include <iostream>
 
@@ -17,7 +17,8 @@
 }  // namespace
 
 void AddVersionCommand(CLI::App& app) {
-  CLI::App* version = app.add_subcommand("version", "Print the version and what it was built with");
+  CLI::App* version =
+      app.add_subcommand("version", "Print the version, the compiler and the version of Boost");
   version->footer("Example: copperpoint version");
   version->callback(PrintVersion);
 }
