--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The command line of the program: help, exit codes, one line per error, and old names of commands and
+// options.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -16,7 +19,7 @@
 
 Finished Invoke(const std::string& arguments) { return testing_support::RunProgram(PROGRAM_PATH, arguments); }
 
-TEST(CommandLine, BareItPrintsTheHelp) {
+TEST(CommandLine, WithoutArgumentsItPrintsTheHelp) {
   const Finished run = Invoke("");
   EXPECT_EQ(run.code, 0);
   for (const char* command : {"serve", "config", "version"})
@@ -51,14 +54,14 @@
   }
 }
 
-TEST(CommandLine, ABadFileIsOneLineAFaultAndExitCode2) {
+TEST(CommandLine, AnInvalidFileIsOneLinePerErrorAndExitCode2) {
   const TemporaryFolder folder;
   const std::string file =
       folder.Write("bad.toml", "[log]\nlevel = \"loud\"\n[patience]\nkept_ms = 0\nrest = 1\n");
   for (const std::string command : {"config check ", "config show ", "serve --config "}) {
     const Finished run = Invoke(command + file);
     EXPECT_EQ(run.code, 2) << command;
-    if (command[0] == 's') {  // the platform's file comes first, and there is none
+    if (command[0] == 's') {  // the platform's file is read first, and there is none
       EXPECT_EQ(run.err, "copperpoint: ROUTER_CONFIG is not set\n");
       continue;
     }
@@ -69,7 +72,7 @@
   }
 }
 
-TEST(CommandLine, WhatIsShownChecks) {
+TEST(CommandLine, OutputOfConfigShowPassesConfigCheck) {
   const TemporaryFolder folder;
   const Finished shown = Invoke("config show " + folder.Write("good.toml", "[patience]\nkept_ms = 1234\n"));
   EXPECT_EQ(shown.code, 0);
@@ -116,13 +119,13 @@
     EXPECT_EQ(help.find(old_name), std::string::npos) << old_name;
 }
 
-TEST(CommandLine, ArgumentsBehindTwoDashesKeepTheirText) {
+TEST(CommandLine, ArgumentsAfterTwoDashesAreUnchanged) {
   const std::vector<std::string> arguments{"rollout", "try", "--", "--harm"};
   EXPECT_EQ(cli::CurrentArguments(arguments),
             (std::vector<std::string>{"rollout", "simulate", "--", "--harm"}));
 }
 
-TEST(CommandLine, ValuesThatLookLikeOldCommandsKeepTheirText) {
+TEST(CommandLine, ValuesThatEqualOldCommandsAreUnchanged) {
   const std::vector<std::string> arguments{"simulate", "run", "lab", "--policy", "rig"};
   EXPECT_EQ(cli::CurrentArguments(arguments), arguments);
 }
--- a/tests/config/config_reader_test.cpp
+++ b/tests/config/config_reader_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Reading of the platform's JSON configuration: defaults, environment variables, and errors that name the
+// file, the position and the key.
 #include "proxy/config/config_reader.h"
 
 #include <gtest/gtest.h>
@@ -16,8 +19,8 @@
 using proxy::ConfigError;
 using Kind = ConfigError::Kind;
 
-TEST(ConfigReader, ReadsAGoodConfiguration) {
-  const Config config = Parse(GoodConfig().dump());
+TEST(ConfigReader, ReadsAValidConfiguration) {
+  const Config config = Parse(ValidConfig().dump());
   EXPECT_EQ(config.name, "n1");
   EXPECT_EQ(config.listen, *proxy::ParseHostPort("127.0.0.1:80"));
   EXPECT_EQ(config.discovery, *proxy::ParseHostPort("127.0.0.1:81"));
@@ -32,7 +35,7 @@
 }
 
 TEST(ConfigReader, AbsentOptionalKeysHaveTheirDefaults) {
-  auto json = GoodConfig();
+  auto json = ValidConfig();
   for (const char* key : {"name", "limits", "known"}) json.erase(key);
   json["seed"] = 7;
   const Config config = Parse(json.dump());
@@ -49,18 +52,18 @@
   EXPECT_EQ(Parse(With("/limits/later", "x")).sockets, 1024);
 }
 
-TEST(ConfigReader, EnvironmentGoesBeforeTheFile) {
-  const Config config = Parse(GoodConfig().dump(), {{"ROUTER_NAME", "n2"},
-                                                    {"ROUTER_LISTEN", "[::1]:90"},
-                                                    {"ROUTER_DISCOVERY", "127.0.0.1:91"},
-                                                    {"ROUTER_OPERATOR", "127.0.0.1:92"},
-                                                    {"TMPDIR", "/state"}});
+TEST(ConfigReader, EnvironmentOverridesTheFile) {
+  const Config config = Parse(ValidConfig().dump(), {{"ROUTER_NAME", "n2"},
+                                                     {"ROUTER_LISTEN", "[::1]:90"},
+                                                     {"ROUTER_DISCOVERY", "127.0.0.1:91"},
+                                                     {"ROUTER_OPERATOR", "127.0.0.1:92"},
+                                                     {"TMPDIR", "/state"}});
   EXPECT_EQ(config.name, "n2");
   EXPECT_EQ(config.listen, *proxy::ParseHostPort("[::1]:90"));
   EXPECT_EQ(config.discovery, *proxy::ParseHostPort("127.0.0.1:91"));
   EXPECT_EQ(config.admin_address, proxy::ParseHostPort("127.0.0.1:92"));
   EXPECT_EQ(config.state_directory, "/state");
-  EXPECT_EQ(Parse(GoodConfig().dump(), {{"ROUTER_NAME", ""}}).name, "n1");
+  EXPECT_EQ(Parse(ValidConfig().dump(), {{"ROUTER_NAME", ""}}).name, "n1");
 }
 
 TEST(ConfigReader, NamesMissingKeys) {
@@ -97,7 +100,7 @@
               "known is no list: [json.exception.type_error.304] cannot use at() with number");
 }
 
-TEST(ConfigReader, NamesLineAndColumnOfBrokenJson) {
+TEST(ConfigReader, NamesLineAndColumnOfInvalidJson) {
   const ConfigError error = ErrorOf("{\n  \"name\": ,\n}");
   EXPECT_EQ(error.kind(), Kind::kSyntax);
   EXPECT_EQ(error.location().line, 2);
@@ -136,15 +139,15 @@
   }
 }
 
-TEST_F(ConfigFileTest, ReloadTakesTheFilesValuesOnly) {
-  const TemporaryFile file(GoodConfig().dump());
+TEST_F(ConfigFileTest, ReloadIgnoresTheEnvironmentsValues) {
+  const TemporaryFile file(ValidConfig().dump());
   const Variables variables{{"ROUTER_CONFIG", file.path()}, {"ROUTER_NAME", "n2"}};
   EXPECT_EQ(proxy::LoadConfig(EnvironmentOf(variables)).name, "n2");
   EXPECT_EQ(proxy::ReloadConfig(EnvironmentOf(variables)).name, "n1");
 }
 
-// The two forms of a place: with a column as JSON errors have it, without as lists of seeds do.
-TEST(ConfigErrors, PutThePlaceBeforeTheMessage) {
+// A location has a column in errors of JSON files and none in errors of seed lists.
+TEST(ConfigErrors, PutTheLocationBeforeTheMessage) {
   const auto text = [](proxy::ConfigLocation location) {
     return std::string(ConfigError(Kind::kInvalid, std::move(location), "wrong").what());
   };
--- a/tests/config/operator_settings_test.cpp
+++ b/tests/config/operator_settings_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The keys of the operator's file: defaults, ranges, errors, and the reference page that is generated from
+// them.
 #include "proxy/config/operator_settings.h"
 
 #include <gtest/gtest.h>
@@ -20,10 +23,10 @@
 
 TEST(OperatorSettings, DocumentationMatchesTheCode) {
   EXPECT_EQ(ReadFileContents(std::string(SOURCE_DIR) + "/docs/configuration.md"), ConfigurationReference())
-      << "write it anew: copperpoint config reference > docs/configuration.md";
+      << "regenerate it: copperpoint config reference > docs/configuration.md";
 }
 
-TEST(OperatorSettings, ShippedFileIsValidAndSaysTheDefaults) {
+TEST(OperatorSettings, ShippedFileIsValidAndContainsTheDefaults) {
   const auto shipped =
       config::LoadFile<OperatorSettings>(std::string(SOURCE_DIR) + "/deploy/copperpoint.toml");
   const OperatorSettings defaults;
@@ -97,7 +100,7 @@
   EXPECT_FALSE(settings.fleet.on());
 }
 
-TEST(OperatorSettings, RejectsWrongTypesWithTheirPlaceAndKey) {
+TEST(OperatorSettings, RejectsWrongTypesWithLineColumnAndKey) {
   EXPECT_EQ(ErrorOf("[patience]\nkept_ms = \"1\"\n"),
             "f:2:11: patience.kept_ms: expected a whole number, got text");
   EXPECT_EQ(ErrorOf("[patience]\nkept_ms = 1.5\n"),
--- a/tests/config/platform_config.h
+++ b/tests/config/platform_config.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A platform's configuration that is good, for tests to change, and the error of one that is not.
+// A valid platform configuration for tests to modify, and the error of an invalid one.
 #ifndef COPPERPOINT_TESTS_CONFIG_PLATFORM_CONFIG_H_
 #define COPPERPOINT_TESTS_CONFIG_PLATFORM_CONFIG_H_
 
@@ -15,7 +15,7 @@
 
 namespace copperpoint::testing {
 
-inline nlohmann::json GoodConfig() {
+inline nlohmann::json ValidConfig() {
   return nlohmann::json::parse(R"({
     "name": "n1", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:81", "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -53,14 +53,15 @@
   return {proxy::ConfigError::Kind::kInvalid, {}, ""};
 }
 
-// The good configuration with a value in another place, by its JSON pointer.
+// The valid configuration with `value` at a JSON pointer.
 inline std::string With(const std::string& pointer, const nlohmann::json& value) {
-  auto config = GoodConfig();
+  auto config = ValidConfig();
   config[nlohmann::json::json_pointer(pointer)] = value;
   return config.dump();
 }
+// The valid configuration without `key` of the object at a JSON pointer.
 inline std::string Without(const std::string& object, const std::string& key) {
-  auto config = GoodConfig();
+  auto config = ValidConfig();
   EXPECT_EQ(config[nlohmann::json::json_pointer(object)].erase(key), 1u) << object << ' ' << key;
   return config.dump();
 }
--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Reading and formatting of structs that describe their keys: every error of a file must be reported with its
+// line, column and key, and formatted values must read back.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -39,7 +42,7 @@
   }
 };
 
-std::string FaultsOf(const std::string& text) {
+std::string ErrorsOf(const std::string& text) {
   try {
     LoadText<Sample>(text, "f.toml");
   } catch (const InvalidFile& error) {
@@ -71,49 +74,47 @@
   EXPECT_EQ(read.items[1].name, "one");
 }
 
-TEST(Schema, NamesEveryFaultWithItsPlaceAtOnce) {
-  EXPECT_EQ(FaultsOf("ratio = 5\ncount = 1.5\n  colour = \"blue\"\n[inner]\nshar = 1\n"),
+TEST(Schema, ReportsAllErrorsAtOnceWithLineColumnAndKey) {
+  EXPECT_EQ(ErrorsOf("ratio = 5\ncount = 1.5\n  colour = \"blue\"\n[inner]\nshar = 1\n"),
             "f.toml:1:9: ratio: 5 is out of range: 0.1 to 2 ms\n"
             "f.toml:2:9: count: expected a whole number, got a number with a fraction\n"
             "f.toml:3:12: colour: 'blue' is none of red, green\n"
             "f.toml:5:1: inner.shar: unknown key; expected one of name, share");
 }
 
-TEST(Schema, WrongTypesAreNamed) {
-  EXPECT_EQ(FaultsOf("on = 1"), "f.toml:1:6: on: expected true or false, got a whole number");
-  EXPECT_EQ(FaultsOf("inner = 1"), "f.toml:1:9: inner: expected a table, got a whole number");
-  EXPECT_EQ(FaultsOf("item = [1]"), "f.toml:1:9: item: expected a table, got a whole number");
-  EXPECT_EQ(FaultsOf("tags = [1]"), "f.toml:1:9: tags: expected text, got a whole number");
-  EXPECT_EQ(FaultsOf("ratio = nan"), "f.toml:1:9: ratio: nan is out of range: 0.1 to 2 ms");
-  EXPECT_EQ(FaultsOf("colour = 1979-05-27"), "f.toml:1:10: colour: expected text, got a date or time");
+TEST(Schema, WrongTypesAreReportedWithTheExpectedType) {
+  EXPECT_EQ(ErrorsOf("on = 1"), "f.toml:1:6: on: expected true or false, got a whole number");
+  EXPECT_EQ(ErrorsOf("inner = 1"), "f.toml:1:9: inner: expected a table, got a whole number");
+  EXPECT_EQ(ErrorsOf("item = [1]"), "f.toml:1:9: item: expected a table, got a whole number");
+  EXPECT_EQ(ErrorsOf("tags = [1]"), "f.toml:1:9: tags: expected text, got a whole number");
+  EXPECT_EQ(ErrorsOf("ratio = nan"), "f.toml:1:9: ratio: nan is out of range: 0.1 to 2 ms");
+  EXPECT_EQ(ErrorsOf("colour = 1979-05-27"), "f.toml:1:10: colour: expected text, got a date or time");
 }
 
-TEST(Schema, FaultsInAnArrayOfTablesNameTheItem) {
-  EXPECT_EQ(FaultsOf("[[item]]\n[[item]]\nshare = 2\n"),
+TEST(Schema, ErrorsInAnArrayOfTablesNameTheItem) {
+  EXPECT_EQ(ErrorsOf("[[item]]\n[[item]]\nshare = 2\n"),
             "f.toml:3:9: item[1].share: 2 is out of range: 0 to 1");
 }
 
-TEST(Schema, AStructsOwnChecksAreFaultsToo) {
-  EXPECT_EQ(FaultsOf("count = 7"), "f.toml:1:9: count: seven is not wanted");
+TEST(Schema, UnmetRequirementsOfTheStructAreErrors) {
+  EXPECT_EQ(ErrorsOf("count = 7"), "f.toml:1:9: count: seven is not wanted");
 }
 
-TEST(Schema, BrokenSyntaxHasAPlace) {
-  const std::string faults = FaultsOf("ratio = 1\ncount = = 2\n");
-  EXPECT_EQ(faults.find("f.toml:2:"), 0u) << faults;
+TEST(Schema, SyntaxErrorsHaveALine) {
+  const std::string errors = ErrorsOf("ratio = 1\ncount = = 2\n");
+  EXPECT_EQ(errors.find("f.toml:2:"), 0u) << errors;
 }
 
-TEST(Schema, AFileThatIsNotThereIsAFault) {
-  EXPECT_THROW(LoadFile<Sample>("/nowhere/at/all.toml"), InvalidFile);
-}
+TEST(Schema, AMissingFileIsAnError) { EXPECT_THROW(LoadFile<Sample>("/nowhere/at/all.toml"), InvalidFile); }
 
-TEST(Schema, WhatIsShownReadsBack) {
+TEST(Schema, FormattedValuesReadBack) {
   auto sample = LoadText<Sample>("ratio = 0.3\n[[item]]\nname = \"q \\\"uote\\\"\"\n", "f.toml");
-  const std::string shown = FormatValues([&](FieldVisitor& v) { sample.Describe(v); });
-  auto again = LoadText<Sample>(shown, "shown");
+  const std::string formatted = FormatValues([&](FieldVisitor& v) { sample.Describe(v); });
+  auto again = LoadText<Sample>(formatted, "formatted");
   EXPECT_EQ(again.ratio, 0.3);
   ASSERT_EQ(again.items.size(), 1u);
   EXPECT_EQ(again.items[0].name, "q \"uote\"");
-  EXPECT_EQ(FormatValues([&](FieldVisitor& v) { again.Describe(v); }), shown);
+  EXPECT_EQ(FormatValues([&](FieldVisitor& v) { again.Describe(v); }), formatted);
 }
 
 TEST(Schema, TheReferenceHasARowForEachKey) {
--- a/tests/config/settings_reader_test.cpp
+++ b/tests/config/settings_reader_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Reading of the `settings` object of the platform's configuration: defaults, and errors that name the key.
 #include "proxy/config/settings_reader.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +18,7 @@
 using Kind = ConfigError::Kind;
 
 TEST(SettingsReader, ReadsSettingsNamesAndTimeouts) {
-  const Config config = Parse(GoodConfig().dump());
+  const Config config = Parse(ValidConfig().dump());
   EXPECT_EQ(config.settings.proxy_count, 2);
   EXPECT_EQ(config.settings.proxy_index, 1);
   ASSERT_EQ(config.settings.classes.size(), 1u);
@@ -31,11 +33,11 @@
   EXPECT_EQ(config.kinds, std::vector<std::string>{"m"});
   EXPECT_EQ(config.connect_timeout, Duration(200));
   EXPECT_EQ(config.backend_idle_timeout, Duration(60000));
-  EXPECT_EQ(config.settings.max_retry_after, Duration(30)) << "whatever retryAfter says";
+  EXPECT_EQ(config.settings.max_retry_after, Duration(30)) << "the value of retryAfter is not used";
 }
 
 TEST(SettingsReader, AbsentOptionalKeysHaveTheirDefaults) {
-  auto json = GoodConfig();
+  auto json = ValidConfig();
   for (const char* key : {"zones", "kinds", "tenants", "me"}) json["settings"].erase(key);
   for (const char* key : {"connIdleMs", "connectTimeoutMs", "maxRetryAfterMs"})
     json["settings"]["permissions"].erase(key);
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The form of log lines, and the rate limit that a storm of lines must not exceed.
 #include "log/log.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +30,7 @@
                                       "share=0.5 on=true"}));
 }
 
-TEST_F(LoggerTest, TextThatCouldBeTakenForMoreIsQuotedAndStaysOnItsLine) {
+TEST_F(LoggerTest, TextWithSeparatorsOrLineEndsIsQuotedAndStaysOnItsLine) {
   Logger logger(
       Settings{}, [this](const std::string& line) { lines_.push_back(line); }, [this] { return now_; });
   logger.Warn("odd", {{"a", "two words"}, {"b", "x=y"}, {"c", "line\nend"}, {"d", ""}, {"e", "\xff\""}});
@@ -68,23 +70,23 @@
   EXPECT_EQ(lines_.size(), 1u);
 }
 
-TEST_F(LoggerTest, AStormIsBoundedAndSaysWhatItLeftOut) {
+TEST_F(LoggerTest, AStormIsLimitedAndItsDroppedLinesAreCounted) {
   Settings settings;
   settings.lines_per_s = 10;
   Logger logger(
       settings, [this](const std::string& line) { lines_.push_back(line); }, [this] { return now_; });
   for (int i = 0; i < 1000; ++i) logger.Info("storm", {{"i", i}});
   EXPECT_EQ(lines_.size(), 10u);
-  logger.Error("worse");  // an error always goes out
+  logger.Error("worse");  // errors are never dropped
   ASSERT_EQ(lines_.size(), 12u);
   EXPECT_NE(lines_[10].find("log_lines_dropped count=990"), std::string::npos) << lines_[10];
   EXPECT_NE(lines_[11].find("error worse"), std::string::npos);
   now_ += milliseconds(500);
   for (int i = 0; i < 1000; ++i) logger.Info("storm", {{"i", i}});
-  EXPECT_EQ(lines_.size(), 17u) << "half a second earns half as many";
+  EXPECT_EQ(lines_.size(), 17u) << "half a second allows half of lines_per_s";
 }
 
-TEST_F(LoggerTest, AClockThatStepsBackEarnsNothingAndBreaksNothing) {
+TEST_F(LoggerTest, AClockThatSteppedBackAddsNoTokensAndTheLoggerRecovers) {
   Settings settings;
   settings.lines_per_s = 2;
   Logger logger(
@@ -95,7 +97,7 @@
   EXPECT_EQ(lines_.size(), 2u);
   now_ += milliseconds(1000);
   logger.Info("c");
-  EXPECT_EQ(lines_.size(), 4u) << "what was left out, and c";
+  EXPECT_EQ(lines_.size(), 4u) << "the count of dropped lines, and c";
 }
 
 }  // namespace
--- a/tests/log_analysis/log_counter_test.cpp
+++ b/tests/log_analysis/log_counter_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is counted over the logs of a fleet, against the emulator's own figures of the same run.
+// Counts over the logs of a fleet are compared with the simulator's own figures of the same run, and counts
+// of logs with old names with those of current logs.
 #include "log_analysis/log_counter.h"
 
 #include <gtest/gtest.h>
@@ -27,8 +28,8 @@
   std::string path;
 };
 
-// Some of everything: time-outs, resets, errors, failed connections, refusals, restarts, discovery
-// overbooked.
+// A scenario with timeouts, resets, errors, failed connections, rejections, restarts and overloaded
+// discovery.
 simulation::Scenario Busy() {
   simulation::Scenario s = simulation::Plain();
   s.length_s = 8;
@@ -48,14 +49,14 @@
   s.backend_types[0].error_rate = 0.02;
   s.backend_types[0].slow_start_min_capacity = 0.2;
   s.backend_types[0].slow_start_window_s = 5;
-  const auto trouble = [&](simulation::FaultKind kind, double at, double length, double part, double size) {
+  const auto add_fault = [&](simulation::FaultKind kind, double at, double length, double part, double size) {
     simulation::Fault t;
     t.kind = kind, t.at_s = at, t.for_s = length, t.part = part, t.size = size;
     s.faults.push_back(t);
   };
-  trouble(simulation::FaultKind::kUnresponsive, 2, 2, 0.25, 1);
-  trouble(simulation::FaultKind::kRollingRestart, 4, 1, 0.3, 4);
-  trouble(simulation::FaultKind::kDiscoveryDown, 1, 1, 1, 1);
+  add_fault(simulation::FaultKind::kUnresponsive, 2, 2, 0.25, 1);
+  add_fault(simulation::FaultKind::kRollingRestart, 4, 1, 0.3, 4);
+  add_fault(simulation::FaultKind::kDiscoveryDown, 1, 1, 1, 1);
   return s;
 }
 
@@ -80,7 +81,7 @@
 
 class CountedRun : public ::testing::TestWithParam<log::Format> {};
 
-TEST_P(CountedRun, EqualsTheEmulatorsOwnFigures) {
+TEST_P(CountedRun, EqualsTheSimulatorsOwnFigures) {
   const Folder folder;
   simulation::RunOptions options;
   options.log_folder = folder.path;
@@ -103,14 +104,14 @@
   EXPECT_EQ(sent, truth("attempts"));
   EXPECT_EQ(ended, sent) << "each attempt ends once";
   for (const char* name : {"refused", "timeouts", "connect_failed", "resets", "errors"})
-    EXPECT_GT(truth(name), 0) << name << ": the run says nothing of it";
+    EXPECT_GT(truth(name), 0) << name << ": the run has none, so nothing was compared";
   EXPECT_GT(counted.discovery_failures(), 0);
   EXPECT_EQ(counted.first_list_after_ms().size() + static_cast<std::size_t>(counted.without_list()), 20u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Forms, CountedRun, ::testing::Values(log::Format::kText, log::Format::kJson));
 
-TEST(Count, TellsColdServersFromWarmOnes) {
+TEST(Count, CountsBackendsInSlowStartSeparately) {
   const Folder folder;
   simulation::RunOptions options;
   options.log_folder = folder.path;
@@ -130,7 +131,7 @@
 
 std::string Line(const std::string& rest) { return "2026-01-31T12:00:00." + rest; }
 
-TEST(Count, TellsTheStoryOfAWishThroughEveryProxy) {
+TEST(Count, TracesALogicalRequestThroughEveryProxy) {
   LogCounter counter({.request = "00000000000000aa"});
   counter.StartProxy("n1");
   counter.AddLine(Line("100Z debug request_taken request=7 id=x1 wish=00000000000000aa class=0 work_ms=5"));
@@ -143,12 +144,12 @@
   counter.AddLine(Line("050Z debug request_taken request=7 id=x0 wish=00000000000000aa class=0 work_ms=5"));
   const auto story = counter.Trace();
   ASSERT_EQ(story.size(), 4u);
-  EXPECT_TRUE(story[0].starts_with("n0  ")) << "by time, whichever log it was in";
+  EXPECT_TRUE(story[0].starts_with("n0  ")) << "in order of time, whichever log the line was in";
   EXPECT_NE(story[2].find("server=3"), std::string::npos);
   EXPECT_NE(story[3].find("no_repeat"), std::string::npos);
 }
 
-TEST(Count, ReadsBothFormsAndWhatACollectorPutsBefore) {
+TEST(Count, ReadsTextAndJsonAfterACollectorsPrefix) {
   const auto text =
       ParseLine("0.244 2026-01-31T12:00:00.250Z info decision text=\"server 5 ejected: 3 of 3 \\\"x\\\"\"");
   ASSERT_TRUE(text.has_value());
@@ -164,8 +165,8 @@
   EXPECT_EQ(json->at_ms, text->at_ms);
 }
 
-// A log may be cut anywhere, or hold what others wrote.
-TEST(Count, WhatIsNoLineOfOursIsCountedAndChangesNothing) {
+// A log may be truncated anywhere, or contain lines of other programs.
+TEST(Count, LinesNotFromAProxysLogAreCountedAndOtherwiseIgnored) {
   const std::string whole =
       Line("100Z debug attempt_ended request=7 attempt=0 server=3 outcome=ok text=\"a b\"");
   LogCounter counter({});
@@ -182,17 +183,18 @@
   EXPECT_EQ(Of(counter.Attempts(), "success"), 1);
 }
 
-// Lines that the program of commit e45f5f7 and this one wrote in the same runs, the same ones of each: the
-// first of each event with each result, outcome, reason and kind, and all of a request with two attempts.
-TEST(Count, SavedLogsOfTheVersionBeforeCountAsThisVersions) {
+// The logs that commit e45f5f7 and the current version wrote in the same runs must give the same counts. The
+// same lines of each are saved: the first of each event with each result, outcome, reason and kind, and all
+// of a request with two attempts.
+TEST(Count, SavedLogsWithOldNamesGiveTheCountsOfCurrentLogs) {
   const std::string folder = SOURCE_DIR "/tests/log_analysis/saved_logs";
   const CountOptions options{.request = "674892184578441a"};
   const LogCounter before = CountOf(folder + "/before", options), now = CountOf(folder + "/now", options);
   EXPECT_EQ(JsonReport(before), JsonReport(now));
   EXPECT_EQ(TableReport(before), TableReport(now));
   EXPECT_EQ(before.Trace().size(), now.Trace().size());
-  EXPECT_NE(before.Trace(), now.Trace()) << "the same names: one of the logs is not of its version";
-  // None of it is equal because nothing was counted.
+  EXPECT_NE(before.Trace(), now.Trace()) << "equal names: one of the logs was not written by its version";
+  // Guards against counts that are equal only because nothing was counted.
   EXPECT_EQ(before.unreadable(), 0);
   EXPECT_GT(before.Trace().size(), 5u);
   for (const char* name : {"served", "failed:not_retriable", "rejected:deadline_unreachable",
@@ -212,9 +214,9 @@
   EXPECT_GT(slow_start, 0);
 }
 
-// Logs of one proxy as a process, of that commit and of this version, that was sent the same requests: what
-// the simulation doesn't write is in them. The times are not the same, so only sums are compared.
-TEST(Count, SavedLogsOfAProxyOfTheVersionBeforeCountAsThisVersions) {
+// Logs of a proxy process of that commit and of the current version, which were sent the same requests. They
+// contain what the simulation doesn't write. Their times differ, so only sums are compared.
+TEST(Count, SavedLogsOfAProxyWithOldNamesGiveTheCountsOfCurrentLogs) {
   const std::string folder = SOURCE_DIR "/tests/log_analysis/saved_logs";
   const LogCounter before = CountOf(folder + "/proxy_before"), now = CountOf(folder + "/proxy_now");
   EXPECT_EQ(before.Requests(), now.Requests());
@@ -226,7 +228,7 @@
   EXPECT_EQ(now.dropped_lines(), 19);
 }
 
-TEST(Count, CountsEjectionsOfThisVersionAndTheOneBefore) {
+TEST(Count, CountsEjectionsUnderOldAndCurrentNames) {
   LogCounter counter({});
   counter.StartProxy("n1");
   counter.AddLine(Line("200Z info decision text=\"backend 5 ejected: 3 of 3 attempts failed\""));
@@ -237,7 +239,7 @@
   EXPECT_EQ(counter.backends().at("6").ejected_by.size(), 1u);
 }
 
-TEST(Count, EjectionsAreOfProxiesAndAProcessWithoutAListIsTold) {
+TEST(Count, CountsEjectionsPerProxyAndProcessesWithoutAList) {
   LogCounter counter({});
   for (const char* proxy : {"n1", "n2"}) {
     counter.StartProxy(proxy);
