--- a/tests/decision/determinism_scenarios_test.cpp
+++ b/tests/decision/determinism_scenarios_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The same events have the same actions.
+// Equal settings, seeds and events must lead to equal actions. Guards against decisions that depend on
+// anything else.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -15,10 +16,11 @@
   for (BalancerHarness* harness : {&a, &b}) {
     harness->SetBackends(5);
     for (RequestId id = 1; id <= 200; ++id) {
-      const auto s = harness->SubmitRequest(id, static_cast<int>(id % 3));
+      const auto backend = harness->SubmitRequest(id, static_cast<int>(id % 3));
       harness->AdvanceTime(3);
-      if (s && id % 4)
-        harness->CompleteAttempt(id, 0, *s, id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
+      if (backend && id % 4)
+        harness->CompleteAttempt(id, 0, *backend,
+                                 id % 5 ? AttemptOutcome::kSuccess : AttemptOutcome::kServerError);
     }
   }
   ASSERT_EQ(a.attempts.size(), b.attempts.size());
--- a/tests/decision/subset_test.cpp
+++ b/tests/decision/subset_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The size and the place of a proxy's subset.
 #include "decision/subset.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +50,7 @@
   Subset subset{Settings()};
   EXPECT_TRUE(subset.SetEvaluableBackends(20));
   EXPECT_FALSE(subset.SetEvaluableBackends(20));
-  EXPECT_FALSE(subset.SetEvaluableBackends(10)) << "half is still enough";
+  EXPECT_FALSE(subset.SetEvaluableBackends(10)) << "a change to half of the number is ignored";
   EXPECT_TRUE(subset.SetEvaluableBackends(9));
   EXPECT_TRUE(subset.SetEvaluableBackends(21));
 }
--- a/tests/proxy/disabled_backends_test.cpp
+++ b/tests/proxy/disabled_backends_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Backends that an operator has disabled.
+// The set of backends that an operator has disabled, and its file.
 #include "proxy/control/disabled_backends.h"
 
 #include <gtest/gtest.h>
@@ -52,14 +52,14 @@
 }
 
 TEST(DisabledBackends, AreSharedWithOtherInstancesAndLaterOnes) {
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::string file = folder.path + "/disabled.json";
   DisabledBackends one(file, log::Global()), two(file, log::Global());
   EndpointList changes;
-  for (auto* each : {&one, &two}) {
+  for (auto* instance : {&one, &two}) {
     EndpointList both = ListOf("s-1");
     both.endpoints.push_back(ListOf("s-2").endpoints[0]);
-    each->Apply(both, true);
+    instance->Apply(both, true);
   }
   EXPECT_EQ(one.Disable("s-1", &changes), DisabledBackends::ChangeResult::kDone);
   EXPECT_EQ(two.Disable("s-2", &changes), DisabledBackends::ChangeResult::kDone);
@@ -72,12 +72,12 @@
 }
 
 TEST(DisabledBackends, CorruptFileIsIgnoredAndReplaced) {
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::string file = folder.path + "/disabled.json";
   for (const std::string text :
        {"", "{\"disabled\":[\"s-", "[]", "{\"disabled\":[1]}", "{\"disabled\":{}}", "7"}) {
     std::ofstream(file) << text;
-    Lines notes;
+    LogCapture notes;
     DisabledBackends disabled(file, notes.log);
     EXPECT_TRUE(disabled.ids().empty()) << text;
     EXPECT_EQ(notes.lines.size(), 1u) << text;
--- a/tests/proxy/disabled_file_test.cpp
+++ b/tests/proxy/disabled_file_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bytes of the file of disabled backends.
+// The format of the file of disabled backends, and its lock.
 #include "proxy/control/disabled_file.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   EXPECT_EQ(DecodeDisabledIds(" {\"disabled\":[]}"), Ids{});
 }
 
-TEST(DisabledFile, RejectsWhatIsNoListOfIds) {
+TEST(DisabledFile, RejectsTextThatIsNotAListOfIds) {
   for (const char* text : {"", "7", "[]", "{}", "{\"disabled\":{}}", "{\"disabled\":[1]}",
                            "{\"disabled\":[\"s-", "{\"disabled\":null}"})
     EXPECT_FALSE(DecodeDisabledIds(text)) << text;
@@ -44,7 +44,7 @@
 }
 
 TEST(DisabledFile, StoresTheEncodedBytesAndLeavesNoTemporaryFile) {
-  const Folder folder;
+  const TemporaryFolder folder;
   const DisabledFile file(folder.path + "/disabled.json");
   EXPECT_EQ(file.Version(), DisabledFile::kAbsent);
   EXPECT_FALSE(file.Load());
@@ -61,7 +61,7 @@
 }
 
 TEST(DisabledFile, TheLockIsExclusive) {
-  const Folder folder;
+  const TemporaryFolder folder;
   const DisabledFile file(folder.path + "/disabled.json");
   {
     const DisabledFile::Lock first(file);
--- a/tests/support/run_program.h
+++ b/tests/support/run_program.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Runs a program to its end and keeps what it wrote.
+// Runs a program until it exits and captures its output.
 #ifndef COPPERPOINT_TESTS_SUPPORT_RUN_PROGRAM_H_
 #define COPPERPOINT_TESTS_SUPPORT_RUN_PROGRAM_H_
 
@@ -15,7 +15,7 @@
 
 namespace copperpoint::testing_support {
 
-// A folder that goes when this does.
+// A directory that is removed, with its contents, when this object is destroyed.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
@@ -33,23 +33,25 @@
   std::string path_;
 };
 
-inline std::string ReadWhole(const std::string& path) {
+// @return the contents of the file; empty if it cannot be opened.
+inline std::string ReadFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
+// The result of a program that has exited.
 struct Finished {
-  int code = -1;
+  int code = -1;  // exit status; -1 if a signal ended the program
   std::string out, err;
 };
 
-// `arguments` as a shell would split them.
+// Runs `program` with `arguments`, which a shell splits, and with standard input from /dev/null.
 inline Finished RunProgram(const std::string& program, const std::string& arguments) {
   const TemporaryFolder folder;
   const std::string command = "'" + program + "' " + arguments + " >'" + (folder / "out") + "' 2>'" +
                               (folder / "err") + "' </dev/null";
   const int status = std::system(command.c_str());
-  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, ReadWhole(folder / "out"), ReadWhole(folder / "err")};
+  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, ReadFile(folder / "out"), ReadFile(folder / "err")};
 }
 
 }  // namespace copperpoint::testing_support
