--- a/src/simulation/world/arrival_process.cpp
+++ b/src/simulation/world/arrival_process.cpp
@@ -13,7 +13,7 @@
 constexpr double kMsPerSecond = 1000;
 constexpr double kQuotaBurstSeconds = 2;  // depth of a tenant's token bucket
 constexpr double kMinQuotaBurst = 1;      // requests
-constexpr double kMinSpellSeconds = 0.05;
+constexpr double kMinPhaseSeconds = 0.05;
 constexpr double kMinWorkMs = 1e-3;
 
 template <typename Items>
@@ -30,7 +30,7 @@
   return shares;
 }
 
-// The highest factor that bursts and the shape can raise the rate by.
+// Upper bound of the factor by which the arrival shape and traffic bursts raise the mean rate.
 double MaxRateFactor(const Scenario& scenario) {
   double factor = scenario.load.shape == ArrivalShape::kSteady ? 1 : 1 + scenario.load.swing;
   for (const Fault& fault : scenario.faults) {
@@ -66,11 +66,11 @@
   if (load.shape == ArrivalShape::kDaily) {
     rate *= 1 + load.swing * std::sin(2 * std::numbers::pi * at_s / load.period_s);
   } else if (load.shape == ArrivalShape::kBursty) {
-    while (at_s >= spell_until_s_) {
-      spell_until_s_ += std::max(kMinSpellSeconds, attributes_.Exponential(load.period_s));
-      spell_factor_ = attributes_.Between(1 - load.swing, 1 + load.swing);
+    while (at_s >= phase_end_s_) {
+      phase_end_s_ += std::max(kMinPhaseSeconds, attributes_.Exponential(load.period_s));
+      phase_factor_ = attributes_.Between(1 - load.swing, 1 + load.swing);
     }
-    rate *= spell_factor_;
+    rate *= phase_factor_;
   }
   for (const Fault& fault : scenario_.faults) {
     const bool active = at_s >= fault.at_s && at_s < fault.at_s + fault.for_s;
@@ -86,7 +86,8 @@
   return attributes_.Lognormal(request_class.work_ms, request_class.work_cv);
 }
 
-// Thinned from a steady Poisson stream at the highest rate (Lewis and Shedler 1979).
+// Draws from a Poisson process at the highest rate, and keeps each arrival with the probability of the
+// current rate over that rate: thinning (Lewis and Shedler 1979).
 bool ArrivalProcess::Draw(Arrival* arrival) {
   if (max_rate_ <= 0) return false;
   do {
@@ -109,7 +110,7 @@
   arrival->estimated_work_ms = arrival->work_ms * static_cast<float>(error);
 }
 
-// A tenant is beyond its quota while its token bucket is empty.
+// Each tenant's quota is a token bucket. An arrival that finds less than one token in it is beyond the quota.
 void ArrivalProcess::TakeFromQuota(Arrival* arrival) {
   const double at_s = ToMs(arrival->at) / kMsPerSecond;
   for (std::size_t i = 0; i < quota_tokens_.size(); ++i) {
