--- a/src/fault_testing/plan.h
+++ b/src/fault_testing/plan.h
@@ -43,7 +43,7 @@
   kSlow,        // requests take `amount` times as long
   kReset,       // for a share `amount` of the requests the connection is reset, half of these after execution
   kDrain,       // discovery reports the backends as terminating; after `for_s` as in service again
-  kRestart,     // the backends end and start cold after `for_s`; discovery reports both
+  kRestart,     // the backends exit, and start again cold after `for_s`; discovery reports both
   kCutService,  // nothing passes between the proxies `who` and `to`: backends, or `discovery`
 };
 
@@ -114,8 +114,8 @@
   int members = 12, zones = 3, seeds = 3;  // the first `seeds` members are the seed addresses of all
   double length_s = 10;
   double start_spread_s = 0.5;  // members start at random times within this
-  bool keep = false;            // runs each process under a supervisor with v1 (this program), v2 (`--other`)
-  std::string folder;           // the folder of the plan file
+  bool keep = false;   // runs each process under a supervisor with v1 (this program) and v2 (`--other`)
+  std::string folder;  // the folder of the plan file
   Network network;
   Service service;
   std::vector<Fault> faults;
--- a/src/fault_testing/processes/faults.cpp
+++ b/src/fault_testing/processes/faults.cpp
@@ -58,10 +58,10 @@
   }
   const std::vector<int> members = SelectMembers(plan_, fault.who, options_.seed);
   if (fault.kind == FaultKind::kSlowStart) {
-    Schedule(fault.at_s, [this, &fault, members] { slow_starts_.emplace_back(fault, members); });
+    Schedule(fault.at_s, [this, &fault, members] { delayed_starts_.emplace_back(fault, members); });
     if (fault.for_s > 0)
       Schedule(until, [this, &fault] {
-        slow_starts_.remove_if([&](const auto& one) { return one.first.at_s == fault.at_s; });
+        delayed_starts_.remove_if([&](const auto& one) { return one.first.at_s == fault.at_s; });
       });
     return;
   }
--- a/src/fault_testing/processes/fleet.h
+++ b/src/fault_testing/processes/fleet.h
@@ -41,10 +41,11 @@
 
 namespace asio = boost::asio;
 
-constexpr double kDrainGraceMs = 550;  // the grace period of the service rule plus time for the sockets
+// The drain grace period given to RuleChecker. Includes time for data that is still in the sockets.
+constexpr double kDrainGraceMs = 550;
 constexpr std::chrono::milliseconds kQueryTimeout{400};  // for the response of one proxy
-constexpr std::chrono::milliseconds kMaxLateness{
-    300};  // of the rig's own timers; a run with later ones is void
+// If a timer of the rig is later than this, the run is void.
+constexpr std::chrono::milliseconds kMaxLateness{300};
 
 inline std::string FormatEndpoint(const Tcp::endpoint& e) {
   return peers::FormatAddress({e.address(), e.port()});
@@ -91,19 +92,21 @@
     std::unique_ptr<Child> child;
     std::uint64_t incarnation = 0;
     bool up = false, paused = false;
-    bool exit_expected = false, killed = false;  // whether the rig has ended this process, and by SIGKILL
-    bool runs_other_program = false;             // ProcessOptions::other_program
-    Clock::time_point last_ready{};              // when it last became ready, paused or resumed
-    // `other_operator_address`: of the second process of a member during a version switch.
+    // `exit_expected`: the rig has ended this process. `killed`: it did so with SIGKILL.
+    bool exit_expected = false, killed = false;
+    bool runs_other_program = false;  // ProcessOptions::other_program
+    Clock::time_point last_ready{};   // when it last became ready, paused or resumed
+    // `other_operator_address`: during a version switch, the admin address of the process not polled.
     Tcp::endpoint listen_address, operator_address, other_operator_address;
-    std::string version = "v1";  // that serves, according to its supervisor
+    std::string version = "v1";  // the serving version, as its supervisor reports it
     std::set<std::string> versions_run;
     int proxy_pid = 0;  // of the proxy process under a supervisor
     Udp::endpoint bind_address, advertised_address;
     std::string view;  // its response in the current poll; empty: none
     std::size_t living_members = 0;
-    double bytes_out = 0, bytes_in = 0, polled_at_s = 0;  // bytes so far with headers, and when polled
+    double bytes_out = 0, bytes_in = 0, polled_at_s = 0;  // bytes in total with headers, at `polled_at_s`
     double rejected = 0, rejected_before = 0;             // datagrams, by this process and earlier ones
+    // The totals at the first poll from `measure_from_s_` on. Negative time: no such poll yet.
     double bytes_out_before = 0, bytes_in_before = 0, before_at_s = -1;
     std::ofstream log;
   };
@@ -161,7 +164,7 @@
   std::unique_ptr<Control> control_;
   std::list<Fault> commanded_faults_;  // active ones, started by a command
   std::list<Fault> triggered_faults_;  // whose conditions have occurred
-  std::list<std::pair<Fault, std::vector<int>>> slow_starts_;
+  std::list<std::pair<Fault, std::vector<int>>> delayed_starts_;
   std::set<int> down_backends_;
   std::vector<std::uint64_t> executions_before_;  // traffic_share: at the start of its time, by backend
   std::vector<std::uint64_t> executions_;
--- a/src/fault_testing/processes/members.cpp
+++ b/src/fault_testing/processes/members.cpp
@@ -85,7 +85,7 @@
                                          {"COPPERPOINT_CLOCK", base + "/clock"}},
       [this, number](const std::string& line) { OnLogLine(number, line); },
       [this, number, incarnation](int status) { OnExit(number, incarnation, status); });
-  for (const auto& [fault, fault_members] : slow_starts_) {
+  for (const auto& [fault, fault_members] : delayed_starts_) {
     if (std::find(fault_members.begin(), fault_members.end(), number) == fault_members.end()) continue;
     SetPaused(number, true);
     Schedule(Now() + fault.amount, [this, number, incarnation] {
--- a/src/fault_testing/processes/play.cpp
+++ b/src/fault_testing/processes/play.cpp
@@ -142,7 +142,7 @@
         fmt::format("rule {} at {:.2f} s, request {:x}, {}: {}", static_cast<int>(violation.rule),
                     static_cast<double>(violation.at) / 1e6, violation.request,
                     MemberName(static_cast<int>(violation.proxy)), violation.description));
-  RunEvaluator::Evaluation evaluation = evaluator_.Evaluate(end, /*with_service_properties=*/true);
+  RunEvaluator::Evaluation evaluation = evaluator_.Evaluate(end, /*with_process_properties=*/true);
   ProcessOutcome result;
   result.outcome = {evaluation.holds, std::move(evaluation.json), std::move(evaluation.failures)};
   result.is_void = max_lateness_ > kMaxLateness;
--- a/src/fault_testing/run_evaluator.cpp
+++ b/src/fault_testing/run_evaluator.cpp
@@ -73,7 +73,8 @@
 bool RunEvaluator::WasPartitioned(int a, int b, double at) const {
   const auto x = static_cast<std::size_t>(a), y = static_cast<std::size_t>(b);
   return std::any_of(partitions_.begin(), partitions_.end(), [&](const Partition& partition) {
-    // A death declared before the partition ended still spreads for as long as a suspicion lasts.
+    // Suspicions and deaths declared during the partition may still spread for two contact timeouts after
+    // its end.
     return at >= partition.from && at <= partition.to + 2 * contact_timeout_s_ &&
            ((partition.senders[x] && partition.receivers[y]) ||
             (partition.senders[y] && partition.receivers[x]));
@@ -87,14 +88,14 @@
     crash->detected_at.try_emplace(observer, at);
     break;
   }
-  if (runs.empty() || runs.back().to >= 0) return;  // it had indeed ended
+  if (runs.empty() || runs.back().to >= 0) return;  // correct: no process of the subject runs
   if (runs.size() > 1 && at - runs.back().from < 2 * contact_timeout_s_)
     return;  // late gossip about the previous process
   if (WasPartitioned(observer, subject, at)) return;
   const auto& pauses = pause_periods_[static_cast<std::size_t>(subject)];
   if (!pauses.empty() && (pauses.back().to < 0 || at - pauses.back().to < contact_timeout_s_) &&
       (pauses.back().to < 0 ? at : pauses.back().to) - pauses.back().from >= contact_timeout_s_ - 0.3)
-    return;  // it was paused for about the contact timeout or longer
+    return;  // the subject was paused for the contact timeout or longer, with 0.3 s of tolerance
   false_removals_.push_back({at, observer, subject});
 }
 
@@ -160,14 +161,14 @@
   return delays;
 }
 
-RunEvaluator::Evaluation RunEvaluator::Evaluate(double at, bool with_service_properties) {
+RunEvaluator::Evaluation RunEvaluator::Evaluate(double at, bool with_process_properties) {
   Evaluation evaluation;
   auto& results = evaluation.json["properties"] = nlohmann::ordered_json::array();
   for (const Property& property : plan_.properties) {
     const bool needs_processes =
         property.kind == PropertyKind::kServedAtLeast || property.kind == PropertyKind::kTrafficShare ||
         property.kind == PropertyKind::kRunsAtEnd || property.kind == PropertyKind::kEverRan;
-    if (needs_processes && !with_service_properties) continue;
+    if (needs_processes && !with_process_properties) continue;
     nlohmann::ordered_json result{{"kind", NameOf(property.kind)}, {"bound", property.bound}};
     bool holds = true;
     std::vector<std::string> failures;
@@ -181,9 +182,12 @@
         result["seconds"] = duration_s;
         if (!holds)
           failures.push_back(
-              agreed ? fmt::format("the members agreed {:.2f} s after {:.2f} s", duration_s, from)
-                     : fmt::format("the members did not agree by the end, {:.2f} s after {:.2f} s", at - from,
-                                   from));
+              agreed
+                  ? fmt::format("the members agreed {:.2f} s after the reference time, {:.2f} s", duration_s,
+                                from)
+                  : fmt::format(
+                        "the members did not agree by the end, {:.2f} s after the reference time, {:.2f} s",
+                        at - from, from));
         break;
       }
       case PropertyKind::kKnownWithin: {
@@ -192,7 +196,10 @@
         result["worst_s"] = worst;
         holds = worst <= property.bound;
         if (!holds)
-          failures.push_back(fmt::format("a crash was detected by all members only after {:.2f} s", worst));
+          failures.push_back(
+              fmt::format("the slowest detection of a crash by all members took {:.2f} s or did not complete "
+                          "in that time",
+                          worst));
         break;
       }
       case PropertyKind::kNeverRemoved: {
--- a/src/fault_testing/run_evaluator.h
+++ b/src/fault_testing/run_evaluator.h
@@ -33,9 +33,10 @@
 
   // ---- observations ----
   void OnDeclaredDead(double at, int observer, int subject);
-  // Whether all running members agree on the true membership. Repeated values may be omitted.
+  // `agreed`: all running members know the true membership. Needs to be called only when this changes.
   void OnAgreement(double at, bool agreed);
-  // Datagram bytes a second of one member, from the property's `after_s` on; the maximum counts.
+  // Adds the datagram bytes per second that one member sent and received since `after_s` of the
+  // property. The maximum over all members is evaluated.
   void AddByteRates(double per_s_out, double per_s_in);
   void AddRejectedDatagrams(std::uint64_t datagrams) { rejected_datagrams_ += datagrams; }
   void AddRequests(std::uint64_t served, std::uint64_t requests);
@@ -50,7 +51,7 @@
   // A violated service rule, or an unexpected result of a process; either fails the run.
   void AddRuleViolation(const std::string& rule) { rule_violations_.push_back(rule); }
 
-  // The times, in seconds after the first crash, at which each observer that detected it did so.
+  // Returns how long after the first crash each observer detected it, in seconds, in ascending order.
   std::vector<double> DetectionDelays() const;
 
   struct Evaluation {
@@ -58,8 +59,8 @@
     nlohmann::ordered_json json;
     std::vector<std::string> failures;  // one line for each detail of what did not hold
   };
-  // `with_service_properties`: whether to evaluate properties that need real processes.
-  Evaluation Evaluate(double at, bool with_service_properties);
+  // `with_process_properties`: whether to evaluate properties that need real processes.
+  Evaluation Evaluate(double at, bool with_process_properties);
 
  private:
   struct Period {
--- a/src/fault_testing/simulate_rollout.cpp
+++ b/src/fault_testing/simulate_rollout.cpp
@@ -30,10 +30,12 @@
 using simulation::Micros;
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kMessageDelay = 1'000;               // of a message between members, one way
-constexpr Micros kPullInterval = 200'000;             // between comparisons of documents with another member
+constexpr Micros kMessageDelay = 1'000;  // of a message between members, one way
+// A member compares its documents with another one's this often.
+constexpr Micros kPullInterval = 200'000;
 constexpr Micros kFailureDetectionDelay = 2'600'000;  // until the others consider a crashed member dead
-constexpr double kMajorityContactTimeoutS = 4;        // maximum age of a leader's contact with a majority
+// A stage may start if the leader's contact with a majority is at most this old.
+constexpr double kMajorityContactTimeoutS = 4;
 constexpr const char* kFaultNames[] = {"cut",   "one way", "kill",        "pause",        "loss",
                                        "abort", "plan",    "kill leader", "pause leader", "cut leader"};
 
@@ -51,7 +53,8 @@
     std::string version;  // of its process
     std::unique_ptr<Agent> agent;
     std::uint64_t incarnation = 0;
-    Micros ready_at = 0;  // from when its process serves requests
+    // When its process is ready; during a version switch, when the new process takes over.
+    Micros ready_at = 0;
     Micros up_since = 0;
     Micros paused_until = 0;  // its process is paused until then
     Micros down_until = 0;    // its process is killed and starts again then
@@ -179,7 +182,7 @@
   }
 }
 
-// Emulates the supervisor, whose process requests another version.
+// Emulates a supervisor's response when the agent in its process requests `version`.
 void Trial::SwitchVersion(int i, const std::string& version) {
   Node& node = At(i);
   const Micros duration = FromMs(random_.Between(800, 2000));
@@ -223,7 +226,7 @@
       for (int j = 0; j < options_.members; ++j) {
         bool is_reachable = j == i;
         if (!is_reachable && IsUp(At(j))) is_reachable = CanReach(i, j) && CanReach(j, i);
-        // The last contact may date from shortly before a partition or crash.
+        // After a partition or crash began, earlier contacts still count for kMajorityContactTimeoutS.
         for (const Partition& partition : partitions_)
           is_reachable |= IsUp(At(j)) && now_ >= partition.from &&
                           now_ < partition.from + static_cast<Micros>(kMajorityContactTimeoutS * kSecond);
@@ -274,7 +277,7 @@
   }
 }
 
-// Fetches documents that a random other member has in a later version (view/documents.h).
+// Fetches documents that a random other member has in a later version (see membership/document_exchange.h).
 void Trial::PullDocuments(int i) {
   const int j = static_cast<int>(random_.Below(nodes_.size()));
   if (i == j || !IsUp(At(i)) || !IsUp(At(j)) || IsPaused(At(i)) || IsPaused(At(j)) || !CanReach(i, j) ||
@@ -290,7 +293,8 @@
   }
 }
 
-// Adds one second of traffic at every member that serves requests.
+// Adds one second of traffic at every member that is up and not paused, from 2 s before its `ready_at` on:
+// the old process still serves during a version switch, which takes up to 2 s.
 void Trial::SimulateTraffic() {
   int updated_members = 0;
   for (const Node& node : nodes_) updated_members += node.version == plan_.new_version;
@@ -323,8 +327,8 @@
         if (is_new) {
           const bool fails_tenant = options_.regression == Regression::kFailsTenant && a == 1;
           const bool fails_class = options_.regression == Regression::kFailsClass && c == 1;
-          const bool zone = options_.regression == Regression::kFailsZone && node.zone == "b";
-          if (options_.regression == Regression::kFails || fails_tenant || fails_class || zone)
+          const bool fails_zone = options_.regression == Regression::kFailsZone && node.zone == "b";
+          if (options_.regression == Regression::kFails || fails_tenant || fails_class || fails_zone)
             extra_miss_share = options_.amount;
           if (options_.regression == Regression::kFailsAtScale && at_scale)
             extra_miss_share = options_.amount;
@@ -381,17 +385,17 @@
 
 void Trial::InjectFault(int kind) {
   const int members = options_.members;
-  const auto length = FromMs(random_.Between(1000, 20000));
+  const auto duration = FromMs(random_.Between(1000, 20000));
   int victim = static_cast<int>(random_.Below(static_cast<std::uint64_t>(members)));
   if (kind >= 7) victim = CurrentLeader();
-  last_fault_end_ = std::max(last_fault_end_, now_ + length);
+  last_fault_end_ = std::max(last_fault_end_, now_ + duration);
   event_log_.push_back(fmt::format("{:.2f} s: {} {} for {:.1f} s", Seconds(now_), kFaultNames[kind],
-                                   At(victim).name, Seconds(length)));
+                                   At(victim).name, Seconds(duration)));
   switch (kind) {
     case 0:
     case 1:
     case 9: {
-      Partition partition{now_, now_ + length, std::vector<bool>(nodes_.size()), kind == 1};
+      Partition partition{now_, now_ + duration, std::vector<bool>(nodes_.size()), kind == 1};
       for (std::size_t j = 0; j < nodes_.size(); ++j)
         partition.on_first_side[j] = kind == 9 ? static_cast<int>(j) == victim : random_.Chance(0.5);
       partitions_.push_back(std::move(partition));
@@ -405,16 +409,16 @@
       ++node.crashes;
       if (!node.target_version.empty()) node.version = std::exchange(node.target_version, "");
       node.down_since = now_;
-      node.down_until = now_ + length;
-      node.ready_at = now_ + length + kSecond;
+      node.down_until = now_ + duration;
+      node.ready_at = now_ + duration + kSecond;
       break;
     }
     case 3:
     case 8:
-      At(victim).paused_until = std::max(At(victim).paused_until, now_ + length);
+      At(victim).paused_until = std::max(At(victim).paused_until, now_ + duration);
       break;
     case 4:
-      lossy_until_ = now_ + length;
+      lossy_until_ = now_ + duration;
       break;
     case 5:
       if (IsUp(At(victim)) && !IsPaused(At(victim)) && !At(victim).agent->Abort(Time(now_))) {
@@ -439,7 +443,8 @@
   if (result_.story.size() < 20) result_.story.push_back(fmt::format("{:.2f} s: {}", Seconds(now_), what));
 }
 
-// Whether all members are up, no rollout is active, and all run the one version that its result requires.
+// Whether all members are up and not paused, none is busy with a rollout, and all that know of a
+// rollout run the same version, as its result requires.
 bool Trial::IsSettled() const {
   std::set<std::string> versions;
   for (const Node& node : nodes_) {
@@ -484,12 +489,12 @@
   }
   for (int i = 0; i < options_.members; ++i) StartProcess(i, plan_.old_version);
   if (options_.member_faults) DrawFaults();
-  const int first = static_cast<int>(random_.Below(nodes_.size()));
-  if (const auto failure = At(first).agent->Start(Time(0), plan_, all)) ReportViolation(failure->text);
-  ProcessOutput(first);
+  const int initiator = static_cast<int>(random_.Below(nodes_.size()));
+  if (const auto failure = At(initiator).agent->Start(Time(0), plan_, all)) ReportViolation(failure->text);
+  ProcessOutput(initiator);
 
   constexpr Micros kStep = 50'000;
-  Micros settled_at = 0, next_serve = kSecond;
+  Micros settled_at = 0, next_traffic_at = kSecond;
   const Micros end = FromMs(options_.length_s * 1000);
   for (now_ = kStep; now_ <= end; now_ += kStep) {
     while (!pending_faults_.empty() && pending_faults_.front().first <= now_) {
@@ -515,8 +520,8 @@
       Tick(i);
       if ((now_ / kStep + i) % (kPullInterval / kStep) == 0) PullDocuments(i);
     }
-    if (now_ >= next_serve) {
-      next_serve += kSecond;
+    if (now_ >= next_traffic_at) {
+      next_traffic_at += kSecond;
       SimulateTraffic();
       if (pending_faults_.empty() && now_ >= last_fault_end_ && IsSettled()) {
         if (settled_at == 0) settled_at = now_;
@@ -546,7 +551,7 @@
   if (result_.done && any_rolled_back)
     ReportViolation("some members consider the rollout completed, others stopped");
   if (options_.regression != Regression::kIsolated && !IsSettled()) {
-    ReportViolation("the rollout has not ended, or with different results at different members");
+    ReportViolation("the rollout has not ended, or ended with different results at different members");
     for (const Node& node : nodes_)
       if (node.agent && result_.story.size() < 30)
         result_.story.push_back(fmt::format(
--- a/src/fault_testing/virtual.cpp
+++ b/src/fault_testing/virtual.cpp
@@ -74,16 +74,17 @@
     subsetting::RingPosition ring_position;
     int first_backend = -1;  // of its subset; negative: not known yet
     std::uint64_t hash = 0;
-    bool counted = false;  // in `members_by_hash_`
+    bool counted = false;  // whether `members_by_hash_` counts it, under `hash`
     std::uint64_t bytes_out_before = 0, bytes_in_before = 0;
     std::uint64_t sent = 0, received = 0, sent_bytes = 0, received_bytes = 0;  // by earlier processes
   };
 
   Node& At(int member) { return nodes_[static_cast<std::size_t>(member)]; }
   Time Clock(const Node& node) const { return Time(queue_.now() + node.clock_offset); }
-  void Start(int member, bool skip_slow_start = false);
+  void Start(int member, bool skip_start_delay = false);
   void End(int member, bool graceful);
-  void Settle();
+  // Starts the run with a fleet in which every member already knows all others.
+  void StartWithFullViews();
   void Replace(int member);
   void HandleEvent(const simulation::ScheduledEvent& due);
   void Deliver(Kind kind, std::uint64_t message);
@@ -102,6 +103,8 @@
   void StartFault(std::size_t index);
   void EndFault(std::size_t index);
   void TriggerFaults(std::string_view event, std::string_view member = {});
+  // Stores the byte counts of all members. With `close`, instead passes the byte rates since the stored
+  // counts to the evaluator.
   void Snapshot(bool close);
   std::vector<std::string> Differences() const;  // between views and reality, one line for each view
 
@@ -110,7 +113,7 @@
   simulation::Random random_;
   Links links_;
   Conditions conditions_;
-  std::vector<std::pair<const Fault*, std::vector<bool>>> slow_starts_;  // active ones, with their members
+  std::vector<std::pair<const Fault*, std::vector<bool>>> delayed_starts_;  // active ones, with their members
   simulation::EventQueue queue_;
   RunEvaluator evaluator_;
   membership::RecordPool records_;
@@ -122,7 +125,7 @@
   std::vector<std::vector<int>> fault_members_;  // affected members, by fault
   std::unordered_map<std::uint64_t, int> members_by_hash_;
   int running_ = 0;
-  bool settling_ = false;
+  bool starting_with_full_views_ = false;
   bool uses_subsets_ = false;                 // members divide the backends among themselves by their view
   std::uint64_t reassigned_connections_ = 0;  // connections moved to other backends by subset changes
   double measure_from_s_ = 0;
@@ -142,11 +145,11 @@
   return at;
 }
 
-void VirtualFleet::Start(int member, bool skip_slow_start) {
+void VirtualFleet::Start(int member, bool skip_start_delay) {
   Node& node = At(member);
   if (node.view) return;
-  for (const auto& [fault, members] : slow_starts_) {
-    if (skip_slow_start || !members[static_cast<std::size_t>(member)]) continue;
+  for (const auto& [fault, members] : delayed_starts_) {
+    if (skip_start_delay || !members[static_cast<std::size_t>(member)]) continue;
     return queue_.Push(queue_.now() + FromMs(fault->amount * 1000), EventPriority::kControl, kStartMember,
                        static_cast<std::uint32_t>(member), 1);
   }
@@ -168,12 +171,12 @@
   node.first_backend = -1;
   ++running_;
   evaluator_.OnStarted(Seconds(queue_.now()), member);
-  if (settling_) return;
+  if (starting_with_full_views_) return;
   node.view->Join(Clock(node), seeds_);
   ProcessOutput(member);
 }
 
-void VirtualFleet::Settle() {
+void VirtualFleet::StartWithFullViews() {
   std::vector<std::shared_ptr<const membership::Record>> all;
   for (const Node& node : nodes_)
     if (node.view) all.push_back(std::make_shared<membership::Record>(node.view->self()));
@@ -344,7 +347,7 @@
   if (fault.kind == FaultKind::kSlowStart) {
     std::vector<bool> selected(nodes_.size());
     for (const int member : members) selected[static_cast<std::size_t>(member)] = true;
-    slow_starts_.emplace_back(&fault, std::move(selected));
+    delayed_starts_.emplace_back(&fault, std::move(selected));
     return;
   }
   if (fault.AffectsLinks()) return links_.AddFault(fault);
@@ -396,7 +399,7 @@
   const Fault& fault = plan_.faults[index];
   if (fault.AffectsLinks()) return links_.RemoveFault(fault);
   if (fault.kind == FaultKind::kSlowStart)
-    std::erase_if(slow_starts_, [&](const auto& one) { return one.first == &fault; });
+    std::erase_if(delayed_starts_, [&](const auto& one) { return one.first == &fault; });
   if (fault.kind == FaultKind::kReplace) {
     for (const int member : fault_members_[index]) Replace(member);
   }
@@ -445,7 +448,7 @@
     case kFaultEnd:
       return EndFault(due.argument);
     case kStartMember:
-      return Start(member, /*skip_slow_start=*/due.argument != 0);
+      return Start(member, /*skip_start_delay=*/due.argument != 0);
     case kPauseMember:
       if (At(member).view && !std::exchange(At(member).paused, true))
         evaluator_.OnPaused(Seconds(due.at), member);
@@ -523,14 +526,14 @@
   for (int i = 0; i < plan_.members; ++i) {
     if (started_by_fault[static_cast<std::size_t>(i)]) continue;
     if (options_.settled) {
-      settling_ = true;
+      starting_with_full_views_ = true;
       Start(i);
     } else {
       queue_.Push(FromMs(random_.Between(0, plan_.start_spread_s) * 1000), EventPriority::kControl,
                   kStartMember, static_cast<std::uint32_t>(i), 0);
     }
   }
-  if (std::exchange(settling_, false)) Settle();
+  if (std::exchange(starting_with_full_views_, false)) StartWithFullViews();
   measure_from_s_ = LastFaultEnd(plan_);
   for (const Property& property : plan_.properties) {
     if (property.kind == PropertyKind::kBytesAtMost && property.after_s >= 0)
@@ -556,7 +559,7 @@
   }
   if (uses_subsets_) evaluator_.SetConnectedProxies(ProxiesByBackend());
   RunEvaluator::Evaluation evaluation =
-      evaluator_.Evaluate(plan_.length_s, /*with_service_properties=*/false);
+      evaluator_.Evaluate(plan_.length_s, /*with_process_properties=*/false);
   Outcome outcome{evaluation.holds, std::move(evaluation.json), std::move(evaluation.failures)};
   if (!outcome.holds)
     for (std::string& line : Differences()) outcome.failures.push_back(std::move(line));
--- a/tests/fault_testing/rig_test.cpp
+++ b/tests/fault_testing/rig_test.cpp
@@ -75,18 +75,19 @@
 }
 
 // A member that resumes after a pause may process its timers before the datagrams that arrived meanwhile.
-// Without the local clock, which leaves the pause out, it declares running members dead.
+// With `with_delayed_wakeups` the local clock does not advance during the pause. Without it, the member
+// declares running members dead.
 TEST(Virtual, WithoutLocalClockAResumedMemberRemovesRunningMembers) {
   const Plan plan = SmallStarved();
   VirtualOptions options;
-  int lost = 0;
+  int failed_runs = 0;
   for (options.seed = 1; options.seed <= 10; ++options.seed) {
     options.membership_options.with_delayed_wakeups = true;
     EXPECT_TRUE(PlayVirtual(plan, options).holds) << options.seed;
     options.membership_options.with_delayed_wakeups = false;
-    lost += !PlayVirtual(plan, options).holds;
+    failed_runs += !PlayVirtual(plan, options).holds;
   }
-  EXPECT_GE(lost, 1);
+  EXPECT_GE(failed_runs, 1);
 }
 
 TEST(Virtual, WithoutIndirectProbesSuspicionsMoreThanDouble) {
@@ -123,7 +124,7 @@
 
 // ---- real processes -------------------------------------------------------------------------------------
 
-// Repeats a run in which the rig's own timers were late (exit code 3), since it proves nothing.
+// Repeats a run in which the rig's own timers were late (exit code 3), since its result is void.
 Finished RunFile(const std::string& arguments) {
   Finished finished;
   for (int tries = 0; tries < 3; ++tries) {
@@ -162,8 +163,8 @@
   EXPECT_EQ(finished.code, 0) << finished.out << finished.err;
 }
 
-// If the condition of a fault never occurs, the fault is not injected. The run must fail, since it proves
-// nothing.
+// If the condition of a fault never occurs, the fault is not injected. The run must fail, since it did not
+// test that fault.
 TEST(Rig, FaultWhoseConditionNeverOccursFailsTheRun) {
   const TemporaryFolder folder;
   const std::string file = folder.Write(
@@ -191,7 +192,7 @@
   EXPECT_EQ(finished.out.find("broken rule"), std::string::npos) << finished.out;
 }
 
-// Each of these service faults takes effect: the plan fails with it and would hold without it.
+// Each of these service faults must lower the served share below the bound.
 TEST(Rig, FrozenFailingOrCutOffBackendsFailTheServedShare) {
   const TemporaryFolder folder;
   for (const std::string fault :
