--- a/src/decision/request_scheduler.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -87,7 +87,7 @@
 Duration RequestScheduler::TimeoutFor(const RequestState& request, const BackendState& backend) const {
   AttemptTimeoutInputs inputs;
   inputs.may_retry = state_.ClassOf(request).idempotency != Idempotency::kNonIdempotent &&
-                     state_.retry_budget.HasToken() && !state_.retry_policy.IsLastAttempt(request);
+                     state_.retry_budget.HasToken() && !state_.retry_policy.NextAttemptIsLast(request);
   inputs.has_samples = state_.latencies.HasSamples(request.request_class);
   inputs.backend_has_attempts = backend.outstanding_attempts > 0;
   inputs.time_since_activity = state_.now - backend.last_activity;
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -28,7 +28,7 @@
   };
   Permission PermissionFor(const RequestState& request, const ClassSettings& settings, TimePoint now) const;
 
-  bool IsLastAttempt(const RequestState& request) const {
+  bool NextAttemptIsLast(const RequestState& request) const {
     return static_cast<int>(request.attempts.size()) + 1 >= max_attempts_;
   }
 
--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -51,7 +51,7 @@
 TEST_F(RetryPolicyTest, EndsAtTheMaximumOfAttempts) {
   for (int i = 0; i < 2; ++i) Ended(AttemptOutcome::kConnectFailure);
   EXPECT_TRUE(At100().may_dispatch);
-  EXPECT_TRUE(policy_.IsLastAttempt(request_));
+  EXPECT_TRUE(policy_.NextAttemptIsLast(request_));
   Ended(AttemptOutcome::kConnectFailure);
   EXPECT_FALSE(At100().may_dispatch);
 }
--- a/tests/proxy/attempts_test.cpp
+++ b/tests/proxy/attempts_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Single attempts on an event loop that the test runs one handler at a time: events that become ready in the
-// same turn, and events between two turns.
+// Single attempts on an event loop that the test runs one handler at a time: several events that are ready
+// in one turn, and events that occur between two turns.
 #include <gtest/gtest.h>
 
 #include <boost/asio/local/connect_pair.hpp>
@@ -54,7 +54,7 @@
     const std::size_t head = bytes.find("\r\n\r\n");
     return head != std::string::npos && bytes.size() - head - 4 >= request.body().size();
   }
-  bool NeverRan() const {
+  bool CannotHaveRun() const {
     return result_->outcome == AttemptOutcome::kConnectFailure ||
            result_->outcome == AttemptOutcome::kNotSent ||
            result_->outcome == AttemptOutcome::kBackendRejected;
@@ -84,14 +84,14 @@
   EXPECT_EQ(bytes.find("Req-Deadline-Ms: ", at + 1), std::string::npos) << "the field is sent twice";
 }
 
-TEST_F(Attempts, NotExecutedMeansNotWrittenCompletely) {
+TEST_F(Attempts, ReportsNotExecutedOnlyIfWriteIsIncomplete) {
   // The connection is established and the timeout expires in the same turn of the event loop.
   Send(milliseconds(30));
   SleepWithoutPolling(milliseconds(60));
   Tcp::socket peer = Accept();
   ASSERT_TRUE(RunUntilCompleted());
   const ReceivedData received = ReadToEnd(peer);
-  EXPECT_EQ(NeverRan(), !IsComplete(received.bytes, *Request())) << received.bytes;
+  EXPECT_EQ(CannotHaveRun(), !IsComplete(received.bytes, *Request())) << received.bytes;
 }
 
 // The last bytes are written in the turn in which the timer fires; a complete write must not be reported as
@@ -124,7 +124,8 @@
     std::string bytes = ReadAvailable(peer).bytes;  // makes room for the rest after the timeout has expired
     ASSERT_TRUE(RunUntilCompleted());
     bytes += ReadToEnd(peer).bytes;
-    EXPECT_EQ(NeverRan(), !IsComplete(bytes, *request)) << bytes.size() << " of " << request->body().size();
+    EXPECT_EQ(CannotHaveRun(), !IsComplete(bytes, *request))
+        << bytes.size() << " of " << request->body().size();
     complete_writes += IsComplete(bytes, *request);
   }
   EXPECT_GT(complete_writes, 0) << "no write completed in the turn of the timer";
