--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -174,7 +174,7 @@
   out.append(text);
 }
 
-// Appends the fields of an action, which follow the instance in its record, and returns its code.
+// Appends the fields that follow the instance in an action's record, and returns the action's code.
 struct Encoder {
   std::string& out;
 
--- a/src/cli/rollout_plan_command.cpp
+++ b/src/cli/rollout_plan_command.cpp
@@ -30,7 +30,7 @@
 using Json = nlohmann::ordered_json;
 
 constexpr int kMaxListedMembers = 6;   // of one stage
-constexpr double kNeverSeconds = 1e6;  // a watch that long is printed as "never"
+constexpr double kNeverSeconds = 1e6;  // a required bake time of at least this is printed as "never"
 constexpr double kUnknownRate = -1;
 constexpr double kPercent = 100;
 
@@ -40,7 +40,7 @@
   int members = 0;
   int zones = 3;
   double rate_per_s = kUnknownRate;  // over all members
-  double missed_share = 0.01;        // of requests that are not served in time today
+  double missed_share = 0.01;        // share of requests that are not served in time at present
 };
 
 // Returns `members` made-up members, assigned to the zones in turn.
@@ -90,13 +90,13 @@
 
 void PrintStage(std::size_t number, const rollout::StageForecast& forecast, const std::string& members) {
   const bool compares = forecast.baseline > 0;
-  const std::string seen = compares ? fmt::format("{:.4f}", forecast.detectable_fraction) : "-";
-  const std::string needed = forecast.required_bake_time_s < kNeverSeconds
-                                 ? fmt::format("{:.0f}", forecast.required_bake_time_s)
-                                 : "never";
+  const std::string detectable = compares ? fmt::format("{:.4f}", forecast.detectable_fraction) : "-";
+  const std::string required_s = forecast.required_bake_time_s < kNeverSeconds
+                                     ? fmt::format("{:.0f}", forecast.required_bake_time_s)
+                                     : "never";
   std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10.0f} {:>11.0f} {:>12} {:>14}  {}\n", number,
                            forecast.canary, forecast.baseline, forecast.canary_requests,
-                           forecast.max_duration_s, seen, compares ? needed : "-", members);
+                           forecast.max_duration_s, detectable, compares ? required_s : "-", members);
 }
 
 // Returns whether the stage can detect the regression that the plan guards against; prints an error if not.
@@ -117,9 +117,10 @@
   const auto members = MembersOf(options);
   const double rate_per_s = RateOf(options, members.size());
   const rollout::UpgradeOrder order = rollout::MakeUpgradeOrder(plan, members, /*rollout_id=*/1);
-  std::cout << fmt::format("{}: {} to {}, {} members, {:.0f} requests per second, {:.2f}% missed today\n",
-                           plan.name, plan.old_version, plan.new_version, members.size(), rate_per_s,
-                           kPercent * options.missed_share);
+  std::cout << fmt::format(
+      "{}: {} to {}, {} members, {:.0f} requests per second, {:.2f}% not served in time at present\n",
+      plan.name, plan.old_version, plan.new_version, members.size(), rate_per_s,
+      kPercent * options.missed_share);
   std::cout << fmt::format("{:<6} {:>8} {:>8} {:>10} {:>11} {:>12} {:>14}  {}\n", "stage", "changed",
                            "others", "requests", "at_most_s", "sees_loss", "needs_watch_s", "who is new");
   std::size_t number = 0;
@@ -134,8 +135,8 @@
     detects &= CheckStage(options.plan_file, number, plan, forecast);
   }
   std::cout << fmt::format(
-      "at most {:.0f} s, not counting the wait for watch_requests; the unchanged members are the baseline "
-      "until the last stage\n",
+      "the rollout takes at most {:.0f} s, not counting the wait for watch_requests; in all stages but the "
+      "last, the unchanged members are the baseline\n",
       longest_s);
   return detects ? kSuccess : kUsage;
 }
--- a/src/decision/request_scheduler.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint {
 namespace {
 
-// Number of queued requests without capacity after which an event tries no further ones.
+// DispatchQueued stops after this number of queued requests that could not be dispatched.
 constexpr int kMaxQueueMisses = 8;
 
 }  // namespace
@@ -171,8 +171,9 @@
   }
 }
 
-// If no request has been answered since this one arrived, the cause is not congestion but an interruption,
-// which may end at any time: the request is allowed to wait until max_wait_until.
+// If no attempt has ended with an outcome that reflects its backend's health since this request arrived, the
+// cause is presumed to be an interruption and not congestion. It may end at any time, so the request may wait
+// until max_wait_until.
 void RequestScheduler::OnMaxQueueTime(RequestState& request) {
   if (state_.last_outcome > request.received_at || state_.now >= request.max_wait_until)
     return RejectForNoCapacity(request);
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -13,9 +13,9 @@
 namespace copperpoint {
 
 // If an attempt may have been executed, another one may start only if the request is idempotent, or has an
-// idempotency key and goes to a backend that still recognises the duplicate. A request for which a repetition
-// could have an effect may not be rejected after such an attempt either, as a rejection tells the client that
-// a retry is harmless. A request has at most one outstanding attempt at a time.
+// idempotency key and goes to a backend that still recognises the duplicate. After such an attempt, only an
+// idempotent request, or one with a key that all backends recognise, may be rejected, as a rejection tells
+// the client that a retry is harmless. A request has at most one outstanding attempt at a time.
 class RetryPolicy {
  public:
   explicit RetryPolicy(int max_attempts) : max_attempts_(max_attempts) {}
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -61,9 +61,9 @@
 }
 
 // The rate is computed over all backends, as one backend has too few outcomes. It rises at once and falls
-// slowly: while a rolling deployment leaves no warm backend, budgets from the present rate would reduce
-// themselves further and further. After the loss of most backends, the remaining ones can't serve the work of
-// all; mean_in_service then keeps the rate per backend from rising.
+// slowly: while a rolling deployment leaves no warm backend, budgets that followed the present rate would
+// each lower the next rate further. After the loss of most backends, the remaining ones can't serve the work
+// of all; mean_in_service then keeps the rate per backend from rising.
 void SlowStart::UpdateWarmRate(const ServiceRates& rates, Duration elapsed) {
   if (rates.in_service <= 0) return;
   // A proxy that has just started has too few outcomes, and uses the work that it receives.
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -15,16 +15,16 @@
 
 // A starting backend has the fraction slow_start_min_capacity of its capacity, which grows to 1 over
 // slow_start_window. It fails when all proxies together send it more than overload_factor times its present
-// capacity within overload_window. Each proxy therefore sends it, within that window, its capacity fraction
-// of the work that a warm backend serves for this proxy. If all proxies do so, the sum is that fraction of
-// what a warm backend can serve, whatever part of the traffic each proxy has. The rate is that of work served
-// and not of work sent, since overloaded backends are sent far more than they can serve.
+// capacity within overload_window. Each proxy's budget for that window is the backend's capacity fraction
+// times the work that a warm backend serves for this proxy, times kBudgetFraction * overload_factor. The sum
+// over all proxies thus stays below the overload, whatever part of the traffic each proxy has. The budget
+// follows work served and not work sent, since overloaded backends are sent far more than they can serve.
 //
-// If the budget is less than one request, a request may be sent after the time in which the budget grows to
-// it. The first request may be sent after a random part of that time; otherwise hundreds of proxies would
-// send their first request at once.
+// A request that exceeds the budget may be sent once the time since the last one is at least
+// max(window, its work / the budget's rate), where the rate has a lower bound. For the first request, a
+// random part of that time is enough; otherwise hundreds of proxies would send their first request at once.
 //
-// Owns SlowStartState of all backends and the rate at which warm backends serve.
+// Owns the rate at which warm backends serve; the state of each backend is BackendState::slow_start.
 class SlowStart {
  public:
   explicit SlowStart(const Settings& settings);
@@ -43,7 +43,7 @@
   struct Budget {
     double capacity_fraction = 1;
     bool in_subset = true;                // a backend outside of this proxy's subset has no budget
-    double backends_per_subset_slot = 1;  // ready backends over the backends in the subset
+    double backends_per_subset_slot = 1;  // number of ready backends / number of those in the subset
     double mean_work_ms = 0;              // mean work of a request
   };
   // Returns whether a request of `work_ms` may be sent to a backend that is warming up.
@@ -77,7 +77,7 @@
 
  private:
   static constexpr int kMinOutcomes = 10;            // with fewer, served work is no reliable rate
-  static constexpr Duration kWarmRateMemory{30000};  // time constant of the fall of the warm rate
+  static constexpr Duration kWarmRateMemory{30000};  // time constant with which warm_rate_ falls
 
   Duration Window() const;
 
--- a/src/log_analysis/log_counter.h
+++ b/src/log_analysis/log_counter.h
@@ -94,9 +94,9 @@
 
   CountOptions options_;
   std::string proxy_;
-  std::unordered_map<std::string, double> up_since_;  // of backends, as this proxy was notified; 0: long ago
-  std::unordered_set<std::string> traced_;            // numbers, in this proxy, of the traced requests
-  double started_ms_ = -1;  // start of this proxy's process while it has no list; else negative
+  std::unordered_map<std::string, double> up_since_;  // in ms, by backend, from this proxy; 0: long ago
+  std::unordered_set<std::string> traced_;            // numbers of this proxy's requests that are traced
+  double started_ms_ = -1;  // start of this proxy's process, in ms, until it has a list; then negative
   std::map<std::int64_t, SecondCounts> seconds_;
   std::map<std::string, BackendCounts> backends_;
   std::vector<std::pair<double, std::string>> trace_;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Detects members that no longer answer (SWIM with Lifeguard's extensions): probes one in each period,
-// suspects those that do not answer, and declares dead those whose suspicion is confirmed.
+// suspects those that do not answer, and as a confirmer of a suspicion (SuspicionTable) declares a death.
 #ifndef COPPERPOINT_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define COPPERPOINT_MEMBERSHIP_FAILURE_DETECTOR_H_
 
@@ -41,9 +41,9 @@
   void ProbeNextMember(Time now);
   void CheckSuspicions(Time now);
   void ProbeDeadMember(Time now);
-  std::uint32_t SendProbe(int index, bool confirming, Time now);  // returns the probe's id
-  // Requests `count` random members that are alive to repeat the probe; they also answer at once with their
-  // last contact with the target.
+  // `confirming`: sent as a confirmer of a suspect. Returns the probe's id.
+  std::uint32_t SendProbe(int index, bool confirming, Time now);
+  // Has `count` random alive members repeat the probe and at once report their last contact with the target.
   void RequestIndirectProbes(int count, std::uint32_t probe_id, const std::string& target, Time now);
 
   const Options& options_;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The members of the fleet as one of them knows them, and the rules on which of two claims on a name wins:
+// The members of the fleet as one of them knows them. A claim is the record and status of a member as another
+// states them. Of two claims on a name, one wins by these rules:
 //   1. The later refutation number wins, in serial arithmetic, so that the numbers are never exhausted.
 //   2. Between two incarnations with the same refutation number, the greater incarnation wins.
 //   3. Within one incarnation, dead and left win over suspect, suspect over alive, and a later record version
-//      over an earlier one.
-// Merging claims in any order by these rules gives the same table.
+//      over an earlier one. Merging claims in any order gives the same table.
 #ifndef COPPERPOINT_MEMBERSHIP_MEMBER_TABLE_H_
 #define COPPERPOINT_MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -48,10 +48,10 @@
 using Record = wire::Record;
 
 struct Member {
-  std::shared_ptr<const Record> record;  // nullptr if the slot is free; a tombstone has that of TombstoneOf
+  std::shared_ptr<const Record> record;  // nullptr if the slot is free; from TombstoneOf for a tombstone
   MemberStatus status = MemberStatus::kAlive;
   Time status_since{};
-  Time last_contact{};           // the latest contact that this member had or that another reported
+  Time last_contact{};           // the local member's latest contact with it, or one that another reported
   SequenceWindow sequences{};    // the sequence numbers of messages received from the member
   std::size_t living_index = 0;  // the member's position in MemberTable::living()
 
--- a/src/proxy/discovery/discovery_client.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -33,8 +33,8 @@
     boost::asio::ip::tcp::endpoint address;
     std::uint64_t revision = 0;  // of the endpoint list that is already known
     Reconnect reconnect = Reconnect::kAutomatic;
-    // A change has to be known within 6 s, and within 4 s after a migration. An idle timeout followed by a
-    // connect timeout, and two connect timeouts in a row, must together take less than that.
+    // A change has to be known within 6 s, which an idle timeout plus a connect timeout must not reach, and
+    // within 4 s after a migration, which two connect timeouts in a row must not reach.
     std::chrono::milliseconds idle_timeout{3000};           // one and a half heartbeat intervals
     std::chrono::milliseconds first_message_timeout{4000};  // longer, as discovery serves calls one by one
     std::chrono::milliseconds connect_timeout{1000};
--- a/src/proxy/downstream/client_session.h
+++ b/src/proxy/downstream/client_session.h
@@ -43,7 +43,7 @@
   // Position in the SessionManager's list, maintained by the SessionManager.
   List::iterator position;
 
-  // @param queued_since when the connection may have entered the accept queue; nullopt: it did just now.
+  // @param queued_since earliest time at which the connection may have been queued for accept; nullopt: now.
   void Start(std::optional<Steady::time_point> queued_since);
 
   // Queries by which SessionManager selects the connections to evict or close.
@@ -89,7 +89,7 @@
   void OnInvalidRequest(boost::beast::http::status status, std::string text);
   // The streamed body ended early. With a status, an error response with `text` is sent; otherwise closes.
   void FailStreamedBody(std::optional<boost::beast::http::status> status, const char* text);
-  // Detects that the client closes the connection while its request is open, whatever it has sent before.
+  // Detects that the client closes before its response, even if unread bytes precede the close.
   void WatchForDisconnect();
 
   // Callbacks of ResponseWriter.
--- a/src/proxy/handover/handover_coordinator.h
+++ b/src/proxy/handover/handover_coordinator.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Upgrades a proxy without losing a connection: takes over from the process of this proxy that serves
-// already, and later hands over to the next one.
+// Upgrades a proxy without losing a connection: takes the listener over from the older process of this proxy,
+// and later hands it over to the next one.
 #ifndef COPPERPOINT_PROXY_HANDOVER_HANDOVER_COORDINATOR_H_
 #define COPPERPOINT_PROXY_HANDOVER_HANDOVER_COORDINATOR_H_
 
@@ -77,13 +77,13 @@
   // Takes over from a predecessor, by a call of StartAccepting, once discovery's list has arrived or the wait
   // for it has timed out. Returns false if there is no predecessor.
   bool TakeOverFromPredecessor();
-  // To be called when discovery's list names a backend.
+  // To be called for each list from discovery, once any list has named a backend.
   void OnEndpointsReceived();
   // To be called when this process accepts clients: a successor may then connect.
   void AwaitSuccessor();
   // Reports to the successor, if any, how many descriptors this process uses.
   void ReportDescriptors();
-  // To be called when the process shuts down: it no longer takes over.
+  // To be called when the process shuts down: stops waiting to request the listener.
   void Cancel();
 
  private:
--- a/src/proxy/membership/membership_host.h
+++ b/src/proxy/membership/membership_host.h
@@ -39,8 +39,8 @@
 
   // Throws ConfigError if the key or the seeds cannot be used, or if a field is too long for a message. While
   // another process holds the address, as in an upgrade, the host waits for it. `on_ring_offset` is called
-  // with the offset on the ring of backends that this proxy has among those of its zone; if there are no
-  // seeds, from within the constructor too.
+  // with this proxy's offset on the ring of backends when it changes; without seeds, the constructor already
+  // calls it.
   MembershipHost(boost::asio::io_context& io, const FleetSettings& settings, const Member& self,
                  std::uint64_t seed, std::function<void(double ring_offset)> on_ring_offset);
 
--- a/src/proxy/upstream/backend_connection.cpp
+++ b/src/proxy/upstream/backend_connection.cpp
@@ -81,7 +81,7 @@
 
 void BackendConnection::Reuse() {
   Error ignored;
-  socket_.cancel(ignored);  // the wait for the backend's close
+  socket_.cancel(ignored);  // ends StartIdle's wait for a close by the backend
   SetTimer(attempt_.deadline);
   WriteRequest();
 }
@@ -167,7 +167,7 @@
 }
 
 void BackendConnection::OnTimer() {
-  // The idle timeout or the stall timeout of a streamed response has expired.
+  // Without an attempt in progress, the idle timeout or a streamed response's stall timeout has expired.
   if (!attempt_.in_progress()) return Close();
   const bool deadline_reached = timer_.expiry() >= attempt_.deadline;
   Fail(OutcomeOfTimeout(state_, deadline_reached));
@@ -198,8 +198,8 @@
   const auto self = shared_from_this();
   const AttemptCallback on_completed = std::exchange(attempt_.on_completed, nullptr);
   if (attempt_.upload && IsRequestWritten(state_)) result.request_written_at = attempt_.written_at;
-  // Closes before the result is reported: the next attempt must not coexist with this one on an open
-  // connection. The buffers are kept, because a read or write in progress may still access them.
+  // Closes or returns the connection before the result is reported, so that the next attempt does not coexist
+  // with this one on it. Close keeps the buffers, as a read or write in progress may still access them.
   if (reusable && pool_) {
     Clear();
     pool_->ReturnToIdle(self);
--- a/src/rollout/agent.h
+++ b/src/rollout/agent.h
@@ -78,7 +78,7 @@
   void OnDocument(Time now, std::uint32_t topic, std::uint64_t version, const std::string& body);
   void OnMessage(Time now, const std::string& from, std::string_view body);
   void OnTick(Time now);
-  // The time of the next OnTick. It is never reached without a rollout, so that an idle process is not woken.
+  // Returns the time of the next OnTick; without a rollout one far ahead, so an idle process is not woken.
   Time next_tick_at() const { return rollout_ ? next_tick_at_ : Time::max() / 2; }
   // The supervisor has rolled `version` back because of `failure`.
   void OnVersionFailed(const std::string& version, const std::string& failure);
--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -40,7 +40,7 @@
 // Owns the counts of the current stage.
 class CanaryAnalysis {
  public:
-  // The numbers of requests and of their outcomes since the start of the stage.
+  // Numbers since the start of the stage; `missed`: requests not served before the deadline, for any cause.
   struct CohortTotals {
     double requests = 0, missed = 0, rejected = 0, failed = 0, attempts = 0;
   };
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -24,7 +24,7 @@
   v.Enum<ArrivalShape>(
       "shape", shape,
       {{"steady", ArrivalShape::kSteady}, {"bursty", ArrivalShape::kBursty}, {"daily", ArrivalShape::kDaily}},
-      {.text = "Poisson arrivals: at a constant rate, at one drawn anew for each period, or along a sine"});
+      {.text = "Poisson arrivals with a rate that is constant, random in each period, or sinusoidal"});
   v.Number("swing", swing, {.text = "`bursty`, `daily`: amplitude as a share of the rate", .max = 1});
   v.Number("period_s", period_s,
            {.text = "`daily`: period of the sine; `bursty`: mean length of a period",
@@ -36,7 +36,7 @@
   v.Integer("keys", keys, {.text = "distinct keys; 0: requests have no key", .max = 1e8});
   v.Number("zipf", zipf, {.text = "exponent of the Zipf distribution of the keys", .max = 5});
   v.Number("hint_error", hint_error,
-           {.text = "standard deviation of the log of estimated over true work; -1: no estimates",
+           {.text = "standard deviation of log(estimated work / true work); -1: no estimates",
             .min = -1,
             .max = 5});
 }
@@ -65,7 +65,9 @@
 void Tenant::Describe(config::FieldVisitor& v) {
   v.Text("name", name, {}, {.text = "in reports and replay files"});
   v.Number("share", share, {.text = "share of the requests, relative to the other accounts", .max = 1e6});
-  v.Number("quota", quota, {.text = "requests within its quota; 0: unlimited", .unit = "1/s", .max = 1e9});
+  v.Number(
+      "quota", quota,
+      {.text = "rate up to which requests count as within quota; 0: unlimited", .unit = "1/s", .max = 1e9});
 }
 
 void ClientSettings::Describe(config::FieldVisitor& v) {
@@ -81,7 +83,7 @@
             .unit = "ms",
             .max = 1e6});
   v.Number("try_share", request_timeout_share,
-           {.text = "share of the deadline after which a client gives a request up and retries it",
+           {.text = "share of the deadline after which a client abandons a request and retries it",
             .min = 0.01,
             .max = 1});
   v.Number("honour", retry_after_compliance, {.text = "share of clients that follow Retry-After", .max = 1});
@@ -92,7 +94,7 @@
       "reconnect_ms", reconnect_ms,
       {.text = "delay before a client refused by one proxy connects to another", .unit = "ms", .max = 1e6});
   v.Number("notice_ms", failure_detection_ms,
-           {.text = "until the front end detects that a proxy has crashed", .unit = "ms", .max = 1e6});
+           {.text = "time until the front end detects that a proxy has crashed", .unit = "ms", .max = 1e6});
   v.Boolean("marks_retry", marks_retry, {.text = "whether clients mark their retries as such"});
 }
 
@@ -124,8 +126,8 @@
             .max = 1e6});
   v.Number(
       "fall_roots", overload_deviations,
-      {.text = "random excess tolerated beyond that limit: this many times the square root of the limit in "
-               "requests of mean work, and two requests; 0: three requests",
+      {.text = "tolerance above that limit, in requests of mean work: 2 + this number * sqrt(limit in such "
+               "requests); 0: 3 requests like the last one",
        .max = 10});
   v.Number("error_rate", error_rate, {.text = "share of responses that are errors", .max = 1});
   v.Text(
@@ -154,8 +156,9 @@
                                                                {"view", RingOffsetSource::kMembership}},
          {.text = "source of the ring offsets by which proxies divide the backends into subsets: the proxy's "
                   "number, a random draw, or the membership"});
-  v.Number("view_ms", membership_delay_ms,
-           {.text = "`view`: until proxies know that one of them joined or left", .unit = "ms", .max = 1e6});
+  v.Number(
+      "view_ms", membership_delay_ms,
+      {.text = "`view`: time until proxies know that one of them joined or left", .unit = "ms", .max = 1e6});
 }
 
 void NetworkSettings::Describe(config::FieldVisitor& v) {
@@ -180,10 +183,11 @@
 
 void DiscoverySettings::Describe(config::FieldVisitor& v) {
   v.Boolean("ask", polled, {.text = "updates go only to proxies that subscribed by a poll"});
-  v.Number("notice_ms", detection_ms,
-           {.text = "until it detects that a process started, drains or exited", .unit = "ms", .max = 1e6});
+  v.Number(
+      "notice_ms", detection_ms,
+      {.text = "time until it detects that a process started, drains or exited", .unit = "ms", .max = 1e6});
   v.Number("silent_notice_ms", unresponsive_detection_ms,
-           {.text = "until it detects that a machine became unresponsive", .unit = "ms", .max = 1e6});
+           {.text = "time until it detects that a machine became unresponsive", .unit = "ms", .max = 1e6});
   v.Number("spread_ms", propagation_ms,
            {.text = "longest delay of an update on its way to a proxy", .unit = "ms", .max = 1e6});
   v.Number("calls_per_s", calls_per_s,
--- a/src/simulation/world/world.h
+++ b/src/simulation/world/world.h
@@ -32,9 +32,9 @@
 // "| incarnation" means that the upper 32 bits of the argument hold an incarnation.
 enum EventKind : std::uint32_t {
   // ClientPopulation
-  kArrival,         // the next first request is sent
+  kArrival,         // no target; a client sends a new logical request
   kClientSend,      // argument: slot of a request that reaches the front end
-  kClientTimeout,   // argument: slot; the client gives this request up
+  kClientTimeout,   // argument: slot; the client abandons this request
   kFrontEndUpdate,  // target: proxy, argument: 1 if it is up, 0 otherwise
   // RequestHandler
   kResponseOverdue,  // argument: slot of a request that must have its final response by now
@@ -53,23 +53,23 @@
   // DiscoveryService
   kChangeDetected,  // argument: index of a change that discovery detects
   kEndpointUpdate,  // target: proxy, argument: its incarnation
-  kPollAnswered,    // as above
-  kPollOverdue,     // as above; ignored if the proxy has polled since
-  kPollFailed,      // as above
+  kPollAnswered,    // target: proxy, argument: its incarnation
+  kPollOverdue,     // target: proxy, argument: its incarnation; ignored if it has polled since
+  kPollFailed,      // target: proxy, argument: its incarnation
   // FaultInjector
-  kFaultStart,  // argument: index of the fault
-  kFaultEnd,
+  kFaultStart,    // argument: index of the fault
+  kFaultEnd,      // argument: index of the fault
   kBackendPause,  // target: backend, argument: index of the fault
   kDrainBackend,  // target: backend
-  kStopBackend,
-  kStartBackend,
-  kDrainProxy,  // target: proxy
-  kStopProxy,
-  kStartProxy,
+  kStopBackend,   // target: backend
+  kStartBackend,  // target: backend
+  kDrainProxy,    // target: proxy
+  kStopProxy,     // target: proxy
+  kStartProxy,    // target: proxy
   // MembershipModel
-  kMembershipUpdate,
+  kMembershipUpdate,  // no target; the proxies' view of the membership is updated
   // ConnectionSampler
-  kConnectionSample,
+  kConnectionSample,  // no target; the numbers of open connections are recorded
 };
 
 // Two 32-bit numbers in one argument of an event: the incarnation is in the upper half.
@@ -150,7 +150,7 @@
   std::optional<ProxyLogs> logs;
 
  private:
-  // Time 0 of the simulation for policies. It is not 0, which means "never" to policies.
+  // The policies' time at the start of the simulation. Not 0, since policies take time 0 as "never".
   static constexpr Duration kPolicyTimeOrigin{1e9};
 
   std::vector<std::uint32_t> free_slots_;
--- a/tests/decision/slow_start_scenarios_test.cpp
+++ b/tests/decision/slow_start_scenarios_test.cpp
@@ -52,7 +52,7 @@
     const double capacity_fraction = 0.25 + 0.75 * std::min(1.0, (sent[i].first - start + 1000) / 10000);
     most = std::max(most, window / (capacity_fraction * 1000));
   }
-  EXPECT_LE(most, 2.5) << "times the capacity fraction of a warm backend's work; 3 is an overload";
+  EXPECT_LE(most, 2.5) << "work sent, as a multiple of the starting backend's capacity; 3 is an overload";
   EXPECT_GT(sent.size(), 100u) << "the starting backend must be used";
 }
 
@@ -73,7 +73,7 @@
     harness.CompleteAttempt(id, 0, *backend,
                             i % 20 ? AttemptOutcome::kBackendRejected : AttemptOutcome::kSuccess, 5);
   }
-  EXPECT_LE(sent, 6) << "in 4 s, of a fleet that served 0.05 of 2 ms of work per ms";
+  EXPECT_LE(sent, 6) << "requests in 4 s; the fleet served 5% of the 2 ms of work per ms sent to it";
 }
 
 // After the loss of most backends, the work that all of them served before would give the remaining one,
@@ -97,11 +97,11 @@
   harness.UpdateEndpoints({MakeEndpoint(1, 0, 0, EndpointState::kReady, harness.now)});
   // A warm backend has served 0.33 ms of work per ms. The backend starts at a quarter of that, and three
   // times as much overloads it.
-  EXPECT_LT(run(200), 1000) << "ms of work, of the 2000 ms that are submitted in this second";
+  EXPECT_LT(run(200), 1000) << "work sent in ms, of the 2000 ms that are submitted in this second";
 }
 
-// A rolling deployment can leave every backend warming up. Budgets from the present rate would then reduce
-// themselves until no request is sent.
+// A rolling deployment can leave every backend warming up. If budgets followed the present rate, each
+// would lower the next rate until no request is sent.
 TEST(SlowStart, BudgetRecoversWhenNoBackendIsWarm) {
   Settings settings = DefaultSettings();
   settings.slow_start_window = Duration(20000);
