--- a/src/decision/request_scheduler.cpp
+++ b/src/decision/request_scheduler.cpp
@@ -10,7 +10,7 @@
 namespace copperpoint {
 namespace {
 
-// Number of queued requests without capacity after which an event tries no further ones.
+// DispatchQueued stops after this number of queued requests that could not be dispatched.
 constexpr int kMaxQueueMisses = 8;
 
 }  // namespace
@@ -87,7 +87,7 @@
 Duration RequestScheduler::TimeoutFor(const RequestState& request, const BackendState& backend) const {
   AttemptTimeoutInputs inputs;
   inputs.may_retry = state_.ClassOf(request).idempotency != Idempotency::kNonIdempotent &&
-                     state_.retry_budget.HasToken() && !state_.retry_policy.IsLastAttempt(request);
+                     state_.retry_budget.HasToken() && !state_.retry_policy.NextAttemptIsLast(request);
   inputs.has_samples = state_.latencies.HasSamples(request.request_class);
   inputs.backend_has_attempts = backend.outstanding_attempts > 0;
   inputs.time_since_activity = state_.now - backend.last_activity;
@@ -171,8 +171,9 @@
   }
 }
 
-// If no request has been answered since this one arrived, the cause is not congestion but an interruption,
-// which may end at any time: the request is allowed to wait until max_wait_until.
+// If no attempt has ended with an outcome that reflects its backend's health since this request arrived, the
+// cause is presumed to be an interruption and not congestion. It may end at any time, so the request may wait
+// until max_wait_until.
 void RequestScheduler::OnMaxQueueTime(RequestState& request) {
   if (state_.last_outcome > request.received_at || state_.now >= request.max_wait_until)
     return RejectForNoCapacity(request);
