--- a/src/proxy/config/settings_reader.cpp
+++ b/src/proxy/config/settings_reader.cpp
@@ -99,12 +99,10 @@
 void CheckTimeouts(const Config& config) {
   const bool connect = config.connect_timeout.count() > 0;
   if (connect && config.backend_idle_timeout.count() > 0) return;
-  throw ConfigError(
-      Kind::kOutOfRange,
-      {.key = std::string(kPermissionsPath) + (connect ? ".connIdleMs" : ".connectTimeoutMs")},
-      std::string(kPermissionsPath) + (connect ? ".connIdleMs" : ".connectTimeoutMs") +
-          ": must be over 0, but is " +
-          json((connect ? config.backend_idle_timeout : config.connect_timeout).count()).dump());
+  const std::string key = std::string(kPermissionsPath) + (connect ? ".connIdleMs" : ".connectTimeoutMs");
+  const Duration timeout = connect ? config.backend_idle_timeout : config.connect_timeout;
+  throw ConfigError(Kind::kOutOfRange, {.key = key},
+                    key + ": must be over 0, but is " + json(timeout.count()).dump());
 }
 
 }  // namespace
